--- /dev/null
+++ b/tests/compatibility/stored_formats_test.cpp
@@ -0,0 +1,246 @@
+// What is kept on disk, sent between nodes or read from files keeps its bytes and keys: gossip messages, the
+// control snapshot, learned state, the supervisor's plan, scenarios and settings.
+#include <nlohmann/json.hpp>
+#include <string>
+
+#include "benchlink/settings_parser.h"
+#include "control/protocol.h"
+#include "decide/recall.h"
+#include "fixtures.h"
+#include "fleet/codec.h"
+#include "lab/scenario/scenario.h"
+#include "log/log.h"
+#include "node/config.h"
+#include "schema/schema.h"
+#include "state/learned_store.h"
+#include "state/plan_store.h"
+
+namespace hingelink {
+namespace {
+
+using compatibility::ExpectFixture;
+using compatibility::FixturePath;
+using compatibility::ReadFixture;
+using nlohmann::json;
+
+TEST(GossipMessages, KeepTheirBytesAndAreReadBack) {
+  decide::MemberRecord member;
+  member.name = "n1";
+  member.address = {0x7f000001, 9000};
+  member.version = {1796153535000, 4};
+  member.phase = decide::MemberPhase::kDraining;
+  member.belief = decide::Belief::kSuspect;
+  member.zone = "a";
+  member.weight = 4;
+  member.by = "n2";
+  decide::PeerMessage message;
+  message.kind = decide::MessageKind::kDiffer;
+  message.number = 77;
+  message.subject = "n3";
+  message.address = {0x7f000002, 9001};
+  message.view = 0x0123456789abcdef;
+  message.digests = {0x01020304, 0xfffefdfc};
+  message.differing = {1, 127};
+  message.records = {member};
+  message.parcels = {{3, "parcel"}};
+  ExpectFixture("gossip-message.cbor", fleet::Encode(message));
+  EXPECT_EQ(fleet::Decode(ReadFixture("gossip-message.cbor")), message);
+}
+
+node::Snapshot SampleSnapshot() {
+  node::Snapshot snapshot;
+  snapshot.name = "shire-1";
+  snapshot.state = node::NodeState::kDraining;
+  snapshot.ready = true;
+  snapshot.uptime = std::chrono::milliseconds(12345);
+  node::ClassSnapshot of_class;
+  of_class.name = "usage-view";
+  of_class.held = 1;
+  of_class.running = 2;
+  of_class.served = 3;
+  of_class.refused = 4;
+  of_class.failed = 5;
+  snapshot.classes = {of_class};
+  node::GatewaySnapshot gateway;
+  gateway.via = 6;
+  gateway.open = 7;
+  gateway.requests = 8;
+  gateway.served = 9;
+  gateway.refused = 10;
+  gateway.failed = 11;
+  snapshot.gateways = {gateway};
+  snapshot.gateways_known = 12;
+  node::LoopSnapshot loop;
+  loop.connections = 13;
+  loop.told_waiting = 14;
+  loop.orders_waiting = 15;
+  loop.busy = 0.5;
+  loop.taken = 16;
+  loop.hung = true;
+  snapshot.loops = {loop};
+  snapshot.owed = 17;
+  snapshot.connections = 18;
+  snapshot.runs = 19;
+  snapshot.pool_bound = true;
+  snapshot.pool_address = "127.0.0.1:9300";
+  snapshot.pool_busy = 0.75;
+  snapshot.registry_good = true;
+  snapshot.registry_address = "127.0.0.1:8761";
+  snapshot.drain = node::DrainSnapshot{std::chrono::milliseconds(2000), 20};
+  return snapshot;
+}
+
+TEST(ControlSnapshot, KeepsItsKeysAndOrder) {
+  auto snapshot = control::SnapshotJson(SampleSnapshot(), {.version = "0.0.0", .pid = 21, .generation = 22});
+  const json with_time = json::parse(snapshot.dump());
+  EXPECT_TRUE(schema::Schema(schema::ControlSnapshotSchema()).Check(with_time).empty());
+  snapshot.erase("at_ms");
+  snapshot.erase("log");
+  ExpectFixture("control-snapshot.json", snapshot.dump(1) + '\n');
+}
+
+TEST(ControlSnapshot, NamesTheStatesOfANode) {
+  EXPECT_STREQ(node::StateName(node::NodeState::kStarting), "starting");
+  EXPECT_STREQ(node::StateName(node::NodeState::kServing), "serving");
+  EXPECT_STREQ(node::StateName(node::NodeState::kHandedOver), "handed-over");
+  EXPECT_STREQ(node::StateName(node::NodeState::kDraining), "draining");
+}
+
+TEST(LearnedState, IsReadAndWrittenAgainWithTheSameBytes) {
+  for (const char* name : {"learned/learned.state", "learned/learned.state.1"}) {
+    const std::string bytes = ReadFixture(name);
+    const state::DecodedLearned decoded = state::DecodeLearned(bytes, false);
+    ASSERT_EQ(decoded.what, state::DecodedLearned::What::kWhole) << name;
+    EXPECT_EQ(decoded.bytes, bytes.size());
+    EXPECT_EQ(state::EncodeLearned(decoded.stored, false), bytes) << name;
+    EXPECT_FALSE(decoded.stored.remembered.learned.classes.empty());
+  }
+  std::string_view log_bytes;
+  const std::string log = ReadFixture("learned/learned.log");
+  log_bytes = log;
+  std::string again;
+  while (!log_bytes.empty()) {
+    const state::DecodedLearned decoded = state::DecodeLearned(log_bytes, true);
+    ASSERT_EQ(decoded.what, state::DecodedLearned::What::kWhole);
+    again += state::EncodeLearned(decoded.stored, true);
+    log_bytes.remove_prefix(decoded.bytes);
+  }
+  EXPECT_EQ(again, log);
+}
+
+TEST(SupervisorPlan, IsReadAndWrittenAgainWithTheSameBytes) {
+  const std::string text = ReadFixture("plan.json");
+  const std::string boot = json::parse(text).at("boot").get<std::string>();
+  const state::FoundPlan found = state::PlanStore::Decode(text, boot);
+  ASSERT_EQ(found.what, state::FoundPlan::What::kGood);
+  EXPECT_TRUE(found.plan.current);
+  EXPECT_EQ(state::PlanStore::Encode(found.plan, boot), text);
+}
+
+TEST(Scenarios, AreReadAndWrittenAgainWithTheSameBytes) {
+  const std::string path = FixturePath("scenario.json");
+  EXPECT_EQ(lab::WriteScenario(lab::ReadScenario(path)), ReadFixture("scenario.json"));
+}
+
+std::string WordOf(Repeat repeat) {
+  return repeat == Repeat::kSafe ? "safe" : repeat == Repeat::kKeyed ? "keyed" : "unsafe";
+}
+
+// Every field as it was read, by the key that it was read from.
+std::string Describe(const Settings& settings) {
+  std::string text;
+  const auto line = [&text](const std::string& key, double value) {
+    text += key + ' ' + std::to_string(value) + '\n';
+  };
+  for (std::size_t i = 0; i < settings.classes.size(); ++i) {
+    const RequestClass& each = settings.classes[i];
+    const std::string at = "requestClasses." + std::to_string(i) + '.';
+    text += at + "name " + each.name + '\n' + at + "repeat " + WordOf(each.repeat) + '\n';
+    line(at + "goalTimeMs", each.aim_ms);
+    line(at + "aimStretch", each.aim_stretch);
+    line(at + "hardLimitMs", each.deadline_ms);
+    line(at + "lateShare", each.late_share);
+    line(at + "windowMs", each.window_ms);
+    line(at + "worth", each.worth);
+    line("specifics.worthWithout." + std::to_string(i), each.fallback_share);
+    line("specifics.classCalls." + std::to_string(i), each.may_call);
+  }
+  for (std::size_t i = 0; i < settings.tenants.size(); ++i) {
+    const std::string at = "tenants." + std::to_string(i) + '.';
+    text += at + "name " + settings.tenants[i].name + '\n';
+    line(at + "portion", settings.tenants[i].share);
+    line(at + "quotaRps", settings.tenants[i].quota_rps);
+  }
+  for (const std::string& gauge : settings.gauges) text += "specifics.gauges " + gauge + '\n';
+  line("specifics.cpus", settings.cores);
+  line("specifics.memoryKb", settings.memory_kb);
+  line("specifics.runFactor", settings.run_factor);
+  line("specifics.keyKb", settings.key_kb);
+  line("specifics.freshMs", settings.fresh_ms);
+  line("specifics.cold", settings.cold);
+  line("rules.coldFrom", settings.cold_share);
+  line("rules.coldMs", settings.cold_ms);
+  line("rules.fallMultiple", settings.fall_multiple);
+  line("rules.fallMs", settings.fall_ms);
+  line("rules.answerSlackMs", settings.answer_slack_ms);
+  line("rules.drainGraceMs", settings.drain_grace_ms);
+  line("quantumMs", settings.tick_ms);
+  line("specifics.dependsOn", settings.has_dependency);
+  line("specifics.callShare", settings.call_share);
+  line("specifics.callsOverMs", settings.calls_over_ms);
+  line("specifics.lingersMs", settings.call_linger_ms);
+  line("specifics.passesDeadline", settings.tells_deadline);
+  line("peersTotal", settings.fleet_size);
+  line("specifics.clientsTotal", settings.callers);
+  line("overShareWorth", settings.over_share_worth);
+  line("worthBy", settings.worth_by_work);
+  line("specifics.signal", static_cast<int>(settings.signal));
+  line("specifics.heardForMs", settings.signal_heard_ms);
+  line("specifics.stopMode", settings.can_stop);
+  line("limits.retryAfter", settings.passes_retry_after);
+  line("limits.maxRetryAfterMs", settings.max_retry_after_ms);
+  line("specifics.idleMs", settings.idle_ms);
+  line("goal.whole", settings.goal_whole);
+  line("goal.worstWindow", settings.goal_window);
+  line("goal.worstClass", settings.goal_class);
+  line("goal.worstTenant", settings.goal_tenant);
+  return text;
+}
+
+// Every key with a value of its own, none of them its default.
+TEST(SettingsKeys, AreReadFromTheFlatForm) {
+  ExpectFixture("settings-read.txt", Describe(benchlink::ParseSettings(ReadFixture("settings.txt"))));
+}
+
+TEST(SettingsKeys, AreReadFromTheNodesConfiguration) {
+  const node::Config config = node::ReadConfig(FixturePath("node-config.json"));
+  ExpectFixture("node-config-read.txt",
+                config.name + ' ' + config.listen + ' ' + config.pool + ' ' + config.registry + ' ' +
+                    config.store + ' ' + config.ops + ' ' + std::to_string(config.seed) + ' ' +
+                    std::to_string(config.stop.count()) + ' ' + std::to_string(config.sockets) + ' ' +
+                    std::to_string(config.memory_mb) + '\n' + Describe(config.settings));
+}
+
+TEST(SettingsKeys, AreNamedByErrors) {
+  const std::string good = ReadFixture("settings.txt");
+  std::string errors;
+  std::size_t start = 0;
+  while (start < good.size()) {
+    const std::size_t end = good.find('\n', start);
+    const std::string line = good.substr(start, end - start);
+    const std::string key = line.substr(0, line.find('='));
+    std::string bad = good;
+    bad.replace(start, line.size(), key + "=?");
+    try {
+      benchlink::ParseSettings(bad);
+      errors += key + ": taken\n";
+    } catch (const std::exception& error) {
+      errors += key + ": " + error.what() + '\n';
+    }
+    start = end + 1;
+  }
+  ExpectFixture("settings-errors.txt", errors);
+}
+
+}  // namespace
+}  // namespace hingelink
