--- a/src/appliance/supervisor.cpp
+++ b/src/appliance/supervisor.cpp
@@ -155,7 +155,6 @@
       look_(base_.get(), [this] { Look(); }) {
   std::filesystem::create_directories(Path("run"));
   std::filesystem::permissions(Path("run"), std::filesystem::perms::owner_all);
-  std::signal(SIGPIPE, SIG_IGN);
   // A terminal that closes is nothing to a supervisor, wherever it was started.
   std::signal(SIGHUP, SIG_IGN);
   const auto on = [this](int number, event_callback_fn call) {
--- a/src/net/event.cpp
+++ b/src/net/event.cpp
@@ -6,6 +6,7 @@
 
 #include <algorithm>
 #include <charconv>
+#include <csignal>
 #include <stdexcept>
 #include <utility>
 
@@ -18,6 +19,9 @@
 }  // namespace
 
 BasePtr MakeBase() {
+  // A write to a connection that its peer has reset reports EPIPE to its caller instead of ending the
+  // process.
+  std::signal(SIGPIPE, SIG_IGN);
   const std::unique_ptr<event_config, decltype(&event_config_free)> config(event_config_new(),
                                                                            &event_config_free);
   if (!config) throw std::runtime_error("libevent: no memory for a configuration");
--- a/src/net/event.h
+++ b/src/net/event.h
@@ -55,8 +55,8 @@
   evutil_socket_t fd_;
 };
 
-// A base without libevent's cached time, which grows stale while one round of callbacks runs. Throws
-// std::runtime_error.
+// A base without libevent's cached time, which grows stale while one round of callbacks runs. The process
+// ignores SIGPIPE from then on. Throws std::runtime_error.
 BasePtr MakeBase();
 
 timeval ToTimeval(Steady::duration span);
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -97,7 +97,6 @@
       // Beside a predecessor, once there is a worker pool to run what comes.
       listening_(!handover_.has_others()),
       drain_timer_(base_.get(), [] {}) {
-  std::signal(SIGPIPE, SIG_IGN);
   MoveStore(config_.store);
   SeeOthers();
   SeeKeys();
