--- a/src/policy/server_policy.cpp
+++ b/src/policy/server_policy.cpp
@@ -49,8 +49,8 @@
 
 bool HaveSameTenants(const Settings& left, const Settings& right) {
   return std::equal(left.tenants.begin(), left.tenants.end(), right.tenants.begin(), right.tenants.end(),
-                    [](const Tenant& a, const Tenant& b) {
-                      return a.name == b.name && a.traffic_fraction == b.traffic_fraction;
+                    [](const Tenant& one, const Tenant& other) {
+                      return one.name == other.name && one.traffic_fraction == other.traffic_fraction;
                     });
 }
 
--- a/tests/compatibility/stored_formats_test.cpp
+++ b/tests/compatibility/stored_formats_test.cpp
@@ -142,8 +142,8 @@
   EXPECT_EQ(lab::WriteScenario(lab::ReadScenario(path)), ReadFixture("scenario.json"));
 }
 
-std::string WordOf(Repeat repeat) {
-  return repeat == Repeat::kSafe ? "safe" : repeat == Repeat::kKeyed ? "keyed" : "unsafe";
+std::string WordOf(Idempotency repeat) {
+  return repeat == Idempotency::kIdempotent ? "safe" : repeat == Idempotency::kKeyed ? "keyed" : "unsafe";
 }
 
 // Every field as it was read, by the key that it was read from.
@@ -155,55 +155,56 @@
   for (std::size_t i = 0; i < settings.classes.size(); ++i) {
     const RequestClass& each = settings.classes[i];
     const std::string at = "requestClasses." + std::to_string(i) + '.';
-    text += at + "name " + each.name + '\n' + at + "repeat " + WordOf(each.repeat) + '\n';
-    line(at + "goalTimeMs", each.aim_ms);
-    line(at + "aimStretch", each.aim_stretch);
+    text.append(at).append("name ").append(each.name) += '\n';
+    text.append(at).append("repeat ").append(WordOf(each.idempotency)) += '\n';
+    line(at + "goalTimeMs", each.latency_objective_ms);
+    line(at + "aimStretch", each.latency_objective_work_factor);
     line(at + "hardLimitMs", each.deadline_ms);
-    line(at + "lateShare", each.late_share);
-    line(at + "windowMs", each.window_ms);
-    line(at + "worth", each.worth);
-    line("specifics.worthWithout." + std::to_string(i), each.fallback_share);
-    line("specifics.classCalls." + std::to_string(i), each.may_call);
+    line(at + "lateShare", each.late_weight_fraction);
+    line(at + "windowMs", each.idempotency_window_ms);
+    line(at + "worth", each.priority_weight);
+    line("specifics.worthWithout." + std::to_string(i), each.fallback_weight_fraction);
+    line("specifics.classCalls." + std::to_string(i), each.may_call_upstream);
   }
   for (std::size_t i = 0; i < settings.tenants.size(); ++i) {
     const std::string at = "tenants." + std::to_string(i) + '.';
-    text += at + "name " + settings.tenants[i].name + '\n';
-    line(at + "portion", settings.tenants[i].share);
+    text.append(at).append("name ").append(settings.tenants[i].name) += '\n';
+    line(at + "portion", settings.tenants[i].traffic_fraction);
     line(at + "quotaRps", settings.tenants[i].quota_rps);
   }
   for (const std::string& gauge : settings.gauges) text += "specifics.gauges " + gauge + '\n';
   line("specifics.cpus", settings.cores);
   line("specifics.memoryKb", settings.memory_kb);
-  line("specifics.runFactor", settings.run_factor);
-  line("specifics.keyKb", settings.key_kb);
-  line("specifics.freshMs", settings.fresh_ms);
-  line("specifics.cold", settings.cold);
-  line("rules.coldFrom", settings.cold_share);
-  line("rules.coldMs", settings.cold_ms);
-  line("rules.fallMultiple", settings.fall_multiple);
-  line("rules.fallMs", settings.fall_ms);
-  line("rules.answerSlackMs", settings.answer_slack_ms);
+  line("specifics.runFactor", settings.running_memory_factor);
+  line("specifics.keyKb", settings.idempotency_key_kb);
+  line("specifics.freshMs", settings.read_cache_ttl_ms);
+  line("specifics.cold", settings.warming_up);
+  line("rules.coldFrom", settings.warm_up_speed_fraction);
+  line("rules.coldMs", settings.warm_up_ms);
+  line("rules.fallMultiple", settings.max_running_per_core);
+  line("rules.fallMs", settings.max_running_window_ms);
+  line("rules.answerSlackMs", settings.answer_grace_ms);
   line("rules.drainGraceMs", settings.drain_grace_ms);
-  line("quantumMs", settings.tick_ms);
-  line("specifics.dependsOn", settings.has_dependency);
-  line("specifics.callShare", settings.call_share);
-  line("specifics.callsOverMs", settings.calls_over_ms);
-  line("specifics.lingersMs", settings.call_linger_ms);
-  line("specifics.passesDeadline", settings.tells_deadline);
+  line("quantumMs", settings.min_batch_interval_ms);
+  line("specifics.dependsOn", settings.has_upstream);
+  line("specifics.callShare", settings.upstream_call_quota);
+  line("specifics.callsOverMs", settings.upstream_call_quota_window_ms);
+  line("specifics.lingersMs", settings.abandoned_call_ms);
+  line("specifics.passesDeadline", settings.callers_send_remaining_wait);
   line("peersTotal", settings.fleet_size);
   line("specifics.clientsTotal", settings.callers);
-  line("overShareWorth", settings.over_share_worth);
-  line("worthBy", settings.worth_by_work);
-  line("specifics.signal", static_cast<int>(settings.signal));
-  line("specifics.heardForMs", settings.signal_heard_ms);
-  line("specifics.stopMode", settings.can_stop);
-  line("limits.retryAfter", settings.passes_retry_after);
+  line("overShareWorth", settings.over_quota_weight_fraction);
+  line("worthBy", settings.weight_by_work);
+  line("specifics.signal", static_cast<int>(settings.load_signal));
+  line("specifics.heardForMs", settings.load_signal_lifetime_ms);
+  line("specifics.stopMode", settings.can_cancel_runs);
+  line("limits.retryAfter", settings.sends_retry_after);
   line("limits.maxRetryAfterMs", settings.max_retry_after_ms);
-  line("specifics.idleMs", settings.idle_ms);
-  line("goal.whole", settings.goal_whole);
-  line("goal.worstWindow", settings.goal_window);
-  line("goal.worstClass", settings.goal_class);
-  line("goal.worstTenant", settings.goal_tenant);
+  line("specifics.idleMs", settings.caller_idle_timeout_ms);
+  line("goal.whole", settings.goal_weight_overall);
+  line("goal.worstWindow", settings.goal_weight_worst_window);
+  line("goal.worstClass", settings.goal_weight_worst_class);
+  line("goal.worstTenant", settings.goal_weight_worst_tenant);
   return text;
 }
 
--- a/tests/compatibility/wire_formats_test.cpp
+++ b/tests/compatibility/wire_formats_test.cpp
@@ -141,7 +141,7 @@
 }
 
 TEST(HandoverLines, KeepTheirBytesAndAreReadBack) {
-  const LoadLine load{.running = 3, .kb = 120.5, .work_ms = 80.25, .connections = 9};
+  const LoadLine load{.running = 3, .memory_kb = 120.5, .queued_work_ms = 80.25, .connections = 9};
   const KeyLine key{.key = {0x5555666677778888, 0x9999aaaabbbbcccc},
                     .content = kRequestId,
                     .fate = 2,
--- a/tests/install.sh
+++ b/tests/install.sh
@@ -1,7 +1,7 @@
 #!/bin/sh
 # Installs from Debian what the build, the tests and the demo need and this machine lacks.
 set -eu
-packages="g++ cmake make pkg-config libevent-dev libcli11-dev nlohmann-json3-dev libspdlog-dev
+packages="g++ ccache cmake make pkg-config libevent-dev libcli11-dev nlohmann-json3-dev libspdlog-dev
 libreaderwriterqueue-dev prometheus-cpp-dev libabsl-dev libvalijson-dev
 libncurses-dev libxxhash-dev libhwloc-dev libpcg-cpp-dev libsodium-dev libsqlite3-dev gnuplot-nox libgtest-dev librapidcheck-dev libvterm-dev strace spin
 clang-format-14 clang-tidy-14"
