--- a/include/hingelink/server_policy.h
+++ b/include/hingelink/server_policy.h
@@ -66,7 +66,7 @@
   double late_weight_fraction = 0;
   // kKeyed only: attempts of the same key may arrive for this long after the first.
   double idempotency_window_ms = 0;
-  // What an answer within its objective is worth, relative to other classes.
+  // Value of an answer within its objective, relative to those of other classes.
   double priority_weight = 1;
   // Fraction of the weight of an answer that left an upstream call out; 0: UseFallback is not allowed.
   double fallback_weight_fraction = 0;
--- a/src/policy/deadline_queue.cpp
+++ b/src/policy/deadline_queue.cpp
@@ -18,7 +18,7 @@
   entries_.insert({at, id});
 }
 
-std::optional<RequestId> DeadlineQueue::PopDue(double now) {
+std::optional<RequestId> DeadlineQueue::PopExpired(double now) {
   if (entries_.empty() || entries_.begin()->first > now) return std::nullopt;
   const RequestId id = entries_.begin()->second;
   entries_.erase(entries_.begin());
--- a/src/policy/deadline_queue.h
+++ b/src/policy/deadline_queue.h
@@ -26,7 +26,7 @@
   void Cancel(RequestId id, const OpenRequest& request) { entries_.erase({request.scheduled_at, id}); }
 
   // Removes and returns the first request that is due at `now`.
-  std::optional<RequestId> PopDue(double now);
+  std::optional<RequestId> PopExpired(double now);
   // The time of the first entry, or kForever.
   double next() const { return entries_.empty() ? kForever : entries_.begin()->first; }
 
--- a/src/policy/dispatch.h
+++ b/src/policy/dispatch.h
@@ -44,7 +44,7 @@
   void StartQueued(double now);
 
  private:
-  // Rejects the first requests of each lane that are not worth a start.
+  // Rejects the first requests of each lane whose start would be useless.
   void RejectHopeless(double now);
   bool IsHopeless(const OpenRequest& request, double now) const;
   // Whether an execution of this class would only wait for its upstream call.
--- a/src/policy/drain.h
+++ b/src/policy/drain.h
@@ -12,14 +12,15 @@
  public:
   explicit Drain(const Settings& settings) : settings_(settings) {}
 
-  // The notice came at `now`; the process is killed `remaining_ms` later. Returns false if it is draining
+  // The notice arrived at `now`; the process is killed `remaining_ms` later. Returns false if it is draining
   // already: the first notice counts.
   [[nodiscard]] bool Begin(double now, double remaining_ms);
 
   bool is_draining() const { return is_draining_; }
   // When everything must be answered, a few batches before the kill; kForever without a notice.
   double answer_by() const { return answer_by_; }
-  // Whether a request that reached the machine at `arrived_at` came so late that it must not be executed.
+  // Whether a request that reached the machine at `arrived_at` did so too late, so that it must not be
+  // executed.
   bool IsPastGrace(double arrived_at) const;
 
  private:
--- a/src/policy/idempotency_table.cpp
+++ b/src/policy/idempotency_table.cpp
@@ -5,8 +5,8 @@
 namespace hingelink::policy {
 namespace {
 
-// Keyed windows after which an entry is forgotten: attempts may be read late.
-constexpr double kWindowsKept = 2;
+// Idempotency windows after which an entry is removed: attempts may be read late.
+constexpr double kRetainedWindows = 2;
 
 bool HasArrival(std::span<const Event> batch, RequestId id) {
   return std::any_of(batch.begin(), batch.end(), [id](const Event& event) {
@@ -47,7 +47,8 @@
   if (!RetainKey(id, request, entry, now)) return false;
   AddAttempt(entry, id, request);
   const RequestClass& config = classes_.ConfigOf(request);
-  forget_at_.emplace_back(now + kWindowsKept * (config.idempotency_window_ms + config.deadline_ms), entry);
+  entries_by_expiry_.emplace_back(
+      now + kRetainedWindows * (config.idempotency_window_ms + config.deadline_ms), entry);
   return true;
 }
 
@@ -109,7 +110,7 @@
       handler.RejectWaiter(waiter, *request);
     }
   }
-  if (entry->holder == 0) Forget(*entry);
+  if (entry->holder == 0) RemoveEntry(*entry);
 }
 
 void IdempotencyTable::ReplayWaiters(IdempotencyEntry& entry) {
@@ -133,15 +134,16 @@
     if (entry->expires_at < entry->host_expires_at) actions_.Emit(ReleaseKey{entry->holder});
     KeyReleased(*entry);
   }
-  for (; !forget_at_.empty() && forget_at_.front().first < now; forget_at_.pop_front())
-    Forget(*forget_at_.front().second);
+  for (; !entries_by_expiry_.empty() && entries_by_expiry_.front().first < now;
+       entries_by_expiry_.pop_front())
+    RemoveEntry(*entries_by_expiry_.front().second);
 }
 
 void IdempotencyTable::KeyReleased(IdempotencyEntry& entry) {
   if (std::exchange(entry.is_key_retained, false)) totals_.ReleaseKey();
 }
 
-void IdempotencyTable::Forget(IdempotencyEntry& entry) {
+void IdempotencyTable::RemoveEntry(IdempotencyEntry& entry) {
   for (const RequestId attempt : std::exchange(entry.attempts, {})) entries_.erase(attempt);
   KeyReleased(entry);
 }
--- a/src/policy/idempotency_table.h
+++ b/src/policy/idempotency_table.h
@@ -91,7 +91,7 @@
   void ReplayWaiters(IdempotencyEntry& entry);
   void Replay(RequestId id);
   void KeyReleased(IdempotencyEntry& entry);
-  void Forget(IdempotencyEntry& entry);
+  void RemoveEntry(IdempotencyEntry& entry);
 
   const Settings& settings_;
   const ClassTable& classes_;
@@ -101,7 +101,7 @@
   ActionSink& actions_;
 
   std::unordered_map<RequestId, IdempotencyEntryPtr> entries_;  // By each attempt.
-  std::deque<std::pair<double, IdempotencyEntryPtr>> forget_at_;
+  std::deque<std::pair<double, IdempotencyEntryPtr>> entries_by_expiry_;
   std::multimap<double, IdempotencyEntryPtr> keys_by_expiry_;
 };
 
--- a/src/policy/request_completion.cpp
+++ b/src/policy/request_completion.cpp
@@ -54,11 +54,12 @@
   parts_.requests.Close(finished.id, *request);
 }
 
-void RequestCompletion::AnswerDue(double now) {
-  while (const auto id = parts_.deadlines.PopDue(now)) AnswerDueRequest(*id, parts_.requests.Get(*id), now);
+void RequestCompletion::AnswerExpired(double now) {
+  while (const auto id = parts_.deadlines.PopExpired(now))
+    AnswerExpiredRequest(*id, parts_.requests.Get(*id), now);
 }
 
-void RequestCompletion::AnswerDueRequest(RequestId id, OpenRequest& request, double now) {
+void RequestCompletion::AnswerExpiredRequest(RequestId id, OpenRequest& request, double now) {
   if (request.state == RequestState::kQueued) return parts_.admission.RejectRequest(id, request);
   if (IsSharing(request)) {
     // Not rejected: its original may yet run, or ran.
--- a/src/policy/request_completion.h
+++ b/src/policy/request_completion.h
@@ -1,5 +1,5 @@
 // How requests end other than by admission: their execution finishes, their caller disconnects, or their
-// deadline comes.
+// deadline expires.
 #ifndef HINGELINK_POLICY_REQUEST_COMPLETION_H_
 #define HINGELINK_POLICY_REQUEST_COMPLETION_H_
 
@@ -37,17 +37,17 @@
 
   void OnCallerDisconnected(const CallerDisconnected& disconnected, double now);
   void OnFinished(const Finished& finished, double now);
-  // Answers every request whose deadline has come, whether it is queued, running or waiting for another's
+  // Answers every request whose deadline has expired, whether it is queued, running or waiting for another's
   // result.
-  void AnswerDue(double now);
+  void AnswerExpired(double now);
 
  private:
   void DropQueued(RequestId id, OpenRequest& request);
   // Forgets a request that waits for its original or is replayed.
   void CloseSharing(RequestId id, const OpenRequest& request);
-  void AnswerDueRequest(RequestId id, OpenRequest& request, double now);
-  // Cancels an execution that nobody waits for. One with an idempotency entry goes on, as does one that is
-  // not idempotent; the cancelled one counts as running until it has finished.
+  void AnswerExpiredRequest(RequestId id, OpenRequest& request, double now);
+  // Cancels an execution whose result no caller waits for. One with an idempotency entry goes on, as does one
+  // that is not idempotent; the cancelled one counts as running until it has finished.
   void CancelUseless(RequestId id, const OpenRequest& request);
 
   Parts parts_;
--- a/src/policy/server_policy.cpp
+++ b/src/policy/server_policy.cpp
@@ -75,7 +75,7 @@
     admission_.BeginStep(now_);
     idempotency_.Expire(now_);
     for (const Event& event : events) std::visit([this](const auto& each) { On(each); }, event);
-    completion_.AnswerDue(now_);
+    completion_.AnswerExpired(now_);
     UpdateStall();
     calls_.StartWaiting(now_);
     dispatch_.StartQueued(now_);
--- a/src/policy/stall_detector.cpp
+++ b/src/policy/stall_detector.cpp
@@ -23,10 +23,10 @@
 
 StallDetector::Change StallDetector::Update(double now, int running, double longest_mean_run_ms) {
   if (running < settings_.cores) OnProgress(now);
-  const double patience_ms =
+  const double timeout_ms =
       std::max(kMinStallMs, kMissedFinishes * longest_mean_run_ms / std::max(1, running));
   const bool was_stalled = is_stalled_;
-  is_stalled_ = finished_ >= kMinFinished && now - last_progress_at_ > patience_ms;
+  is_stalled_ = finished_ >= kMinFinished && now - last_progress_at_ > timeout_ms;
   if (is_stalled_ == was_stalled) return Change::kNone;
   return is_stalled_ ? Change::kStalled : Change::kRecovered;
 }
--- a/src/policy/upstream_call_limiter.cpp
+++ b/src/policy/upstream_call_limiter.cpp
@@ -77,8 +77,8 @@
 }
 
 void UpstreamCallLimiter::OnOutcome(const UpstreamCallFinished& finished) {
-  const bool tells_duration = finished.outcome == Outcome::kOk || finished.outcome == Outcome::kTimeout;
-  if (settings_.upstream_call_quota <= 0 || !tells_duration) return;
+  const bool has_duration = finished.outcome == Outcome::kOk || finished.outcome == Outcome::kTimeout;
+  if (settings_.upstream_call_quota <= 0 || !has_duration) return;
   const double weight = std::max(kCallWeight, 1.0 / static_cast<double>(++outcomes_));
   mean_call_ms_ += weight * (finished.elapsed_ms - mean_call_ms_);
   if (static_cast<double>(outcomes_) < 1 / kCallWeight) return;
--- a/src/policy/upstream_calls.cpp
+++ b/src/policy/upstream_calls.cpp
@@ -115,7 +115,7 @@
     parts_.deadlines.Schedule(id, request, wait_until);
   }
   if (!IsSaturated()) return;
-  // Too many wait: the one that gains least by its call goes on without it, if it can.
+  // Too many wait: the request that gains least by its call continues without it, if it can.
   const RequestId least = waiting_.rbegin()->id;
   OpenRequest& least_request = parts_.requests.Get(least);
   if (HasFallback(least_request)) GiveUp(least, least_request, now);
