--- a/src/net/gateway/connection.cpp
+++ b/src/net/gateway/connection.cpp
@@ -19,7 +19,7 @@
 // Requests that could not be read, on one connection, after which it is ended.
 constexpr int kMostMalformed = 64;
 // Unread bytes held of one connection: always more than the longest frame that is kept.
-constexpr std::size_t kReadAhead = 2 * proto::kMostKept;
+constexpr std::size_t kReadAhead = 2 * proto::kMaxBufferedFrameBytes;
 // Unsent bytes from which a connection is not read: its gateway must take answers before it asks for more.
 constexpr std::size_t kUnsentPause = std::size_t{16} * 1024;
 // Unsent bytes at which it is given up: above the pause and 32 of the longest answers. All connections that
@@ -98,11 +98,11 @@
 }
 
 void ConnectionSet::Connection::AnswerCheck(std::uint32_t stream, bool good) {
-  if (checks_.erase(stream) != 0) Write(proto::HealthAnswer(stream, good, set_.signal_));
+  if (checks_.erase(stream) != 0) Write(proto::EncodeHealthResponse(stream, good, set_.signal_));
 }
 
 void ConnectionSet::Connection::AskForNoMore() {
-  if (!std::exchange(asked_for_no_more_, true) && !ending_) Write(proto::NoNewRequests());
+  if (!std::exchange(asked_for_no_more_, true) && !ending_) Write(proto::EncodeStopNewRequests());
 }
 
 ConnectionSet::Look ConnectionSet::Connection::AsSeen() const {
@@ -244,7 +244,7 @@
     const std::size_t skipped = std::min(skip_, all.size() - done);
     skip_ -= skipped;
     done += skipped;
-    const auto head = proto::ReadHead(all.substr(done));
+    const auto head = proto::ParseFrameHeader(all.substr(done));
     if (!head) break;
     if (set_.events_.may_read && !set_.events_.may_read()) {
       held_back_ = true;
@@ -257,16 +257,16 @@
     }
     // Guards against connections that each make the node hold a frame of the longest legal length: what
     // no well-formed frame needs is let go as it comes.
-    if (head->Size() > proto::kMostKept) {
-      done += proto::kHeadBytes;
+    if (head->Size() > proto::kMaxBufferedFrameBytes) {
+      done += proto::kFrameHeaderBytes;
       frame_looks_ = 0;
-      skip_ = head->Size() - proto::kHeadBytes;
+      skip_ = head->Size() - proto::kFrameHeaderBytes;
       Take(*head, {}, true);
       continue;
     }
     if (all.size() - done < head->Size()) break;
-    const std::size_t payload = head->Size() - proto::kHeadBytes;
-    Take(*head, all.substr(done + proto::kHeadBytes, payload), false);
+    const std::size_t payload = head->Size() - proto::kFrameHeaderBytes;
+    Take(*head, all.substr(done + proto::kFrameHeaderBytes, payload), false);
     done += head->Size();
     frame_looks_ = 0;
     use_ = std::max(use_, Use::kFrames);
@@ -275,13 +275,14 @@
   if (given_up_) set_.End(id_, EndReason::kSlowReader);
 }
 
-void ConnectionSet::Connection::Take(const proto::FrameHead& head, std::string_view payload, bool too_long) {
+void ConnectionSet::Connection::Take(const proto::FrameHeader& head, std::string_view payload,
+                                     bool too_long) {
   ++work_;
   switch (static_cast<proto::FrameType>(head.type)) {
     case proto::FrameType::kRequest:
       TakeRequest(head.stream, payload, too_long);
       return;
-    case proto::FrameType::kGone:
+    case proto::FrameType::kCallerDisconnected:
       if (open_.erase(head.stream) + checks_.erase(head.stream) != 0) set_.events_.gone({id_, head.stream});
       return;
     case proto::FrameType::kHealthCheck:
@@ -294,12 +295,12 @@
 
 void ConnectionSet::Connection::TakeCheck(std::uint32_t stream, std::string_view payload) {
   // Guards against checks without end that nobody reads the answers of, and a stream that waits already.
-  const bool waits = set_.deep_ && set_.healthy_ && set_.events_.check && proto::AsksForWork(payload) &&
+  const bool waits = set_.deep_ && set_.healthy_ && set_.events_.check && proto::IsDeepHealthCheck(payload) &&
                      checks_.size() < kMostChecks && checks_.insert(stream).second;
   if (waits) {
     set_.events_.check({id_, stream});
   } else {
-    Write(proto::HealthAnswer(stream, set_.healthy_, set_.signal_));
+    Write(proto::EncodeHealthResponse(stream, set_.healthy_, set_.signal_));
   }
 }
 
@@ -331,10 +332,10 @@
                         .arrived = frame.ts,
                         .timeout = frame.timeout,
                         .work = frame.work,
-                        .reserved_kb = frame.need_kb,
+                        .reserved_kb = frame.reserved_kb,
                         .rank = frame.level,
                         .subject = frame.subject,
-                        .key = frame.opkey,
+                        .key = frame.operation_key,
                         .owner = frame.owner,
                         .is_retry = frame.resent,
                         .caller = frame.via,
@@ -347,9 +348,9 @@
   if (counts != nullptr) counts->Count(answer.verdict);
   proto::AnswerCode code = proto::AnswerCode::kFailed;
   if (answer.verdict == core::Verdict::kServed) code = proto::AnswerCode::kServed;
-  if (answer.verdict == core::Verdict::kRefused) code = proto::AnswerCode::kRefused;
+  if (answer.verdict == core::Verdict::kRefused) code = proto::AnswerCode::kRejected;
   const proto::AnswerFields fields{set_.signal_, answer.stay_away, answer.try_no_other};
-  Write(proto::AnswerHead(stream, code, fields, answer.result.size()));
+  Write(proto::EncodeAnswerHeader(stream, code, fields, answer.result.size()));
   if (!answer.result.empty()) Write(answer.result);
 }
 
@@ -385,7 +386,7 @@
     Answer(stream, counts.get(), core::Failed());
     set_.events_.gone({id_, stream});
   }
-  Write(proto::AnswerHead(0, proto::AnswerCode::kFailed, {}, 0));
+  Write(proto::EncodeAnswerHeader(0, proto::AnswerCode::kFailed, {}, 0));
   bufferevent_enable(bev_.get(), EV_READ);
 }
 
--- a/src/net/gateway/connection.h
+++ b/src/net/gateway/connection.h
@@ -63,7 +63,7 @@
   bool StuckInFirstFrame() const;
   void Read();
 
-  void Take(const proto::FrameHead& head, std::string_view payload, bool too_long);
+  void Take(const proto::FrameHeader& head, std::string_view payload, bool too_long);
   void TakeCheck(std::uint32_t stream, std::string_view payload);
 
   void TakeRequest(std::uint32_t stream, std::string_view payload, bool too_long);
--- a/src/net/handover.cpp
+++ b/src/net/handover.cpp
@@ -100,27 +100,27 @@
           it->handover_.End(*it, (what & BEV_EVENT_EOF) != 0 ? "peer-closed" : "reset");
         },
         this);
-    bufferevent_setwatermark(bev_.get(), EV_READ, 0, 2 * proto::kMostKeyResult);
+    bufferevent_setwatermark(bev_.get(), EV_READ, 0, 2 * proto::kMaxKeyResultBytes);
     bufferevent_enable(bev_.get(), EV_READ | EV_WRITE);
   }
 
   void Say(std::string_view line) {
     // Guards against a process that hangs and takes nothing: it is told no more.
-    if (Unsent(bev_.get()) < 64 * proto::kMostHandoverLine) Send(bev_.get(), line);
+    if (Unsent(bev_.get()) < 64 * proto::kMaxHandoverLineBytes) Send(bev_.get(), line);
   }
   // Never left out: guards against a key that runs in both processes. Their number has its bound.
-  void SayKey(proto::KeyLine line, std::string_view result) {
+  void SayKey(proto::KeyMessage line, std::string_view result) {
     line.has_result = line.has_result && Unsent(bev_.get()) < kUnsentResults;
-    Send(bev_.get(), proto::EncodeKey(line));
+    Send(bev_.get(), proto::EncodeKeyMessage(line));
     if (!line.has_result) return;
     Send(bev_.get(), result);
     Send(bev_.get(), "\n");
   }
   // At the end of this process, past the loop.
   void SayEnds() {
-    const auto size = static_cast<ssize_t>(proto::kHandoverEnds.size());
+    const auto size = static_cast<ssize_t>(proto::kHandoverExiting.size());
     if (Unsent(bev_.get()) > 0) return;
-    if (send(bufferevent_getfd(bev_.get()), proto::kHandoverEnds.data(), proto::kHandoverEnds.size(),
+    if (send(bufferevent_getfd(bev_.get()), proto::kHandoverExiting.data(), proto::kHandoverExiting.size(),
              MSG_NOSIGNAL | MSG_DONTWAIT) != size) {
       log::Warn("handover-unsaid");
     }
@@ -131,7 +131,7 @@
   }
 
   const bool to_predecessor_;
-  proto::LoadLine load_;
+  proto::LoadMessage load_;
   bool keys_ = false;   // A successor that takes what is told of keys.
   bool ready_ = false;  // A successor that takes the clients.
   bool ends_ = false;   // It said so.
@@ -142,11 +142,11 @@
       const std::string_view all = Arrived(bev_.get());
       const std::size_t end = all.find('\n');
       if (end == std::string_view::npos) {
-        if (all.size() >= proto::kMostHandoverLine) handover_.End(*this, "line");
+        if (all.size() >= proto::kMaxHandoverLineBytes) handover_.End(*this, "line");
         return;
       }
       std::size_t size = end + 1;
-      if (const auto key = proto::ReadKey(all.substr(0, end)); key && to_predecessor_) {
+      if (const auto key = proto::ParseKeyMessage(all.substr(0, end)); key && to_predecessor_) {
         const std::size_t behind = key->has_result ? key->size + 1 : 0;
         if (all.size() < size + behind) return;
         handover_.events_.key_told(*key, all.substr(size, key->size));
@@ -254,8 +254,8 @@
   Add(std::move(fd), false);
   // Right behind the listener: it is there before the successor's worker pool is bound, and its decisions
   // begin.
-  for (const proto::LearnedLine& learned : events_.learned()) {
-    if (const auto line = proto::EncodeLearned(learned)) channels_.back()->Say(*line);
+  for (const proto::LearnedClassMessage& learned : events_.learned()) {
+    if (const auto line = proto::EncodeLearnedClassMessage(learned)) channels_.back()->Say(*line);
   }
   events_.load();
 }
@@ -280,24 +280,24 @@
     // Before the word that it may run them.
     if (channel.keys_) {
       events_.keys(
-          [&channel](const proto::KeyLine& key, std::string_view result) { channel.SayKey(key, result); });
+          [&channel](const proto::KeyMessage& key, std::string_view result) { channel.SayKey(key, result); });
     }
-    channel.Say(proto::kHandoverLeaving);
+    channel.Say(proto::kHandoverDraining);
     handed_over_ = true;
     events_.successor_ready();
-  } else if (line == proto::kHandoverLeaving && channel.to_predecessor_) {
+  } else if (line == proto::kHandoverDraining && channel.to_predecessor_) {
     overdue_.Stop();
     settled_ = keys_known_ = true;
     events_.settled();
     log::Info("handover-done");
   } else if (line == proto::kHandoverKeys) {
     channel.keys_ = true;
-  } else if (line == proto::kHandoverEnds) {
+  } else if (line == proto::kHandoverExiting) {
     channel.ends_ = true;
-  } else if (const auto load = proto::ReadLoad(line.substr(0, line.size() - 1))) {
+  } else if (const auto load = proto::ParseLoadMessage(line.substr(0, line.size() - 1))) {
     channel.load_ = *load;
     events_.load();
-  } else if (const auto learned = proto::ReadLearned(line.substr(0, line.size() - 1));
+  } else if (const auto learned = proto::ParseLearnedClassMessage(line.substr(0, line.size() - 1));
              learned && channel.to_predecessor_) {
     events_.predecessor_learned(*learned);
   }
@@ -334,14 +334,14 @@
   return std::any_of(channels_.begin(), channels_.end(), [](const auto& c) { return c->to_predecessor_; });
 }
 
-void Handover::TellKey(const proto::KeyLine& line, std::string_view result) {
+void Handover::TellKey(const proto::KeyMessage& line, std::string_view result) {
   for (const auto& channel : channels_) {
     if (channel->keys_ && channel->ready_) channel->SayKey(line, result);
   }
 }
 
-proto::LoadLine Handover::others_load() const {
-  proto::LoadLine sum;
+proto::LoadMessage Handover::others_load() const {
+  proto::LoadMessage sum;
   for (const auto& channel : channels_) {
     sum.running += channel->load_.running;
     sum.memory_kb += channel->load_.memory_kb;
@@ -351,10 +351,10 @@
   return sum;
 }
 
-void Handover::Tell(const proto::LoadLine& load) {
+void Handover::Tell(const proto::LoadMessage& load) {
   if (load == told_) return;
   told_ = load;
-  const std::string line = proto::EncodeLoad(load);
+  const std::string line = proto::EncodeLoadMessage(load);
   for (const auto& channel : channels_) channel->Say(line);
 }
 
--- a/src/net/handover.h
+++ b/src/net/handover.h
@@ -15,17 +15,17 @@
 
 class Handover {
  public:
-  using EachKey = std::function<void(const proto::KeyLine&, std::string_view result)>;
+  using EachKey = std::function<void(const proto::KeyMessage&, std::string_view result)>;
   struct Events {
     std::function<void()> successor_ready;  // Another process takes the clients from now on.
     std::function<void()> successor_lost;   // None does any more.
     std::function<void()> load;             // What the others have in hand may have changed.
-    std::function<std::vector<proto::LearnedLine>()> learned;  // For a successor to begin with.
-    std::function<void(const proto::LearnedLine&)> predecessor_learned;
+    std::function<std::vector<proto::LearnedClassMessage>()> learned;  // For a successor to begin with.
+    std::function<void(const proto::LearnedClassMessage&)> predecessor_learned;
     // All keys that this process keeps, for a successor that is ready; and: the predecessor tells of one.
     std::function<void(const EachKey&)> keys = [](const EachKey&) {};
-    std::function<void(const proto::KeyLine&, std::string_view result)> key_told = [](const proto::KeyLine&,
-                                                                                      std::string_view) {};
+    std::function<void(const proto::KeyMessage&, std::string_view result)> key_told =
+        [](const proto::KeyMessage&, std::string_view) {};
     // keys_known() or keys_overdue() has changed.
     std::function<void()> settled = [] {};
   };
@@ -50,14 +50,14 @@
   bool keys_known() const { return keys_known_; }
   bool keys_overdue() const { return !keys_known_ && settled_; }
   // A key of this process has changed: told to the successors.
-  void TellKey(const proto::KeyLine& line, std::string_view result);
+  void TellKey(const proto::KeyMessage& line, std::string_view result);
 
   bool has_others() const { return !channels_.empty(); }
   std::size_t others() const { return channels_.size(); }
   // What the others have in hand, in sum.
-  proto::LoadLine others_load() const;
+  proto::LoadMessage others_load() const;
   // Tells the others, where it has changed.
-  void Tell(const proto::LoadLine& load);
+  void Tell(const proto::LoadMessage& load);
 
   // Frees the channels that ended since the last call. Not to be called from within a callback.
   void Sweep();
@@ -82,7 +82,7 @@
   bool settled_ = true;
   bool keys_known_ = true;
   bool handed_over_ = false;
-  proto::LoadLine told_;
+  proto::LoadMessage told_;
 };
 
 }  // namespace hingelink::net
--- a/src/net/ops_server.cpp
+++ b/src/net/ops_server.cpp
@@ -8,7 +8,7 @@
 #include <utility>
 
 #include "log/log.h"
-#include "proto/ops_http.h"
+#include "proto/admin_http.h"
 
 namespace hingelink::net {
 namespace {
@@ -56,7 +56,7 @@
           it->server_.End(it->id_, (what & BEV_EVENT_EOF) != 0 ? closed : "reset");
         },
         this);
-    bufferevent_setwatermark(bev_.get(), EV_READ, 0, proto::kMostOpsHead);
+    bufferevent_setwatermark(bev_.get(), EV_READ, 0, proto::kMaxAdminRequestBytes);
     bufferevent_enable(bev_.get(), EV_READ | EV_WRITE);
     deadline_.After(kDeadline);
   }
@@ -78,11 +78,12 @@
       Consume(bev_.get(), all.size());
       return;
     }
-    const proto::OpsCall call = proto::ReadOpsCall(all);
-    if (call.state == proto::OpsCall::State::kNeedMore) return;
+    const proto::AdminRequest call = proto::ParseAdminRequest(all);
+    if (call.state == proto::AdminRequest::State::kNeedMore) return;
     answered_ = true;
-    Send(bev_.get(), call.state == proto::OpsCall::State::kBad ? proto::OpsResponse(400, "bad request\n")
-                                                               : server_.Response(call.method, call.path));
+    Send(bev_.get(), call.state == proto::AdminRequest::State::kBad
+                         ? proto::EncodeAdminResponse(400, "bad request\n")
+                         : server_.Response(call.method, call.path));
     Consume(bev_.get(), all.size());
   }
 
@@ -146,10 +147,11 @@
 
 std::string OpsServer::Response(std::string_view method, std::string_view path) const {
   const bool readiness = path == "/ops/readiness";
-  if (!readiness && path != "/ops/stats") return proto::OpsResponse(404, "not found\n");
-  if (method != "GET") return proto::OpsResponse(405, "method not allowed\n", "GET");
-  if (!readiness) return proto::OpsResponse(200, answers_.stats());
-  return answers_.ready() ? proto::OpsResponse(200, "ready\n") : proto::OpsResponse(503, "not ready\n");
+  if (!readiness && path != "/ops/stats") return proto::EncodeAdminResponse(404, "not found\n");
+  if (method != "GET") return proto::EncodeAdminResponse(405, "method not allowed\n", "GET");
+  if (!readiness) return proto::EncodeAdminResponse(200, answers_.stats());
+  return answers_.ready() ? proto::EncodeAdminResponse(200, "ready\n")
+                          : proto::EncodeAdminResponse(503, "not ready\n");
 }
 
 std::uint16_t OpsServer::port() const { return LocalPort(listener_.get()); }
--- a/src/net/pool_group.cpp
+++ b/src/net/pool_group.cpp
@@ -170,9 +170,9 @@
   if (it == sent_.end()) return;
   const Sent& sent = it->second;
   if (sent.service == id) {
-    const RunEndsAs how = run.end == proto::RunEnd::kComplete ? RunEndsAs::kWell : RunEndsAs::kError;
+    const RunEndsAs how = run.end == proto::RunOutcome::kComplete ? RunEndsAs::kWell : RunEndsAs::kError;
     spread_.Ended(Now(), id, sent.run, how, run.elapsed);
-  } else if (run.end != proto::RunEnd::kComplete) {
+  } else if (run.end != proto::RunOutcome::kComplete) {
     // Where it was before it was moved: that it failed there decides nothing.
     return;
   } else {
@@ -337,7 +337,7 @@
   for (const std::uint64_t req : lost) {
     proto::RunFinished failed;
     failed.req = req;
-    failed.end = proto::RunEnd::kError;
+    failed.end = proto::RunOutcome::kError;
     Finished(sent_.at(req).service, failed);
   }
 }
--- a/src/net/pool_link.cpp
+++ b/src/net/pool_link.cpp
@@ -7,7 +7,7 @@
 #include <variant>
 
 #include "log/log.h"
-#include "proto/words.h"
+#include "proto/tokenizer.h"
 
 namespace hingelink::net {
 namespace {
@@ -21,7 +21,7 @@
 constexpr auto kSilence = 5s;
 // Gauges older than this tell nothing of the pool's load: four of the module's looks.
 constexpr auto kGaugesGood = 100ms;
-constexpr std::size_t kReadAhead = 4 * (proto::kMostLine + proto::kMostResult);
+constexpr std::size_t kReadAhead = 4 * (proto::kMaxPoolLineBytes + proto::kMaxPoolResultBytes);
 
 }  // namespace
 
@@ -59,7 +59,7 @@
   bufferevent_setwatermark(bev_.get(), EV_READ, 0, kReadAhead);
   bufferevent_enable(bev_.get(), EV_READ | EV_WRITE);
   silence_.After(kSilence);
-  Send(bev_.get(), proto::BindLine(last_notice_));
+  Send(bev_.get(), proto::EncodeBindCommand(last_notice_));
   if (bufferevent_socket_connect(bev_.get(), reinterpret_cast<const sockaddr*>(&address_), sizeof address_) !=
       0) {
     Lose("no-connect");
@@ -116,7 +116,7 @@
     }
     std::size_t size = 0;
     const proto::PoolMessage message = proto::ParsePoolMessage(all.substr(done), size);
-    if (std::holds_alternative<proto::NeedMore>(message)) break;
+    if (std::holds_alternative<proto::IncompleteMessage>(message)) break;
     if (!Take(message)) return;
     done += size;
   }
@@ -126,11 +126,11 @@
 }
 
 bool PoolLink::Take(const proto::PoolMessage& message) {
-  if (const auto* bad = std::get_if<proto::BadLine>(&message)) {
+  if (const auto* bad = std::get_if<proto::MalformedMessage>(&message)) {
     Lose(bad->why);
     return false;
   }
-  if (const auto* bound = std::get_if<proto::PoolBound>(&message)) {
+  if (const auto* bound = std::get_if<proto::BindAcknowledged>(&message)) {
     log::Info("pool-bound", {{"state", bound->warming_up ? "cold" : "hot"}});
     bound_ = ever_bound_ = true;
     backoff_ = kBackoffLeast;
@@ -141,10 +141,10 @@
     if (IsNew(finished->number)) events_.finished(*finished);
   } else if (const auto* blocked = std::get_if<proto::RunBlocked>(&message)) {
     if (IsNew(blocked->number) && events_.blocked) events_.blocked(*blocked);
-  } else if (const auto* verified = std::get_if<proto::PoolVerified>(&message)) {
-    const auto tag = proto::Words(verified->tag).Number<std::uint64_t>();
+  } else if (const auto* verified = std::get_if<proto::RoundTripVerified>(&message)) {
+    const auto tag = proto::Tokenizer(verified->tag).Number<std::uint64_t>();
     if (tag && events_.verified) events_.verified(*tag, verified->good);
-  } else if (const auto* polled = std::get_if<proto::PoolPolled>(&message)) {
+  } else if (const auto* polled = std::get_if<proto::GaugesReported>(&message)) {
     std::uint64_t tag = 0;
     std::from_chars(polled->tag.data(), polled->tag.data() + polled->tag.size(), tag);
     if (tag <= answered_ || tag > polls_) return true;
@@ -154,12 +154,12 @@
     silence_.Stop();
     settled_ = settled_ || (bound_ && tag >= barrier_);
     if (watch_.polled) watch_.polled();
-  } else if (const auto* unknown = std::get_if<proto::CommandUnknown>(&message)) {
-    log::PeerEvent("pool-unknown", {{"req", proto::ReqText(unknown->req)}});
+  } else if (const auto* unknown = std::get_if<proto::UnknownCommand>(&message)) {
+    log::PeerEvent("pool-unknown", {{"req", proto::FormatRequestId(unknown->req)}});
     if (unknown->command == "spawn") events_.spawn_unknown(unknown->req);
-  } else if (const auto* chatter = std::get_if<proto::PoolChatter>(&message)) {
+  } else if (const auto* chatter = std::get_if<proto::PoolRemark>(&message)) {
     IsNew(chatter->number);
-    in_remark_ = chatter->goes_on;
+    in_remark_ = chatter->is_partial;
   }
   return true;
 }
@@ -180,7 +180,7 @@
 
 PoolLink::Mark PoolLink::Spawn(std::uint64_t req, std::string_view kind, std::string_view body) {
   if (!settled_) return kNeverSent;
-  Send(bev_.get(), proto::SpawnLine(req, kind, body.size()));
+  Send(bev_.get(), proto::EncodeSpawnHeader(req, kind, body.size()));
   Send(bev_.get(), body);
   Send(bev_.get(), "\r\n");
   return polls_;
@@ -188,7 +188,7 @@
 
 PoolLink::Mark PoolLink::Supply(std::uint64_t req, std::string_view reply) {
   if (!settled_) return kNeverSent;
-  Send(bev_.get(), proto::SupplyLine(req, reply.size()));
+  Send(bev_.get(), proto::EncodeSupplyHeader(req, reply.size()));
   Send(bev_.get(), reply);
   Send(bev_.get(), "\r\n");
   return polls_;
@@ -196,12 +196,12 @@
 
 PoolLink::Mark PoolLink::Pass(std::uint64_t req, std::uint64_t notice) {
   if (!settled_) return kNeverSent;
-  Send(bev_.get(), proto::PassLine(req, notice));
+  Send(bev_.get(), proto::EncodePassCommand(req, notice));
   return polls_;
 }
 
 bool PoolLink::Verify(std::uint64_t tag) {
-  if (settled_) Send(bev_.get(), proto::VerifyLine(std::to_string(tag)));
+  if (settled_) Send(bev_.get(), proto::EncodeVerifyCommand(std::to_string(tag)));
   return settled_;
 }
 
@@ -210,7 +210,7 @@
 }
 
 void PoolLink::Ask() {
-  Send(bev_.get(), proto::PollLine(std::to_string(++polls_)));
+  Send(bev_.get(), proto::EncodePollCommand(std::to_string(++polls_)));
   silence_.After(kSilence);
 }
 
--- a/src/net/registry_client.cpp
+++ b/src/net/registry_client.cpp
@@ -54,7 +54,7 @@
     return;
   }
   waiting_ = true;
-  Send(bev_.get(), proto::ReportCall(name_, host_, draining_));
+  Send(bev_.get(), proto::EncodeReportRequest(name_, host_, draining_));
   overdue_.After(kPatience);
 }
 
@@ -74,7 +74,7 @@
       this);
   // Guards against an answer that counts as overdue because gateways flood the loop.
   bufferevent_priority_set(bev_.get(), kUrgent);
-  bufferevent_setwatermark(bev_.get(), EV_READ, 0, 2 * proto::kMostResponse);
+  bufferevent_setwatermark(bev_.get(), EV_READ, 0, 2 * proto::kMaxHttpResponseBytes);
   bufferevent_enable(bev_.get(), EV_READ | EV_WRITE);
   if (bufferevent_socket_connect(bev_.get(), reinterpret_cast<const sockaddr*>(&address_), sizeof address_) !=
       0) {
@@ -83,7 +83,7 @@
 }
 
 void RegistryClient::Read() {
-  const proto::HttpResponse response = proto::ReadResponse(Arrived(bev_.get()));
+  const proto::HttpResponse response = proto::ParseHttpResponse(Arrived(bev_.get()));
   if (response.state == proto::HttpResponse::State::kNeedMore) return;
   if (response.state == proto::HttpResponse::State::kBad || !waiting_) {
     Drop("bad-response");
--- a/src/net/store/store_client.cpp
+++ b/src/net/store/store_client.cpp
@@ -251,7 +251,7 @@
   // Of a call that was given up, or was made anew since.
   if (it == calls_.end() || it->second.on != &connection) return;
   backoff_.Good();
-  if (reply.kind != proto::ReplyKind::kBusy && reply.kind != proto::ReplyKind::kVoid) {
+  if (reply.kind != proto::StoreReplyStatus::kBusy && reply.kind != proto::StoreReplyStatus::kVoid) {
     ++replies_;
     silence_.Replied(Steady::now() - it->second.since);
   }
@@ -259,22 +259,22 @@
   connection.Over(reply.req, false);
   Outcome outcome = Outcome::kError;
   switch (reply.kind) {
-    case proto::ReplyKind::kOk:
+    case proto::StoreReplyStatus::kOk:
       ++counts_.ok;
       outcome = Outcome::kOk;
       break;
-    case proto::ReplyKind::kBusy:
+    case proto::StoreReplyStatus::kBusy:
       ++counts_.busy;
       outcome = Outcome::kFull;
       break;
-    case proto::ReplyKind::kErr:
+    case proto::StoreReplyStatus::kErr:
       ++counts_.errors;
       break;
-    case proto::ReplyKind::kLate:
+    case proto::StoreReplyStatus::kLate:
       ++counts_.late;
       outcome = Outcome::kTimeout;
       break;
-    case proto::ReplyKind::kVoid:
+    case proto::StoreReplyStatus::kVoid:
       ++counts_.refused;
       outcome = Outcome::kConnectFailed;
       break;
--- a/src/net/store/store_connection.cpp
+++ b/src/net/store/store_connection.cpp
@@ -12,7 +12,7 @@
 
 // The store closes what is idle for 10 s; this side does so before.
 constexpr auto kIdle = 8s;
-constexpr std::size_t kReadAhead = 2 * (proto::kMostStoreLine + proto::kMostReply);
+constexpr std::size_t kReadAhead = 2 * (proto::kMaxStoreLineBytes + proto::kMaxStoreReplyBytes);
 constexpr StoreConnection::Millis kLookLeast{25};  // Between looks at one that is silent.
 // For so long a reply may still be on its way behind a DROP; and how many of those are kept in mind.
 constexpr auto kCrossing = 2s;
@@ -47,7 +47,7 @@
   // From the first call on, and then from each byte that comes.
   if (calls_++ == 0) Heard();
   idle_.Stop();
-  Send(bev_.get(), proto::CallLine(req, left, body.size()));
+  Send(bev_.get(), proto::EncodeStoreCallHeader(req, left, body.size()));
   Send(bev_.get(), body);
   Send(bev_.get(), "\r\n");
 }
@@ -55,7 +55,7 @@
 void StoreConnection::Over(std::uint64_t req, bool given_up) {
   --calls_;
   if (given_up && good_) {
-    Send(bev_.get(), proto::DropLine(req));
+    Send(bev_.get(), proto::EncodeStoreDropCommand(req));
     given_up_.push_back({Steady::now(), req});
     if (given_up_.size() > kGivenUpKept) given_up_.pop_front();
   }
@@ -118,8 +118,8 @@
   while (good_) {
     std::size_t size = 0;
     const proto::StoreMessage message = proto::ParseStoreReply(Arrived(bev_.get()), size);
-    if (std::holds_alternative<proto::StoreNeedMore>(message)) return;
-    if (const auto* bad = std::get_if<proto::StoreBadLine>(&message)) {
+    if (std::holds_alternative<proto::IncompleteStoreReply>(message)) return;
+    if (const auto* bad = std::get_if<proto::MalformedStoreReply>(&message)) {
       log::PeerEvent("store-bad-line", {{"what", bad->why}});
       events_.lost(*this);
       return;
--- a/src/node/config.cpp
+++ b/src/node/config.cpp
@@ -15,7 +15,7 @@
 #include <utility>
 
 #include "node/settings_keys.h"
-#include "settings_parser.h"
+#include "simulator_adapter/settings_parser.h"
 
 namespace hingelink::node {
 namespace {
@@ -230,7 +230,7 @@
   std::string lines;
   Flatten(settings, "", lines);
   try {
-    config.settings = hingelink::benchlink::ParseSettings(lines);
+    config.settings = hingelink::simulator_adapter::ParseSettings(lines);
   } catch (const std::exception& wrong) {
     throw ConfigError(wrong.what());
   }
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -34,15 +34,15 @@
 // any number adds no more to an answer than one more request before it does.
 constexpr Allowance kAlone{.events = 64, .work = 1ms}, kBesideRequests{.events = 8, .work = 100us};
 
-Outcome ToOutcome(proto::RunEnd end) {
+Outcome ToOutcome(proto::RunOutcome end) {
   switch (end) {
-    case proto::RunEnd::kComplete:
+    case proto::RunOutcome::kComplete:
       return Outcome::kOk;
-    case proto::RunEnd::kCancelled:
+    case proto::RunOutcome::kCancelled:
       return Outcome::kCancelled;
-    case proto::RunEnd::kUnknown:
+    case proto::RunOutcome::kUnknown:
       return Outcome::kNotStarted;
-    case proto::RunEnd::kError:
+    case proto::RunOutcome::kError:
       break;
   }
   return Outcome::kError;
@@ -69,9 +69,10 @@
            .successor_lost = [this] { TakeBack(); },
            .load = [this] { SeeOthers(); },
            .learned = [this] { return TellSuccessor(); },
-           .predecessor_learned = [this](const proto::LearnedLine& line) { HearPredecessor(line); },
+           .predecessor_learned = [this](const proto::LearnedClassMessage& line) { HearPredecessor(line); },
            .keys = [this](const net::Handover::EachKey& each) { TellKeys(each); },
-           .key_told = [this](const proto::KeyLine& line, std::string_view result) { HearKey(line, result); },
+           .key_told = [this](const proto::KeyMessage& line,
+                              std::string_view result) { HearKey(line, result); },
            .settled = [this] { SeeKeys(); }}),
       front_(MakeFront()),
       table_(
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -111,14 +111,14 @@
   void SeeKeys();
   void TellKeys(const net::Handover::EachKey& each) const;
   void TellKey(const core::OperationKey& key);
-  void HearKey(const proto::KeyLine& line, std::string_view result);
+  void HearKey(const proto::KeyMessage& line, std::string_view result);
   std::string Figures() const;
   void Turn(Joined::Turn turn);
   // Whether a part that joined has something for the module.
   bool AnyNews() const;
   // What a predecessor has learned is newer than what any folder holds.
-  std::vector<proto::LearnedLine> TellSuccessor() const;
-  void HearPredecessor(const proto::LearnedLine& line);
+  std::vector<proto::LearnedClassMessage> TellSuccessor() const;
+  void HearPredecessor(const proto::LearnedClassMessage& line);
   Millis Clock() const { return Steady::now() - began_; }
 
   Config config_;
--- a/src/node/node_others.cpp
+++ b/src/node/node_others.cpp
@@ -13,7 +13,7 @@
 // Between two words on what this process has in hand.
 constexpr auto kTellEach = 4ms;
 
-proto::KeyLine LineOf(const KeyNews& news) {
+proto::KeyMessage LineOf(const KeyNews& news) {
   return {news.key,
           news.content,
           static_cast<int>(news.fate),
@@ -29,7 +29,7 @@
 
 void Node::OtherProcesses::Gather(Batch& batch) {
   if (!changed_) return;
-  const proto::LoadLine load = node_.handover_.others_load();
+  const proto::LoadMessage load = node_.handover_.others_load();
   changed_ = !batch.Add(hingelink::SiblingLoad{{load.running, load.memory_kb, load.queued_work_ms}});
 }
 
@@ -67,7 +67,7 @@
   handover_.TellKey(LineOf(news), ResultOf(news));
 }
 
-void Node::HearKey(const proto::KeyLine& line, std::string_view result) {
+void Node::HearKey(const proto::KeyMessage& line, std::string_view result) {
   KeyNews news{.key = line.key,
                .content = line.content,
                .fate = static_cast<KeyFate>(line.fate),
@@ -86,8 +86,8 @@
   }
 }
 
-std::vector<proto::LearnedLine> Node::TellSuccessor() const {
-  std::vector<proto::LearnedLine> lines;
+std::vector<proto::LearnedClassMessage> Node::TellSuccessor() const {
+  std::vector<proto::LearnedClassMessage> lines;
   for (const hingelink::LearnedClass& c : Tell().classes) {
     const auto told = std::find_if(config_.settings.classes.begin(), config_.settings.classes.end(),
                                    [&c](const auto& t) { return t.name == c.name; });
@@ -98,7 +98,7 @@
   return lines;
 }
 
-void Node::HearPredecessor(const proto::LearnedLine& line) {
+void Node::HearPredecessor(const proto::LearnedClassMessage& line) {
   // Once decisions have begun, this process knows better. A predecessor may have had another file.
   if (policy_) return;
   const decide::Remembered remembered{config_.name,
--- a/src/proto/ops_http.cpp
+++ b/src/proto/admin_http.cpp
@@ -1,4 +1,4 @@
-#include "proto/ops_http.h"
+#include "proto/admin_http.h"
 
 #include <algorithm>
 #include <cctype>
@@ -30,15 +30,15 @@
 
 }  // namespace
 
-OpsCall ReadOpsCall(std::string_view bytes) {
-  OpsCall call;
-  const std::size_t end = bytes.substr(0, kMostOpsHead).find("\r\n\r\n");
+AdminRequest ParseAdminRequest(std::string_view bytes) {
+  AdminRequest call;
+  const std::size_t end = bytes.substr(0, kMaxAdminRequestBytes).find("\r\n\r\n");
   if (end == std::string_view::npos) {
     // Guards against a head without end.
-    if (bytes.size() >= kMostOpsHead) call.state = OpsCall::State::kBad;
+    if (bytes.size() >= kMaxAdminRequestBytes) call.state = AdminRequest::State::kBad;
     return call;
   }
-  call.state = OpsCall::State::kBad;
+  call.state = AdminRequest::State::kBad;
   std::string_view head = bytes.substr(0, end + 2);
   const std::string_view line = head.substr(0, head.find("\r\n"));
   const std::size_t method = line.find(' '), version = line.rfind(' ');
@@ -54,13 +54,13 @@
     head.remove_prefix(field.size() + 2);
     if (!IsToken(field.substr(0, field.find(':'))) || field.find(':') == field.npos) return call;
   }
-  call.state = OpsCall::State::kWhole;
+  call.state = AdminRequest::State::kWhole;
   call.method = line.substr(0, method);
   call.path = target.substr(0, target.find('?'));
   return call;
 }
 
-std::string OpsResponse(int status, std::string_view body, std::string_view allow) {
+std::string EncodeAdminResponse(int status, std::string_view body, std::string_view allow) {
   std::string out = "HTTP/1.1 " + std::to_string(status) + ' ' + Reason(status) + "\r\n";
   if (!allow.empty()) out.append("Allow: ").append(allow).append("\r\n");
   out += "Content-Type: text/plain; version=0.0.4; charset=utf-8\r\nContent-Length: " +
--- a/src/proto/ops_http.h
+++ b/src/proto/admin_http.h
@@ -1,6 +1,6 @@
 // The operators' HTTP/1.1 calls: reading the head of one call and encoding its response. No sockets.
-#ifndef HINGELINK_PROTO_OPS_HTTP_H_
-#define HINGELINK_PROTO_OPS_HTTP_H_
+#ifndef HINGELINK_PROTO_ADMIN_HTTP_H_
+#define HINGELINK_PROTO_ADMIN_HTTP_H_
 
 #include <cstddef>
 #include <string>
@@ -8,20 +8,20 @@
 
 namespace hingelink::proto {
 
-inline constexpr std::size_t kMostOpsHead = 8192;
+inline constexpr std::size_t kMaxAdminRequestBytes = 8192;
 
-struct OpsCall {
+struct AdminRequest {
   enum class State { kNeedMore, kWhole, kBad } state = State::kNeedMore;
   std::string_view method;
   std::string_view path;  // Without its query.
 };
 
 // The texts are slices of `bytes`.
-OpsCall ReadOpsCall(std::string_view bytes);
+AdminRequest ParseAdminRequest(std::string_view bytes);
 
 // A response behind which the connection ends. `allow` names the methods, where another was called.
-std::string OpsResponse(int status, std::string_view body, std::string_view allow = {});
+std::string EncodeAdminResponse(int status, std::string_view body, std::string_view allow = {});
 
 }  // namespace hingelink::proto
 
-#endif  // HINGELINK_PROTO_OPS_HTTP_H_
+#endif  // HINGELINK_PROTO_ADMIN_HTTP_H_
--- a/src/proto/frames.cpp
+++ b/src/proto/frames.cpp
@@ -68,14 +68,14 @@
     const int size = std::snprintf(text, sizeof text, "%.4f", *fields.signal);
     add("signal", std::string_view(text, static_cast<std::size_t>(size)));
   }
-  if (fields.holdoff) add("holdoff", std::to_string(fields.holdoff->count()));
-  if (fields.nomore) add("nomore", "1");
+  if (fields.retry_after) add("holdoff", std::to_string(fields.retry_after->count()));
+  if (fields.no_other_server) add("nomore", "1");
   return out;
 }
 
 std::string Head(FrameType type, std::uint32_t stream, std::size_t payload) {
   std::string out;
-  PutBigEndian(out, kLeastLength + payload, 4);
+  PutBigEndian(out, kMinFrameLength + payload, 4);
   out.push_back(static_cast<char>(type));
   PutBigEndian(out, stream, 4);
   return out;
@@ -83,11 +83,11 @@
 
 }  // namespace
 
-std::optional<FrameHead> ReadHead(std::string_view bytes) {
-  if (bytes.size() < kHeadBytes) return std::nullopt;
-  return FrameHead{static_cast<std::uint32_t>(BigEndian(bytes.substr(0, 4))),
-                   static_cast<std::uint8_t>(bytes[4]),
-                   static_cast<std::uint32_t>(BigEndian(bytes.substr(5, 4)))};
+std::optional<FrameHeader> ParseFrameHeader(std::string_view bytes) {
+  if (bytes.size() < kFrameHeaderBytes) return std::nullopt;
+  return FrameHeader{static_cast<std::uint32_t>(BigEndian(bytes.substr(0, 4))),
+                     static_cast<std::uint8_t>(bytes[4]),
+                     static_cast<std::uint32_t>(BigEndian(bytes.substr(5, 4)))};
 }
 
 const char* ParseRequest(std::string_view payload, RequestFrame& request) {
@@ -118,7 +118,8 @@
       if (!Decimal(value, work) || work < 0 || work > kMostWorkMs) return "ms";
       request.work = std::chrono::duration<double, std::milli>(work);
     } else if (name == "need") {
-      if (!Decimal(value, request.need_kb) || request.need_kb <= 0 || request.need_kb >= kNeedUnderKb) {
+      if (!Decimal(value, request.reserved_kb) || request.reserved_kb <= 0 ||
+          request.reserved_kb >= kNeedUnderKb) {
         return "need";
       }
       has_need = true;
@@ -133,16 +134,16 @@
       if (value != "1") return "resent";
       request.resent = true;
     } else if (name == "opkey") {
-      if (!HexKey(value, request.opkey.emplace())) return "opkey";
+      if (!HexKey(value, request.operation_key.emplace())) return "opkey";
     }
   }
   if (!has_req || !has_ts || !has_need || request.kind.empty()) return "a field is missing";
-  if (payload.size() > kMostBody) return "body too long";
+  if (payload.size() > kMaxRequestBodyBytes) return "body too long";
   request.body = payload;
   return nullptr;
 }
 
-bool AsksForWork(std::string_view payload) {
+bool IsDeepHealthCheck(std::string_view payload) {
   std::string_view count;
   if (!Take(payload, 1, count)) return false;
   for (std::uint64_t left = BigEndian(count); left > 0; --left) {
@@ -153,21 +154,22 @@
   return false;
 }
 
-std::string AnswerHead(std::uint32_t stream, AnswerCode code, const AnswerFields& fields,
-                       std::size_t body_size) {
+std::string EncodeAnswerHeader(std::uint32_t stream, AnswerCode code, const AnswerFields& fields,
+                               std::size_t body_size) {
   const std::string list = FieldsOf(fields);
   std::string out = Head(FrameType::kAnswer, stream, 1 + list.size() + body_size);
   out.push_back(static_cast<char>(code));
   return out + list;
 }
 
-std::string HealthAnswer(std::uint32_t stream, bool good, std::optional<double> signal) {
-  const std::string list = FieldsOf({.signal = signal, .holdoff = std::nullopt, .nomore = false});
-  std::string out = Head(FrameType::kHealthAnswer, stream, 1 + list.size());
+std::string EncodeHealthResponse(std::uint32_t stream, bool good, std::optional<double> signal) {
+  const std::string list =
+      FieldsOf({.signal = signal, .retry_after = std::nullopt, .no_other_server = false});
+  std::string out = Head(FrameType::kHealthResponse, stream, 1 + list.size());
   out.push_back(good ? '\0' : '\1');
   return out + list;
 }
 
-std::string NoNewRequests() { return Head(FrameType::kNoNewRequests, 0, 0); }
+std::string EncodeStopNewRequests() { return Head(FrameType::kStopNewRequests, 0, 0); }
 
 }  // namespace hingelink::proto
--- a/src/proto/frames.h
+++ b/src/proto/frames.h
@@ -17,34 +17,34 @@
 enum class FrameType : std::uint8_t {
   kRequest = 0,
   kAnswer = 1,
-  kGone = 2,
+  kCallerDisconnected = 2,
   kHealthCheck = 6,
-  kHealthAnswer = 7,
-  kNoNewRequests = 9,
+  kHealthResponse = 7,
+  kStopNewRequests = 9,
 };
 
-enum class AnswerCode : std::uint8_t { kServed = 0, kRefused = 1, kFailed = 2 };
+enum class AnswerCode : std::uint8_t { kServed = 0, kRejected = 1, kFailed = 2 };
 
-inline constexpr std::size_t kLengthBytes = 4;
-inline constexpr std::size_t kHeadBytes = 9;  // Length, type and stream.
-inline constexpr std::uint32_t kLeastLength = 5;
-inline constexpr std::uint32_t kMostLength = 262'144;
-inline constexpr std::size_t kMostBody = 2048;
+inline constexpr std::size_t kFrameLengthBytes = 4;
+inline constexpr std::size_t kFrameHeaderBytes = 9;  // Length, type and stream.
+inline constexpr std::uint32_t kMinFrameLength = 5;
+inline constexpr std::uint32_t kMaxFrameLength = 262'144;
+inline constexpr std::size_t kMaxRequestBodyBytes = 2048;
 // No well-formed request comes near this. Longer frames are skipped unread, so that a connection never makes
 // the node hold more than this of a frame.
-inline constexpr std::size_t kMostKept = 16'384;
+inline constexpr std::size_t kMaxBufferedFrameBytes = 16'384;
 
-struct FrameHead {
+struct FrameHeader {
   std::uint32_t length = 0;  // Counts all that follows the length field.
   std::uint8_t type = 0;
   std::uint32_t stream = 0;
 
-  bool LengthInRange() const { return length >= kLeastLength && length <= kMostLength; }
-  std::size_t Size() const { return kLengthBytes + length; }
+  bool LengthInRange() const { return length >= kMinFrameLength && length <= kMaxFrameLength; }
+  std::size_t Size() const { return kFrameLengthBytes + length; }
 };
 
 // The head of a frame; nothing while it has not arrived whole.
-std::optional<FrameHead> ReadHead(std::string_view bytes);
+std::optional<FrameHeader> ParseFrameHeader(std::string_view bytes);
 
 // What a request says. The text fields are slices of the payload.
 struct RequestFrame {
@@ -54,10 +54,10 @@
   std::optional<std::chrono::milliseconds> timeout;  // Nothing where callers' waits are not told.
   std::chrono::duration<double, std::milli> work{0};
   std::uint32_t via = 0;
-  double need_kb = 0;
+  double reserved_kb = 0;
   double level = 0;
   std::uint64_t subject = 0;
-  std::optional<core::OperationKey> opkey;
+  std::optional<core::OperationKey> operation_key;
   std::string_view owner;  // The tenant's name; empty where none is told.
   bool resent = false;     // A further try or a second copy.
   std::string_view body;
@@ -67,20 +67,20 @@
 const char* ParseRequest(std::string_view payload, RequestFrame& request);
 // Whether a kHealthCheck frame with this payload asks whether work gets done. What cannot be read asks for
 // no more than a plain check does.
-bool AsksForWork(std::string_view payload);
+bool IsDeepHealthCheck(std::string_view payload);
 
 // The fields an answer may carry.
 struct AnswerFields {
   std::optional<double> signal;
-  std::optional<std::chrono::milliseconds> holdoff;
-  bool nomore = false;
+  std::optional<std::chrono::milliseconds> retry_after;
+  bool no_other_server = false;
 };
 
 // All but the body of an answer whose body has `body_size` bytes.
-std::string AnswerHead(std::uint32_t stream, AnswerCode code, const AnswerFields& fields,
-                       std::size_t body_size);
-std::string HealthAnswer(std::uint32_t stream, bool good, std::optional<double> signal);
-std::string NoNewRequests();
+std::string EncodeAnswerHeader(std::uint32_t stream, AnswerCode code, const AnswerFields& fields,
+                               std::size_t body_size);
+std::string EncodeHealthResponse(std::uint32_t stream, bool good, std::optional<double> signal);
+std::string EncodeStopNewRequests();
 
 }  // namespace hingelink::proto
 
--- a/src/proto/handover_lines.cpp
+++ b/src/proto/handover_lines.cpp
@@ -4,7 +4,7 @@
 #include <cmath>
 #include <cstdio>
 
-#include "proto/words.h"
+#include "proto/tokenizer.h"
 
 namespace hingelink::proto {
 namespace {
@@ -55,15 +55,15 @@
 
 }  // namespace
 
-std::string EncodeLoad(const LoadLine& load) {
-  char line[kMostHandoverLine];
+std::string EncodeLoadMessage(const LoadMessage& load) {
+  char line[kMaxHandoverLineBytes];
   std::snprintf(line, sizeof line, "load %d %.3f %.3f %zu\n", load.running, load.memory_kb,
                 load.queued_work_ms, load.connections);
   return line;
 }
 
-std::optional<LoadLine> ReadLoad(std::string_view line) {
-  LoadLine load;
+std::optional<LoadMessage> ParseLoadMessage(std::string_view line) {
+  LoadMessage load;
   if (!line.starts_with(kLoad)) return std::nullopt;
   line.remove_prefix(kLoad.size());
   if (!Take(line, load.running) || !Take(line, load.memory_kb) || !Take(line, load.queued_work_ms) ||
@@ -73,50 +73,50 @@
   return load;
 }
 
-std::string EncodeKey(const KeyLine& key) {
-  char line[kMostHandoverLine];
+std::string EncodeKeyMessage(const KeyMessage& key) {
+  char line[kMaxHandoverLineBytes];
   std::snprintf(line, sizeof line, "key %016llx %016llx %016llx %d %.3f",
                 static_cast<unsigned long long>(key.key.high), static_cast<unsigned long long>(key.key.low),
                 static_cast<unsigned long long>(key.content), key.fate, key.left.count());
   return line + (key.has_result ? ' ' + std::to_string(key.size) : std::string()) + '\n';
 }
 
-std::optional<KeyLine> ReadKey(std::string_view line) {
-  Words words(line);
+std::optional<KeyMessage> ParseKeyMessage(std::string_view line) {
+  Tokenizer words(line);
   if (words.Next() != "key") return std::nullopt;
   const auto high = words.Number<std::uint64_t>(16), low = words.Number<std::uint64_t>(16),
              content = words.Number<std::uint64_t>(16);
   const auto fate = words.Number<int>();
   const auto left = words.Number<double>();
   if (!high || !low || !content || !fate || *fate < 0 || *fate > 3 || !left || *left < 0) return std::nullopt;
-  KeyLine key{{*high, *low}, *content, *fate, std::chrono::duration<double, std::milli>(*left), false, 0};
+  KeyMessage key{{*high, *low}, *content, *fate, std::chrono::duration<double, std::milli>(*left), false, 0};
   const std::string_view last = words.Next();
   if (last.empty()) return key;
-  const auto size = Words(last).Number<std::size_t>();
-  if (!size || *size > kMostKeyResult || !words.Next().empty()) return std::nullopt;
+  const auto size = Tokenizer(last).Number<std::size_t>();
+  if (!size || *size > kMaxKeyResultBytes || !words.Next().empty()) return std::nullopt;
   key.has_result = true;
   key.size = *size;
   return key;
 }
 
-std::optional<std::string> EncodeLearned(const LearnedLine& learned) {
+std::optional<std::string> EncodeLearnedClassMessage(const LearnedClassMessage& learned) {
   char numbers[160];
   const int size = std::snprintf(numbers, sizeof numbers, " %.4f %.4f %.4f %.4f %.4f %d\n", learned.aim,
                                  learned.deadline, learned.run, learned.cost, learned.hint, learned.samples);
   std::string line = std::string(kLearned) + EncodeName(learned.name) + numbers;
-  if (size < 0 || size >= static_cast<int>(sizeof numbers) || line.size() > kMostHandoverLine)
+  if (size < 0 || size >= static_cast<int>(sizeof numbers) || line.size() > kMaxHandoverLineBytes)
     return std::nullopt;
   return line;
 }
 
-std::optional<LearnedLine> ReadLearned(std::string_view line) {
+std::optional<LearnedClassMessage> ParseLearnedClassMessage(std::string_view line) {
   if (!line.starts_with(kLearned)) return std::nullopt;
   line.remove_prefix(kLearned.size());
   const std::size_t space = line.find(' ');
   if (space == std::string_view::npos || space == 0) return std::nullopt;
   const auto name = ReadName(line.substr(0, space));
   line.remove_prefix(space + 1);
-  LearnedLine learned;
+  LearnedClassMessage learned;
   if (!name || !Take(line, learned.aim) || !Take(line, learned.deadline) || !Take(line, learned.run) ||
       !Take(line, learned.cost) || !Take(line, learned.hint) || !Take(line, learned.samples) ||
       !line.empty()) {
--- a/src/proto/pool_lines.cpp
+++ b/src/proto/pool_lines.cpp
@@ -3,41 +3,42 @@
 #include <cstdio>
 #include <optional>
 
-#include "proto/words.h"
+#include "proto/tokenizer.h"
 
 namespace hingelink::proto {
 namespace {
 
 using Millis = std::chrono::duration<double, std::milli>;
 
-std::optional<RunEnd> ToEnd(std::string_view word) {
-  if (word == "complete") return RunEnd::kComplete;
-  if (word == "error") return RunEnd::kError;
-  if (word == "cancelled") return RunEnd::kCancelled;
-  if (word == "unknown") return RunEnd::kUnknown;
+std::optional<RunOutcome> ToEnd(std::string_view word) {
+  if (word == "complete") return RunOutcome::kComplete;
+  if (word == "error") return RunOutcome::kError;
+  if (word == "cancelled") return RunOutcome::kCancelled;
+  if (word == "unknown") return RunOutcome::kUnknown;
   return std::nullopt;
 }
 
-PoolMessage Finished(Words& words, std::string_view bytes, std::size_t line_size, std::size_t& size) {
+PoolMessage Finished(Tokenizer& words, std::string_view bytes, std::size_t line_size, std::size_t& size) {
   const auto number = words.Number<std::uint64_t>();
   const auto req = words.Number<std::uint64_t>(16);
   const auto end = ToEnd(words.Next());
   const auto elapsed = words.Number<double>();
   const auto length = words.Number<std::size_t>();
-  if (!number || !req || !end || !elapsed || !length || *length > kMostResult) return BadLine{"finished"};
-  if (bytes.size() < line_size + *length + 2) return NeedMore{};
-  if (bytes.substr(line_size + *length, 2) != "\r\n") return BadLine{"result without its CR LF"};
+  if (!number || !req || !end || !elapsed || !length || *length > kMaxPoolResultBytes)
+    return MalformedMessage{"finished"};
+  if (bytes.size() < line_size + *length + 2) return IncompleteMessage{};
+  if (bytes.substr(line_size + *length, 2) != "\r\n") return MalformedMessage{"result without its CR LF"};
   size = line_size + *length + 2;
   return RunFinished{*number, *req, *end, Millis(*elapsed), bytes.substr(line_size, *length)};
 }
 
-PoolMessage Blocked(Words& words, std::string_view bytes, std::size_t line_size, std::size_t& size) {
+PoolMessage Blocked(Tokenizer& words, std::string_view bytes, std::size_t line_size, std::size_t& size) {
   const auto number = words.Number<std::uint64_t>();
   const auto req = words.Number<std::uint64_t>(16);
   const auto length = words.Number<std::size_t>();
-  if (!number || !req || !length || *length > kMostResult) return BadLine{"blocked"};
-  if (bytes.size() < line_size + *length + 2) return NeedMore{};
-  if (bytes.substr(line_size + *length, 2) != "\r\n") return BadLine{"call without its CR LF"};
+  if (!number || !req || !length || *length > kMaxPoolResultBytes) return MalformedMessage{"blocked"};
+  if (bytes.size() < line_size + *length + 2) return IncompleteMessage{};
+  if (bytes.substr(line_size + *length, 2) != "\r\n") return MalformedMessage{"call without its CR LF"};
   size = line_size + *length + 2;
   return RunBlocked{*number, *req, bytes.substr(line_size, *length)};
 }
@@ -45,80 +46,82 @@
 }  // namespace
 
 PoolMessage ParsePoolMessage(std::string_view bytes, std::size_t& size) {
-  const std::size_t eol = bytes.substr(0, kMostLine).find("\r\n");
+  const std::size_t eol = bytes.substr(0, kMaxPoolLineBytes).find("\r\n");
   if (eol == std::string_view::npos) {
-    if (bytes.size() < kMostLine) return NeedMore{};
-    size = kMostLine - 1;  // The last byte may be a CR.
-    Words start(bytes.substr(0, size));
+    if (bytes.size() < kMaxPoolLineBytes) return IncompleteMessage{};
+    size = kMaxPoolLineBytes - 1;  // The last byte may be a CR.
+    Tokenizer start(bytes.substr(0, size));
     const bool chatter = start.Next() == "chatter";
     if (const auto number = start.Number<std::uint64_t>(); chatter && number)
-      return PoolChatter{*number, true};
-    return BadLine{"line too long"};
+      return PoolRemark{*number, true};
+    return MalformedMessage{"line too long"};
   }
   size = eol + 2;
-  Words words(bytes.substr(0, eol));
+  Tokenizer words(bytes.substr(0, eol));
   const std::string_view verb = words.Next();
   if (verb == "finished") return Finished(words, bytes, eol + 2, size);
   if (verb == "blocked") return Blocked(words, bytes, eol + 2, size);
   if (verb == "verified") {
     const std::string_view tag = words.Next();
     const std::string_view end = words.Next();
-    if (tag.empty() || (end != "complete" && end != "error")) return BadLine{"verified"};
-    return PoolVerified{tag, end == "complete"};
+    if (tag.empty() || (end != "complete" && end != "error")) return MalformedMessage{"verified"};
+    return RoundTripVerified{tag, end == "complete"};
   }
   if (verb == "polled") {
-    PoolPolled polled{words.Next(), {}};
+    GaugesReported polled{words.Next(), {}};
     while (const auto value = words.Number<double>()) polled.gauges.push_back(*value);
     return polled;
   }
   if (verb == "bound") {
     const std::string_view state = words.Next();
     const auto since = words.Number<double>();
-    if ((state != "chilly" && state != "hot") || !since) return BadLine{"bound"};
-    return PoolBound{state == "chilly", Millis(*since)};
+    if ((state != "chilly" && state != "hot") || !since) return MalformedMessage{"bound"};
+    return BindAcknowledged{state == "chilly", Millis(*since)};
   }
   if (verb == "unknown") {
-    CommandUnknown unknown{words.Next(), 0};
+    UnknownCommand unknown{words.Next(), 0};
     unknown.req = words.Number<std::uint64_t>(16).value_or(0);
     return unknown;
   }
   if (verb == "chatter") {
     const auto number = words.Number<std::uint64_t>();
-    if (!number) return BadLine{"chatter"};
-    return PoolChatter{*number};
+    if (!number) return MalformedMessage{"chatter"};
+    return PoolRemark{*number};
   }
-  return BadLine{"no notice"};
+  return MalformedMessage{"no notice"};
 }
 
-std::string ReqText(std::uint64_t req) {
+std::string FormatRequestId(std::uint64_t req) {
   char text[17];
   std::snprintf(text, sizeof text, "%016llx", static_cast<unsigned long long>(req));
   return text;
 }
 
-std::string BindLine(std::uint64_t last_notice) { return "bind " + std::to_string(last_notice) + "\r\n"; }
+std::string EncodeBindCommand(std::uint64_t last_notice) {
+  return "bind " + std::to_string(last_notice) + "\r\n";
+}
 
-std::string SpawnLine(std::uint64_t req, std::string_view kind, std::size_t body_size) {
-  std::string line = "spawn " + ReqText(req) + ' ';
+std::string EncodeSpawnHeader(std::uint64_t req, std::string_view kind, std::size_t body_size) {
+  std::string line = "spawn " + FormatRequestId(req) + ' ';
   line.append(kind);
   return line + ' ' + std::to_string(body_size) + "\r\n";
 }
 
-std::string SupplyLine(std::uint64_t req, std::size_t reply_size) {
-  return "supply " + ReqText(req) + ' ' + std::to_string(reply_size) + "\r\n";
+std::string EncodeSupplyHeader(std::uint64_t req, std::size_t reply_size) {
+  return "supply " + FormatRequestId(req) + ' ' + std::to_string(reply_size) + "\r\n";
 }
 
-std::string PassLine(std::uint64_t req, std::uint64_t notice) {
-  return "pass " + ReqText(req) + ' ' + std::to_string(notice) + "\r\n";
+std::string EncodePassCommand(std::uint64_t req, std::uint64_t notice) {
+  return "pass " + FormatRequestId(req) + ' ' + std::to_string(notice) + "\r\n";
 }
 
-std::string VerifyLine(std::string_view tag) {
+std::string EncodeVerifyCommand(std::string_view tag) {
   std::string line = "verify ";
   line.append(tag);
   return line + "\r\n";
 }
 
-std::string PollLine(std::string_view tag) {
+std::string EncodePollCommand(std::string_view tag) {
   std::string line = "poll ";
   line.append(tag);
   return line + "\r\n";
--- a/src/proto/pool_lines.h
+++ b/src/proto/pool_lines.h
@@ -12,19 +12,20 @@
 
 namespace hingelink::proto {
 
-inline constexpr std::size_t kMostLine = 65'536;    // But for remarks, which are as long as the pool likes.
-inline constexpr std::size_t kMostResult = 65'536;  // The protocol allows 4 KiB.
+inline constexpr std::size_t kMaxPoolLineBytes =
+    65'536;  // But for remarks, which are as long as the pool likes.
+inline constexpr std::size_t kMaxPoolResultBytes = 65'536;  // The protocol allows 4 KiB.
 
-enum class RunEnd { kComplete, kError, kCancelled, kUnknown };
+enum class RunOutcome { kComplete, kError, kCancelled, kUnknown };
 
-struct PoolBound {
+struct BindAcknowledged {
   bool warming_up = false;
   std::chrono::duration<double, std::milli> since_start{0};
 };
 struct RunFinished {
   std::uint64_t number = 0;
   std::uint64_t req = 0;
-  RunEnd end = RunEnd::kError;
+  RunOutcome end = RunOutcome::kError;
   std::chrono::duration<double, std::milli> elapsed{0};
   std::string_view result;
 };
@@ -34,42 +35,42 @@
   std::uint64_t req = 0;
   std::string_view body;
 };
-struct PoolVerified {
+struct RoundTripVerified {
   std::string_view tag;
   bool good = false;
 };
-struct PoolPolled {
+struct GaugesReported {
   std::string_view tag;
   std::vector<double> gauges;
 };
-struct CommandUnknown {
+struct UnknownCommand {
   std::string_view command;
   std::uint64_t req = 0;  // 0 where the line names none.
 };
-struct PoolChatter {
+struct PoolRemark {
   std::uint64_t number = 0;
-  bool goes_on = false;  // Only its start has come: what follows up to the next CR LF belongs to it.
+  bool is_partial = false;  // Only its start has come: what follows up to the next CR LF belongs to it.
 };
-struct NeedMore {};
-struct BadLine {
+struct IncompleteMessage {};
+struct MalformedMessage {
   const char* why;
 };
 
-using PoolMessage = std::variant<NeedMore, BadLine, PoolBound, RunFinished, RunBlocked, PoolPolled,
-                                 PoolVerified, CommandUnknown, PoolChatter>;
+using PoolMessage = std::variant<IncompleteMessage, MalformedMessage, BindAcknowledged, RunFinished,
+                                 RunBlocked, GaugesReported, RoundTripVerified, UnknownCommand, PoolRemark>;
 
 // Parses the message at the front of `bytes`. `size` is set to the bytes that a whole one takes.
 PoolMessage ParsePoolMessage(std::string_view bytes, std::size_t& size);
 
-std::string ReqText(std::uint64_t req);  // 16 hex digits.
-std::string BindLine(std::uint64_t last_notice);
+std::string FormatRequestId(std::uint64_t req);  // 16 hex digits.
+std::string EncodeBindCommand(std::uint64_t last_notice);
 // All of a spawn but its body and the CR LF behind that.
-std::string SpawnLine(std::uint64_t req, std::string_view kind, std::size_t body_size);
+std::string EncodeSpawnHeader(std::uint64_t req, std::string_view kind, std::size_t body_size);
 // All of a supply but the reply and the CR LF behind that.
-std::string SupplyLine(std::uint64_t req, std::size_t reply_size);
-std::string PassLine(std::uint64_t req, std::uint64_t notice);
-std::string VerifyLine(std::string_view tag);
-std::string PollLine(std::string_view tag);
+std::string EncodeSupplyHeader(std::uint64_t req, std::size_t reply_size);
+std::string EncodePassCommand(std::uint64_t req, std::uint64_t notice);
+std::string EncodeVerifyCommand(std::string_view tag);
+std::string EncodePollCommand(std::string_view tag);
 
 }  // namespace hingelink::proto
 
--- a/src/proto/registry_http.cpp
+++ b/src/proto/registry_http.cpp
@@ -26,7 +26,7 @@
 
 }  // namespace
 
-std::string ReportCall(std::string_view name, std::string_view host, bool draining) {
+std::string EncodeReportRequest(std::string_view name, std::string_view host, bool draining) {
   const std::string body = draining ? R"({"state":"draining"})" : R"({"state":"ready"})";
   std::string call = "PUT /v1/instances/";
   call.append(name).append(" HTTP/1.1\r\nHost: ").append(host);
@@ -34,11 +34,11 @@
   return call + body;
 }
 
-HttpResponse ReadResponse(std::string_view bytes) {
+HttpResponse ParseHttpResponse(std::string_view bytes) {
   HttpResponse response;
   const std::size_t end = bytes.find("\r\n\r\n");
   if (end == std::string_view::npos) {
-    if (bytes.size() > kMostResponse) response.state = HttpResponse::State::kBad;
+    if (bytes.size() > kMaxHttpResponseBytes) response.state = HttpResponse::State::kBad;
     return response;
   }
   response.state = HttpResponse::State::kBad;
@@ -60,7 +60,7 @@
     const std::string_view name = field.substr(0, colon), value = Trim(field.substr(colon + 1));
     if (SameText(name, "connection") && SameText(value, "close")) response.close = true;
     if (SameText(name, "content-length") && !bodiless) {
-      if (!Whole(value, body) || body > kMostResponse) return response;
+      if (!Whole(value, body) || body > kMaxHttpResponseBytes) return response;
       sized = true;
     }
   }
--- a/src/proto/registry_http.h
+++ b/src/proto/registry_http.h
@@ -8,9 +8,9 @@
 
 namespace hingelink::proto {
 
-inline constexpr std::size_t kMostResponse = 65'536;
+inline constexpr std::size_t kMaxHttpResponseBytes = 65'536;
 
-std::string ReportCall(std::string_view name, std::string_view host, bool draining);
+std::string EncodeReportRequest(std::string_view name, std::string_view host, bool draining);
 
 struct HttpResponse {
   enum class State { kNeedMore, kWhole, kBad } state = State::kNeedMore;
@@ -19,7 +19,7 @@
   bool close = false;    // The connection cannot carry another call.
 };
 
-HttpResponse ReadResponse(std::string_view bytes);
+HttpResponse ParseHttpResponse(std::string_view bytes);
 
 }  // namespace hingelink::proto
 
--- a/src/proto/store_lines.h
+++ b/src/proto/store_lines.h
@@ -11,10 +11,10 @@
 
 namespace hingelink::proto {
 
-inline constexpr std::size_t kMostStoreLine = 256;
-inline constexpr std::size_t kMostReply = 65'536;
+inline constexpr std::size_t kMaxStoreLineBytes = 256;
+inline constexpr std::size_t kMaxStoreReplyBytes = 65'536;
 
-enum class ReplyKind {
+enum class StoreReplyStatus {
   kOk,
   kBusy,  // Never ran.
   kErr,   // May have had its effect.
@@ -24,22 +24,22 @@
 
 struct StoreReply {
   std::uint64_t req = 0;
-  ReplyKind kind = ReplyKind::kErr;
+  StoreReplyStatus kind = StoreReplyStatus::kErr;
   std::string_view body;
 };
-struct StoreNeedMore {};
-struct StoreBadLine {
+struct IncompleteStoreReply {};
+struct MalformedStoreReply {
   const char* why;
 };
-using StoreMessage = std::variant<StoreNeedMore, StoreBadLine, StoreReply>;
+using StoreMessage = std::variant<IncompleteStoreReply, MalformedStoreReply, StoreReply>;
 
 // Parses the reply at the front of `bytes`. `size` is set to the bytes that a whole one takes.
 StoreMessage ParseStoreReply(std::string_view bytes, std::size_t& size);
 
 // All of a call but its body and the CR LF behind that. The wait is told in whole milliseconds, rounded up.
-std::string CallLine(std::uint64_t req, std::chrono::duration<double, std::milli> wait,
-                     std::size_t body_size);
-std::string DropLine(std::uint64_t req);
+std::string EncodeStoreCallHeader(std::uint64_t req, std::chrono::duration<double, std::milli> wait,
+                                  std::size_t body_size);
+std::string EncodeStoreDropCommand(std::uint64_t req);
 
 }  // namespace hingelink::proto
 
--- a/src/proto/words.h
+++ b/src/proto/tokenizer.h
@@ -1,6 +1,6 @@
 // The words of a line of text, one by one.
-#ifndef HINGELINK_PROTO_WORDS_H_
-#define HINGELINK_PROTO_WORDS_H_
+#ifndef HINGELINK_PROTO_TOKENIZER_H_
+#define HINGELINK_PROTO_TOKENIZER_H_
 
 #include <charconv>
 #include <cmath>
@@ -11,9 +11,9 @@
 
 namespace hingelink::proto {
 
-class Words {
+class Tokenizer {
  public:
-  explicit Words(std::string_view line) : rest_(line) {}
+  explicit Tokenizer(std::string_view line) : rest_(line) {}
 
   // Empty behind the last.
   std::string_view Next() {
@@ -49,4 +49,4 @@
 
 }  // namespace hingelink::proto
 
-#endif  // HINGELINK_PROTO_WORDS_H_
+#endif  // HINGELINK_PROTO_TOKENIZER_H_
--- a/src/benchlink/codec.cpp
+++ b/src/simulator_adapter/codec.cpp
@@ -1,4 +1,4 @@
-#include "codec.h"
+#include "simulator_adapter/codec.h"
 
 #include <bit>
 #include <cmath>
@@ -7,7 +7,7 @@
 #include <type_traits>
 #include <utility>
 
-namespace hingelink::benchlink {
+namespace hingelink::simulator_adapter {
 namespace {
 
 static_assert(std::endian::native == std::endian::little, "frames are little-endian");
@@ -324,4 +324,4 @@
   return frame;
 }
 
-}  // namespace hingelink::benchlink
+}  // namespace hingelink::simulator_adapter
--- a/src/benchlink/codec.h
+++ b/src/simulator_adapter/codec.h
@@ -1,6 +1,6 @@
 // Reads and writes the simulator's binary frames. Pure translation: nothing here decides anything.
-#ifndef HINGELINK_BENCHLINK_CODEC_H_
-#define HINGELINK_BENCHLINK_CODEC_H_
+#ifndef HINGELINK_SIMULATOR_ADAPTER_CODEC_H_
+#define HINGELINK_SIMULATOR_ADAPTER_CODEC_H_
 
 #include <cstdint>
 #include <optional>
@@ -12,7 +12,7 @@
 
 #include "hingelink/server_policy.h"
 
-namespace hingelink::benchlink {
+namespace hingelink::simulator_adapter {
 
 // What is wrong with the input, and where.
 class WireError : public std::runtime_error {
@@ -56,6 +56,6 @@
   std::uint32_t count_ = 0;
 };
 
-}  // namespace hingelink::benchlink
+}  // namespace hingelink::simulator_adapter
 
-#endif  // HINGELINK_BENCHLINK_CODEC_H_
+#endif  // HINGELINK_SIMULATOR_ADAPTER_CODEC_H_
--- a/src/benchlink/instance_table.cpp
+++ b/src/simulator_adapter/instance_table.cpp
@@ -1,12 +1,12 @@
-#include "instance_table.h"
+#include "simulator_adapter/instance_table.h"
 
 #include <stdexcept>
 #include <utility>
 #include <vector>
 
-#include "settings_parser.h"
+#include "simulator_adapter/settings_parser.h"
 
-namespace hingelink::benchlink {
+namespace hingelink::simulator_adapter {
 
 std::string InstanceTable::Answer(const Batch& batch) {
   std::map<std::uint32_t, std::vector<Event>> dealt;
@@ -42,4 +42,4 @@
   return reply.Take();
 }
 
-}  // namespace hingelink::benchlink
+}  // namespace hingelink::simulator_adapter
--- a/src/benchlink/instance_table.h
+++ b/src/simulator_adapter/instance_table.h
@@ -1,15 +1,15 @@
 // Deals the events of a batch to the instances they name and collects what they do.
-#ifndef HINGELINK_BENCHLINK_INSTANCE_TABLE_H_
-#define HINGELINK_BENCHLINK_INSTANCE_TABLE_H_
+#ifndef HINGELINK_SIMULATOR_ADAPTER_INSTANCE_TABLE_H_
+#define HINGELINK_SIMULATOR_ADAPTER_INSTANCE_TABLE_H_
 
 #include <cstdint>
 #include <map>
 #include <string>
 
-#include "codec.h"
 #include "hingelink/server_policy.h"
+#include "simulator_adapter/codec.h"
 
-namespace hingelink::benchlink {
+namespace hingelink::simulator_adapter {
 
 class InstanceTable {
  public:
@@ -20,6 +20,6 @@
   std::map<std::uint32_t, ServerPolicy> instances_;
 };
 
-}  // namespace hingelink::benchlink
+}  // namespace hingelink::simulator_adapter
 
-#endif  // HINGELINK_BENCHLINK_INSTANCE_TABLE_H_
+#endif  // HINGELINK_SIMULATOR_ADAPTER_INSTANCE_TABLE_H_
--- a/src/benchlink/main.cpp
+++ b/src/simulator_adapter/main.cpp
@@ -5,12 +5,12 @@
 #include <exception>
 #include <string>
 
-#include "codec.h"
-#include "instance_table.h"
+#include "simulator_adapter/codec.h"
+#include "simulator_adapter/instance_table.h"
 
 namespace {
 
-using hingelink::benchlink::WireError;
+using hingelink::simulator_adapter::WireError;
 
 // Appends `count` bytes of standard input, in pieces, so that a false length claims no memory. Returns how
 // many there were.
@@ -30,22 +30,22 @@
 }
 
 void Serve() {
-  hingelink::benchlink::InstanceTable table;
+  hingelink::simulator_adapter::InstanceTable table;
   std::string frame;
   for (;;) {
     frame.clear();
-    const std::size_t got = ReadBytes(frame, hingelink::benchlink::kBatchHeader);
+    const std::size_t got = ReadBytes(frame, hingelink::simulator_adapter::kBatchHeader);
     if (got == 0) return;
-    if (got < hingelink::benchlink::kBatchHeader) {
+    if (got < hingelink::simulator_adapter::kBatchHeader) {
       throw WireError("input ends inside a header, after " + std::to_string(got) + " bytes");
     }
-    const std::size_t length = hingelink::benchlink::FrameLength(frame);
+    const std::size_t length = hingelink::simulator_adapter::FrameLength(frame);
     ReadBytes(frame, length - frame.size());
     if (frame.size() < length) {
       throw WireError("input ends inside a frame, after " + std::to_string(frame.size()) + " of " +
                       std::to_string(length) + " bytes");
     }
-    const std::string reply = table.Answer(hingelink::benchlink::DecodeBatch(frame));
+    const std::string reply = table.Answer(hingelink::simulator_adapter::DecodeBatch(frame));
     if (std::fwrite(reply.data(), 1, reply.size(), stdout) != reply.size() || std::fflush(stdout) != 0) {
       throw WireError("standard output cannot be written");
     }
--- a/src/benchlink/settings_parser.cpp
+++ b/src/simulator_adapter/settings_parser.cpp
@@ -1,4 +1,4 @@
-#include "settings_parser.h"
+#include "simulator_adapter/settings_parser.h"
 
 #include <charconv>
 #include <cmath>
@@ -6,9 +6,9 @@
 #include <string>
 #include <vector>
 
-#include "codec.h"
+#include "simulator_adapter/codec.h"
 
-namespace hingelink::benchlink {
+namespace hingelink::simulator_adapter {
 namespace {
 
 // More classes or tenants than this is taken for a damaged count.
@@ -204,4 +204,4 @@
   return s;
 }
 
-}  // namespace hingelink::benchlink
+}  // namespace hingelink::simulator_adapter
--- a/src/standin/gateways.cpp
+++ b/src/standin/gateways.cpp
@@ -211,9 +211,10 @@
   void Read() {
     while (!ended_) {
       const std::string_view all = net::Arrived(bev_.get());
-      const auto head = proto::ReadHead(all);
+      const auto head = proto::ParseFrameHeader(all);
       if (!head || all.size() < head->Size()) return;
-      const std::string_view payload = all.substr(proto::kHeadBytes, head->Size() - proto::kHeadBytes);
+      const std::string_view payload =
+          all.substr(proto::kFrameHeaderBytes, head->Size() - proto::kFrameHeaderBytes);
       if (head->type == 9) no_more_ = true;
       if (head->type == 1 && !payload.empty() && head->stream != 0) {
         all_.Answered(*this, head->stream, payload[0], payload.substr(1));
@@ -310,8 +311,8 @@
         WorkBody(request->work, std::to_string(options_.run) + '.' + std::to_string(request->number),
                  {.calls = load.calls, .once = load.keyed});
     if (load.keyed) {
-      request->key =
-          proto::ReqText(Mix(options_.run)) + proto::ReqText(Mix(~Mix(options_.run) + request->number));
+      request->key = proto::FormatRequestId(Mix(options_.run)) +
+                     proto::FormatRequestId(Mix(~Mix(options_.run) + request->number));
     }
     request->owner = Owner();
     request->due = next_ + std::chrono::duration_cast<Steady::duration>(load.timeout);
@@ -427,7 +428,7 @@
     const auto left = std::chrono::ceil<std::chrono::milliseconds>(request->due - now);
     std::vector<std::pair<const char*, std::string>> fields = {
         {"kind", load.name},
-        {"req", proto::ReqText(sent.req)},
+        {"req", proto::FormatRequestId(sent.req)},
         {"ts", std::to_string(unix_ms.time_since_epoch().count())},
         {"via", std::to_string(gateway.via)},
         {"ms", Decimal(request->work.count())},
--- a/src/standin/pool.cpp
+++ b/src/standin/pool.cpp
@@ -10,7 +10,7 @@
 #include <utility>
 
 #include "proto/pool_lines.h"
-#include "proto/words.h"
+#include "proto/tokenizer.h"
 #include "standin/store.h"
 
 namespace hingelink::standin {
@@ -38,7 +38,7 @@
 }
 
 Extras ExtrasOf(std::string_view body) {
-  proto::Words words(body);
+  proto::Tokenizer words(body);
   Extras extras;
   if (words.Next() != "work" || !words.Number<double>() || words.Next() != "calls") return extras;
   extras.calls = words.Number<int>().value_or(0);
@@ -78,11 +78,12 @@
 
 std::string CallBody(std::uint64_t req, int nth, bool once) {
   return (once ? std::string(kOnceOnly) : std::string()) + "call " + std::to_string(nth) + " of " +
-         proto::ReqText(req);
+         proto::FormatRequestId(req);
 }
 
 std::string ResultOf(std::uint64_t req, std::string_view body) {
-  return "result " + proto::ReqText(req) + ' ' + proto::ReqText(XXH3_64bits(body.data(), body.size()));
+  return "result " + proto::FormatRequestId(req) + ' ' +
+         proto::FormatRequestId(XXH3_64bits(body.data(), body.size()));
 }
 
 // An address, with its notices and its link.
@@ -155,7 +156,7 @@
         if (all.substr(size + length, 2) != "\r\n") return Bad();
         ++commands_;
         if (bound_ && !pool_.Supply(req, all.substr(size, length), commands_)) {
-          Tell("unknown supply " + proto::ReqText(req) + "\r\n");
+          Tell("unknown supply " + proto::FormatRequestId(req) + "\r\n");
         }
         size += length + 2;
       } else if (!Take(line)) {
@@ -189,7 +190,7 @@
     ++pool_.counts_.spawns;
     const auto& known = pool_.options_.classes;
     if (!known.empty() && std::find(known.begin(), known.end(), kind) == known.end()) {
-      Tell("unknown spawn " + proto::ReqText(req) + "\r\n");
+      Tell("unknown spawn " + proto::FormatRequestId(req) + "\r\n");
       return;
     }
     pool_.Spawn(place_, req, std::string(body), commands_);
@@ -201,7 +202,7 @@
       if (!Whole(words[1], req, 16) || !Whole(words[2], notice)) return false;
       ++commands_;
       if (bound_ && !pool_.Pass(req, notice, commands_)) {
-        Tell("unknown pass " + proto::ReqText(req) + "\r\n");
+        Tell("unknown pass " + proto::FormatRequestId(req) + "\r\n");
       }
       return true;
     }
@@ -300,7 +301,7 @@
   }
   if (over_.count(req) != 0) {
     ++counts_.repeated;
-    Tell(place, "finished", proto::ReqText(req) + " unknown 0.0 0\r\n\r\n");
+    Tell(place, "finished", proto::FormatRequestId(req) + " unknown 0.0 0\r\n\r\n");
     return;
   }
   const Millis now = Now(), work = WorkOf(body).value_or(options_.default_work);
@@ -335,8 +336,9 @@
   ++counts_.blocked;
   const std::string call = CallBody(req, ++run.calls_made, run.asks.once);
   run.stood_since = Now();
-  run.stands_at = Tell(*run.place, "blocked",
-                       proto::ReqText(req) + ' ' + std::to_string(call.size()) + "\r\n" + call + "\r\n");
+  run.stands_at =
+      Tell(*run.place, "blocked",
+           proto::FormatRequestId(req) + ' ' + std::to_string(call.size()) + "\r\n" + call + "\r\n");
 }
 
 bool Pool::GoOn(std::uint64_t req, std::uint64_t command) {
@@ -382,7 +384,7 @@
     runs_.erase(req);
     over_.emplace(req, true);
     over_order_.push_back(req);
-    Tell(place, "finished", proto::ReqText(req) + " cancelled 0.0 0\r\n\r\n");
+    Tell(place, "finished", proto::FormatRequestId(req) + " cancelled 0.0 0\r\n\r\n");
   }
 }
 
@@ -416,7 +418,7 @@
       over_.erase(over_order_.front());
       over_order_.pop_front();
     }
-    Tell(*over.place, "finished", proto::ReqText(req) + text + result + "\r\n");
+    Tell(*over.place, "finished", proto::FormatRequestId(req) + text + result + "\r\n");
   }
   Arm();
 }
--- a/src/standin/store.cpp
+++ b/src/standin/store.cpp
@@ -8,7 +8,7 @@
 #include <utility>
 
 #include "proto/pool_lines.h"
-#include "proto/words.h"
+#include "proto/tokenizer.h"
 
 namespace hingelink::standin {
 namespace {
@@ -24,7 +24,7 @@
 }  // namespace
 
 std::string ReplyOf(std::string_view call_body) {
-  return "reply " + proto::ReqText(XXH3_64bits(call_body.data(), call_body.size()));
+  return "reply " + proto::FormatRequestId(XXH3_64bits(call_body.data(), call_body.size()));
 }
 
 class Store::Connection {
@@ -60,7 +60,7 @@
         if (all.size() >= kMostLine) Bad();
         return;
       }
-      proto::Words words(all.substr(0, eol));
+      proto::Tokenizer words(all.substr(0, eol));
       std::size_t size = eol + 2;
       const std::string_view verb = words.Next();
       const auto req = words.Number<std::uint64_t>(16);
@@ -167,7 +167,7 @@
 void Store::Tell(const Call& call, std::string_view word, std::string_view reply, bool has_reply) {
   const auto at = connections_.find(call.connection);
   if (at == connections_.end() || still_) return;
-  std::string line = proto::ReqText(call.req) + ' ' + std::string(word);
+  std::string line = proto::FormatRequestId(call.req) + ' ' + std::string(word);
   if (has_reply) line += ' ' + std::to_string(reply.size());
   line += "\r\n";
   if (has_reply) line += std::string(reply) + "\r\n";
--- a/tests/background/keeper_test.cpp
+++ b/tests/background/keeper_test.cpp
@@ -254,8 +254,8 @@
     return {.successor_ready = [] {},
             .successor_lost = [] {},
             .load = [] {},
-            .learned = [] { return std::vector<proto::LearnedLine>(); },
-            .predecessor_learned = [](const proto::LearnedLine&) {}};
+            .learned = [] { return std::vector<proto::LearnedClassMessage>(); },
+            .predecessor_learned = [](const proto::LearnedClassMessage&) {}};
   }
 
   std::string folder;
@@ -265,9 +265,9 @@
 TEST_F(HandoverOfLearned, ANodeTellsItsSuccessorWhatItHasLearned) {
   Life predecessor(disk, folder + "/state", folder);
   predecessor.Serve(40);
-  std::vector<proto::LearnedLine> heard;
+  std::vector<proto::LearnedClassMessage> heard;
   net::Handover::Events events = Deaf();
-  events.predecessor_learned = [&heard](const proto::LearnedLine& line) { heard.push_back(line); };
+  events.predecessor_learned = [&heard](const proto::LearnedClassMessage& line) { heard.push_back(line); };
   net::Handover successor(base.get(), folder, std::move(events));
   ASSERT_GE(successor.TakeListener().get(), 0);
   Turn(base.get(), [&] { return !heard.empty(); });
@@ -296,8 +296,8 @@
   host.Do([&] {
     net::Handover::Events events = Deaf();
     events.learned = [] {
-      return std::vector<proto::LearnedLine>{{"order-lodge", 2000, 4900, 222, 222, 300, 100},
-                                             {"usage-view", 1500, 9999, 333, 333, 300, 100}};
+      return std::vector<proto::LearnedClassMessage>{{"order-lodge", 2000, 4900, 222, 222, 300, 100},
+                                                     {"usage-view", 1500, 9999, 333, 333, 300, 100}};
     };
     predecessor.emplace(host.base(), folder, std::move(events));
     predecessor->Offer(listener.get());
--- a/tests/compatibility/stored_formats_test.cpp
+++ b/tests/compatibility/stored_formats_test.cpp
@@ -3,7 +3,6 @@
 #include <nlohmann/json.hpp>
 #include <string>
 
-#include "benchlink/settings_parser.h"
 #include "control/protocol.h"
 #include "decide/recall.h"
 #include "fixtures.h"
@@ -12,6 +11,7 @@
 #include "log/log.h"
 #include "node/config.h"
 #include "schema/schema.h"
+#include "simulator_adapter/settings_parser.h"
 #include "state/learned_store.h"
 #include "state/plan_store.h"
 
@@ -210,7 +210,7 @@
 
 // Every key with a value of its own, none of them its default.
 TEST(SettingsKeys, AreReadFromTheFlatForm) {
-  ExpectFixture("settings-read.txt", Describe(benchlink::ParseSettings(ReadFixture("settings.txt"))));
+  ExpectFixture("settings-read.txt", Describe(simulator_adapter::ParseSettings(ReadFixture("settings.txt"))));
 }
 
 TEST(SettingsKeys, AreReadFromTheNodesConfiguration) {
@@ -233,7 +233,7 @@
     std::string bad = good;
     bad.replace(start, line.size(), key + "=?");
     try {
-      benchlink::ParseSettings(bad);
+      simulator_adapter::ParseSettings(bad);
       errors += key + ": taken\n";
     } catch (const std::exception& error) {
       errors += key + ": " + error.what() + '\n';
--- a/tests/compatibility/wire_formats_test.cpp
+++ b/tests/compatibility/wire_formats_test.cpp
@@ -4,9 +4,9 @@
 #include <variant>
 
 #include "fixtures.h"
+#include "proto/admin_http.h"
 #include "proto/frames.h"
 #include "proto/handover_lines.h"
-#include "proto/ops_http.h"
 #include "proto/pool_lines.h"
 #include "proto/registry_http.h"
 #include "proto/store_lines.h"
@@ -23,38 +23,39 @@
 
 TEST(GatewayFrames, AnswersKeepTheirBytes) {
   std::string bytes;
-  bytes += AnswerHead(1, AnswerCode::kServed, {}, 4) + "done";
-  bytes +=
-      AnswerHead(2, AnswerCode::kRefused, {.signal = 0.25, .holdoff = milliseconds(120), .nomore = true}, 0);
-  bytes += AnswerHead(3, AnswerCode::kFailed, {.signal = 1.0, .holdoff = std::nullopt, .nomore = false}, 0);
-  bytes += HealthAnswer(4, true, 0.5);
-  bytes += HealthAnswer(5, false, std::nullopt);
-  bytes += NoNewRequests();
+  bytes += EncodeAnswerHeader(1, AnswerCode::kServed, {}, 4) + "done";
+  bytes += EncodeAnswerHeader(2, AnswerCode::kRejected,
+                              {.signal = 0.25, .retry_after = milliseconds(120), .no_other_server = true}, 0);
+  bytes += EncodeAnswerHeader(3, AnswerCode::kFailed,
+                              {.signal = 1.0, .retry_after = std::nullopt, .no_other_server = false}, 0);
+  bytes += EncodeHealthResponse(4, true, 0.5);
+  bytes += EncodeHealthResponse(5, false, std::nullopt);
+  bytes += EncodeStopNewRequests();
   ExpectFixture("gateway-answers.bin", bytes);
 }
 
 // The fixture is one frame with every field, as a gateway writes it.
 TEST(GatewayFrames, ARequestIsReadWithEveryField) {
   const std::string bytes = ReadFixture("gateway-request.bin");
-  const auto head = ReadHead(bytes);
+  const auto head = ParseFrameHeader(bytes);
   ASSERT_TRUE(head);
   EXPECT_EQ(head->type, static_cast<std::uint8_t>(FrameType::kRequest));
   EXPECT_EQ(head->stream, 7u);
   ASSERT_EQ(head->Size(), bytes.size());
   RequestFrame request;
-  ASSERT_EQ(ParseRequest(std::string_view(bytes).substr(kHeadBytes), request), nullptr);
+  ASSERT_EQ(ParseRequest(std::string_view(bytes).substr(kFrameHeaderBytes), request), nullptr);
   EXPECT_EQ(request.kind, "order-lodge");
   EXPECT_EQ(request.req, kRequestId);
   EXPECT_EQ(request.ts.time_since_epoch(), milliseconds(1796153535000));
   EXPECT_EQ(request.timeout, milliseconds(1500));
   EXPECT_EQ(request.work, Millis(12.5));
   EXPECT_EQ(request.via, 3u);
-  EXPECT_EQ(request.need_kb, 20.25);
+  EXPECT_EQ(request.reserved_kb, 20.25);
   EXPECT_EQ(request.level, 0.75);
   EXPECT_EQ(request.subject, 0x1111222233334444u);
-  ASSERT_TRUE(request.opkey);
-  EXPECT_EQ(request.opkey->high, 0x5555666677778888u);
-  EXPECT_EQ(request.opkey->low, 0x9999aaaabbbbccccu);
+  ASSERT_TRUE(request.operation_key);
+  EXPECT_EQ(request.operation_key->high, 0x5555666677778888u);
+  EXPECT_EQ(request.operation_key->low, 0x9999aaaabbbbccccu);
   EXPECT_EQ(request.owner, "acme");
   EXPECT_TRUE(request.resent);
   EXPECT_EQ(request.body, "the body");
@@ -62,16 +63,17 @@
 
 TEST(GatewayFrames, ADeepHealthCheckIsToldFromAPlainOne) {
   EXPECT_TRUE(
-      AsksForWork(std::string("\1\4real\0\1"
-                              "1",
-                              9)));
-  EXPECT_FALSE(AsksForWork(std::string(1, '\0')));
+      IsDeepHealthCheck(std::string("\1\4real\0\1"
+                                    "1",
+                                    9)));
+  EXPECT_FALSE(IsDeepHealthCheck(std::string(1, '\0')));
 }
 
 TEST(PoolLines, CommandsKeepTheirBytes) {
-  ExpectFixture("pool-commands.txt", BindLine(42) + SpawnLine(kRequestId, "usage-view", 11) +
-                                         SupplyLine(kRequestId, 3) + PassLine(kRequestId, 9) +
-                                         VerifyLine("v1") + PollLine("p2"));
+  ExpectFixture("pool-commands.txt", EncodeBindCommand(42) + EncodeSpawnHeader(kRequestId, "usage-view", 11) +
+                                         EncodeSupplyHeader(kRequestId, 3) +
+                                         EncodePassCommand(kRequestId, 9) + EncodeVerifyCommand("v1") +
+                                         EncodePollCommand("p2"));
 }
 
 TEST(PoolLines, NoticesAreReadWithEveryField) {
@@ -84,11 +86,12 @@
     return message;
   };
   const PoolMessage bound = next();
-  ASSERT_TRUE(std::holds_alternative<PoolBound>(bound));
-  EXPECT_EQ(std::get<PoolBound>(bound).since_start, Millis(2.5));
-  EXPECT_TRUE(std::get<PoolBound>(next()).since_start == Millis(1));
-  const RunEnd ends[] = {RunEnd::kComplete, RunEnd::kError, RunEnd::kCancelled, RunEnd::kUnknown};
-  for (const RunEnd end : ends) {
+  ASSERT_TRUE(std::holds_alternative<BindAcknowledged>(bound));
+  EXPECT_EQ(std::get<BindAcknowledged>(bound).since_start, Millis(2.5));
+  EXPECT_TRUE(std::get<BindAcknowledged>(next()).since_start == Millis(1));
+  const RunOutcome ends[] = {RunOutcome::kComplete, RunOutcome::kError, RunOutcome::kCancelled,
+                             RunOutcome::kUnknown};
+  for (const RunOutcome end : ends) {
     const PoolMessage message = next();
     ASSERT_TRUE(std::holds_alternative<RunFinished>(message));
     EXPECT_EQ(std::get<RunFinished>(message).end, end);
@@ -100,25 +103,25 @@
   ASSERT_TRUE(std::holds_alternative<RunBlocked>(blocked));
   EXPECT_EQ(std::get<RunBlocked>(blocked).number, 9u);
   EXPECT_EQ(std::get<RunBlocked>(blocked).body, "call");
-  EXPECT_TRUE(std::get<PoolVerified>(next()).good);
-  EXPECT_FALSE(std::get<PoolVerified>(next()).good);
-  EXPECT_EQ(std::get<PoolPolled>(next()).gauges, (std::vector<double>{0.5, 3, 0.25, 17}));
-  EXPECT_EQ(std::get<CommandUnknown>(next()).req, kRequestId);
-  EXPECT_EQ(std::get<PoolChatter>(next()).number, 12u);
+  EXPECT_TRUE(std::get<RoundTripVerified>(next()).good);
+  EXPECT_FALSE(std::get<RoundTripVerified>(next()).good);
+  EXPECT_EQ(std::get<GaugesReported>(next()).gauges, (std::vector<double>{0.5, 3, 0.25, 17}));
+  EXPECT_EQ(std::get<UnknownCommand>(next()).req, kRequestId);
+  EXPECT_EQ(std::get<PoolRemark>(next()).number, 12u);
   EXPECT_TRUE(rest.empty());
 }
 
 TEST(StoreLines, CallsKeepTheirBytes) {
-  ExpectFixture("store-calls.txt",
-                CallLine(kRequestId, Millis(120.2), 5) + "hello\r\n" + DropLine(kRequestId));
+  ExpectFixture("store-calls.txt", EncodeStoreCallHeader(kRequestId, Millis(120.2), 5) + "hello\r\n" +
+                                       EncodeStoreDropCommand(kRequestId));
 }
 
 TEST(StoreLines, RepliesAreReadWithEveryKind) {
   const std::string bytes = ReadFixture("store-replies.txt");
   std::string_view rest = bytes;
-  const ReplyKind kinds[] = {ReplyKind::kOk, ReplyKind::kBusy, ReplyKind::kErr, ReplyKind::kLate,
-                             ReplyKind::kVoid};
-  for (const ReplyKind kind : kinds) {
+  const StoreReplyStatus kinds[] = {StoreReplyStatus::kOk, StoreReplyStatus::kBusy, StoreReplyStatus::kErr,
+                                    StoreReplyStatus::kLate, StoreReplyStatus::kVoid};
+  for (const StoreReplyStatus kind : kinds) {
     std::size_t size = 0;
     const StoreMessage message = ParseStoreReply(rest, size);
     ASSERT_TRUE(std::holds_alternative<StoreReply>(message));
@@ -130,25 +133,26 @@
 }
 
 TEST(RegistryCalls, ReportsKeepTheirBytes) {
-  ExpectFixture("registry-reports.txt", ReportCall("shire-1", "127.0.0.1:8761", false) +
-                                            ReportCall("shire-1", "127.0.0.1:8761", true));
+  ExpectFixture("registry-reports.txt", EncodeReportRequest("shire-1", "127.0.0.1:8761", false) +
+                                            EncodeReportRequest("shire-1", "127.0.0.1:8761", true));
 }
 
 TEST(SecondAddress, ResponsesKeepTheirBytes) {
-  ExpectFixture("second-address-responses.txt", OpsResponse(200, "ready\n") + OpsResponse(404, "") +
-                                                    OpsResponse(405, "", "GET, HEAD") +
-                                                    OpsResponse(503, "not ready\n") + OpsResponse(400, ""));
+  ExpectFixture("second-address-responses.txt",
+                EncodeAdminResponse(200, "ready\n") + EncodeAdminResponse(404, "") +
+                    EncodeAdminResponse(405, "", "GET, HEAD") + EncodeAdminResponse(503, "not ready\n") +
+                    EncodeAdminResponse(400, ""));
 }
 
 TEST(HandoverLines, KeepTheirBytesAndAreReadBack) {
-  const LoadLine load{.running = 3, .memory_kb = 120.5, .queued_work_ms = 80.25, .connections = 9};
-  const KeyLine key{.key = {0x5555666677778888, 0x9999aaaabbbbcccc},
-                    .content = kRequestId,
-                    .fate = 2,
-                    .left = Millis(1500.5),
-                    .has_result = true,
-                    .size = 4};
-  LearnedLine learned;
+  const LoadMessage load{.running = 3, .memory_kb = 120.5, .queued_work_ms = 80.25, .connections = 9};
+  const KeyMessage key{.key = {0x5555666677778888, 0x9999aaaabbbbcccc},
+                       .content = kRequestId,
+                       .fate = 2,
+                       .left = Millis(1500.5),
+                       .has_result = true,
+                       .size = 4};
+  LearnedClassMessage learned;
   learned.name = "usage view";
   learned.aim = 500;
   learned.deadline = 1200;
@@ -157,16 +161,16 @@
   learned.hint = 28;
   learned.samples = 812;
   std::string bytes(kHandoverListener);
-  bytes.append(kHandoverKeys).append(kHandoverReady).append(kHandoverLeaving).append(kHandoverEnds);
-  bytes += EncodeLoad(load) + EncodeKey(key) + EncodeLearned(learned).value();
+  bytes.append(kHandoverKeys).append(kHandoverReady).append(kHandoverDraining).append(kHandoverExiting);
+  bytes += EncodeLoadMessage(load) + EncodeKeyMessage(key) + EncodeLearnedClassMessage(learned).value();
   ExpectFixture("handover-lines.txt", bytes);
   const auto without_end = [](std::string line) {
     line.pop_back();
     return line;
   };
-  EXPECT_EQ(ReadLoad(without_end(EncodeLoad(load))), load);
-  EXPECT_EQ(ReadKey(without_end(EncodeKey(key))), key);
-  EXPECT_EQ(ReadLearned(without_end(EncodeLearned(learned).value())), learned);
+  EXPECT_EQ(ParseLoadMessage(without_end(EncodeLoadMessage(load))), load);
+  EXPECT_EQ(ParseKeyMessage(without_end(EncodeKeyMessage(key))), key);
+  EXPECT_EQ(ParseLearnedClassMessage(without_end(EncodeLearnedClassMessage(learned).value())), learned);
 }
 
 }  // namespace
--- a/tests/layering.sh
+++ b/tests/layering.sh
@@ -24,6 +24,7 @@
   done
 }
 check policy "hingelink"
+check simulator_adapter "hingelink"
 check core ""
 check log ""
 check schema ""
@@ -35,7 +36,7 @@
 check lab/rig "core proto net standin lab/scenario"
 # standin: the model of a service's cores, which has neither clock nor socket.
 check lab/sim "decide standin lab/scenario"
-check node "hingelink core decide proto log net"
+check node "hingelink core decide proto log net simulator_adapter"
 check control "hingelink core proto log net node schema"
 check background "hingelink core decide proto log net node state"
 check fleet "hingelink core decide proto log net node state schema"
@@ -52,7 +53,7 @@
 for component in src/*/; do
   case " $(basename "$component") " in
     *" core "* | *" log "* | *" schema "* | *" decide "* | *" state "* | *" proto "* | *" net "* | *" node "*) ;;
-    *" policy "* | *" fleet "* | *" lab "* | *" background "* | *" control "* | *" console "* | *" standin "* | *" appliance "* | *" cli "* | *" benchlink "*) ;;
+    *" policy "* | *" fleet "* | *" lab "* | *" background "* | *" control "* | *" console "* | *" standin "* | *" appliance "* | *" cli "* | *" simulator_adapter "*) ;;
     *)
       echo "$component is not in this list"
       bad=1
--- a/tests/net/handover_test.cpp
+++ b/tests/net/handover_test.cpp
@@ -16,43 +16,44 @@
 namespace {
 
 using namespace std::chrono_literals;
-using proto::LearnedLine;
+using proto::LearnedClassMessage;
 
 TEST(HandoverLines, WhatWasLearnedComesBackAsItWas) {
-  const LearnedLine learned{"usage-view", 500, 1200, 31.5, 30.25, 0, 41};
-  const auto line = proto::EncodeLearned(learned);
+  const LearnedClassMessage learned{"usage-view", 500, 1200, 31.5, 30.25, 0, 41};
+  const auto line = proto::EncodeLearnedClassMessage(learned);
   ASSERT_TRUE(line);
   EXPECT_EQ(*line, "learned usage-view 500.0000 1200.0000 31.5000 30.2500 0.0000 41\n");
-  EXPECT_EQ(proto::ReadLearned(line->substr(0, line->size() - 1)), learned);
+  EXPECT_EQ(proto::ParseLearnedClassMessage(line->substr(0, line->size() - 1)), learned);
   for (const char* bad : {"learned", "learned  1 2 3 4 5 6", "learned x 1 2 3 4 5", "learned x 1 2 3 4 5 6 7",
                           "learned x -1 2 3 4 5 6", "learned x nan 2 3 4 5 6", "learned x%4 1 2 3 4 5 6",
                           "learned x%zz 1 2 3 4 5 6", "load 1 2 3 4"}) {
-    EXPECT_FALSE(proto::ReadLearned(bad)) << bad;
+    EXPECT_FALSE(proto::ParseLearnedClassMessage(bad)) << bad;
   }
-  EXPECT_FALSE(proto::EncodeLearned({std::string(300, 'x'), 1, 1, 1, 1, 1, 1}));
+  EXPECT_FALSE(proto::EncodeLearnedClassMessage({std::string(300, 'x'), 1, 1, 1, 1, 1, 1}));
 }
 
 RC_GTEST_PROP(HandoverLinesProperty, AnyNameComesBack, (const std::string& name)) {
   RC_PRE(!name.empty());
-  const auto line = proto::EncodeLearned({name, 1, 2, 3, 4, 5, 6});
+  const auto line = proto::EncodeLearnedClassMessage({name, 1, 2, 3, 4, 5, 6});
   if (!line) return;  // Too long.
   RC_ASSERT(line->find('\n') == line->size() - 1);
-  RC_ASSERT(proto::ReadLearned(line->substr(0, line->size() - 1)) == (LearnedLine{name, 1, 2, 3, 4, 5, 6}));
+  RC_ASSERT(proto::ParseLearnedClassMessage(line->substr(0, line->size() - 1)) ==
+            (LearnedClassMessage{name, 1, 2, 3, 4, 5, 6}));
 }
 
 Handover::Events Deaf() {
   return {.successor_ready = [] {},
           .successor_lost = [] {},
           .load = [] {},
-          .learned = [] { return std::vector<LearnedLine>(); },
-          .predecessor_learned = [](const LearnedLine&) {}};
+          .learned = [] { return std::vector<LearnedClassMessage>(); },
+          .predecessor_learned = [](const LearnedClassMessage&) {}};
 }
 
 TEST(Handover, ASuccessorIsToldWhatItsPredecessorHasLearned) {
   char name[] = "/tmp/hingelink.handover.XXXXXX";
   const std::string folder = mkdtemp(name);
-  const std::vector<LearnedLine> known = {{"usage-view", 500, 1200, 31.5, 30, 28, 41},
-                                          {"odd name\n", 700, 1600, 45, 44, 0, 7}};
+  const std::vector<LearnedClassMessage> known = {{"usage-view", 500, 1200, 31.5, 30, 28, 41},
+                                                  {"odd name\n", 700, 1600, 45, 44, 0, 7}};
   Descriptor listener(socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
   standin::Host host;
   std::optional<Handover> predecessor;
@@ -64,9 +65,9 @@
   });
   {
     const BasePtr base = MakeBase();
-    std::vector<LearnedLine> heard;
+    std::vector<LearnedClassMessage> heard;
     Handover::Events events = Deaf();
-    events.predecessor_learned = [&heard](const LearnedLine& line) { heard.push_back(line); };
+    events.predecessor_learned = [&heard](const LearnedClassMessage& line) { heard.push_back(line); };
     Handover successor(base.get(), folder, std::move(events));
     ASSERT_GE(successor.TakeListener().get(), 0);
     const auto end = Steady::now() + 40s;
--- a/tests/net/pool_group_test.cpp
+++ b/tests/net/pool_group_test.cpp
@@ -39,7 +39,7 @@
     PoolEvents events;
     events.bound = [this](bool) { ++bound_; };
     events.finished = [this](const proto::RunFinished& run) {
-      ended_[run.req].push_back(run.end == proto::RunEnd::kComplete ? std::string(run.result) : "error");
+      ended_[run.req].push_back(run.end == proto::RunOutcome::kComplete ? std::string(run.result) : "error");
     };
     events.spawn_unknown = [this](std::uint64_t req) { ended_[req].push_back("unknown"); };
     events.settled = [this] {
--- a/tests/net/store_client_test.cpp
+++ b/tests/net/store_client_test.cpp
@@ -23,8 +23,8 @@
   const std::string reply = "9b1f03aa5c7e2d41 OK 4\r\na\r\nb\r\n";
   std::size_t size = 0;
   for (std::size_t cut = 0; cut < reply.size(); ++cut) {
-    EXPECT_TRUE(
-        std::holds_alternative<proto::StoreNeedMore>(proto::ParseStoreReply(reply.substr(0, cut), size)))
+    EXPECT_TRUE(std::holds_alternative<proto::IncompleteStoreReply>(
+        proto::ParseStoreReply(reply.substr(0, cut), size)))
         << cut;
   }
   const std::string more = reply + "next";
@@ -36,7 +36,7 @@
   for (const char* bad : {"9b1f03aa5c7e2d4 OK 4\r\n", "9b1f03aa5c7e2d41 FINE\r\n", "9b1f03aa5c7e2d41 OK\r\n",
                           "9b1f03aa5c7e2d41 OK -1\r\n", "9b1f03aa5c7e2d41 OK 99999999\r\n", "\r\n",
                           "9b1f03aa5c7e2d41 OK 1\r\nxyz"}) {
-    EXPECT_TRUE(std::holds_alternative<proto::StoreBadLine>(proto::ParseStoreReply(bad, size))) << bad;
+    EXPECT_TRUE(std::holds_alternative<proto::MalformedStoreReply>(proto::ParseStoreReply(bad, size))) << bad;
   }
 }
 
--- a/tests/node/node_lifecycle_test.cpp
+++ b/tests/node/node_lifecycle_test.cpp
@@ -98,7 +98,7 @@
     ++sent;
     const std::string ahead = std::to_string(Gateway::UnixMs() + 1);
     const std::string request =
-        Gateway::Request(sent, hingelink::proto::ReqText(1000 + sent), "late", {{"ts", ahead}});
+        Gateway::Request(sent, hingelink::proto::FormatRequestId(1000 + sent), "late", {{"ts", ahead}});
     open = send(gateway.socket().fd(), request.data(), request.size(), MSG_NOSIGNAL) > 0;
     while (open && gateway.socket().Ready(0)) {
       if (gateway.socket().AtEnd()) {
@@ -167,7 +167,7 @@
   const std::string sample = Gateway::Request(1, kOne, "x");
   for (std::size_t split = 1; split < sample.size(); split += 7) {
     const auto stream = static_cast<std::uint32_t>(split);
-    const std::string request = Gateway::Request(stream, hingelink::proto::ReqText(split), "x");
+    const std::string request = Gateway::Request(stream, hingelink::proto::FormatRequestId(split), "x");
     gateway.Write(request.substr(0, split));
     gateway.Write("");
     reload(without);
@@ -215,7 +215,7 @@
                   const std::map<std::string, std::string>& with = {}) {
   std::map<std::string, std::string> fields = with;
   fields["kind"] = kind;
-  const std::string req = hingelink::proto::ReqText(stream);
+  const std::string req = hingelink::proto::FormatRequestId(stream);
   gateway.Write(Gateway::Request(stream, req, "body", fields));
   std::string command = link.Command();
   link.Finish(notice, req, "complete", "result of " + kind);
@@ -223,7 +223,7 @@
   return command;
 }
 
-std::string ReqOf(std::uint32_t stream) { return hingelink::proto::ReqText(stream); }
+std::string ReqOf(std::uint32_t stream) { return hingelink::proto::FormatRequestId(stream); }
 
 // One class of another name, and then, by a reload, many classes and tenants: each request runs under its own
 // class, and the names of the settings before mean nothing.
--- a/tests/node_stories.cpp
+++ b/tests/node_stories.cpp
@@ -100,7 +100,7 @@
   gateway.ReadAnswer(51, 2);
   // The 33rd open request of a connection is refused at once.
   for (std::uint32_t s = 100; s <= 132; ++s) {
-    gateway.Write(Gateway::Request(s, hingelink::proto::ReqText(s), "x", {{"need", "0.1"}}));
+    gateway.Write(Gateway::Request(s, hingelink::proto::FormatRequestId(s), "x", {{"need", "0.1"}}));
   }
   gateway.ReadAnswer(132, 1);
 }
@@ -492,7 +492,7 @@
   assert(gateway.Read().type == 7);
   std::string sent, taken_back;
   for (std::uint32_t s = 1; s <= 16; ++s) {  // All in one piece.
-    sent += Gateway::Request(s, hingelink::proto::ReqText(s), "x");
+    sent += Gateway::Request(s, hingelink::proto::FormatRequestId(s), "x");
     taken_back += Gateway::Encode(2, s, "");
   }
   bad.Write(sent + taken_back + Gateway::Encode(6, 17, std::string(1, '\0')));
@@ -531,7 +531,7 @@
   Scene scene;
   auto& [node, link, gateway] = scene;
   const auto ask = [&gateway](std::uint32_t stream) {
-    gateway.Write(Gateway::Request(stream, hingelink::proto::ReqText(stream), "x",
+    gateway.Write(Gateway::Request(stream, hingelink::proto::FormatRequestId(stream), "x",
                                    {{"kind", "usage-view"}, {"timeout", "1200"}, {"need", "0.1"}}));
   };
   for (std::uint32_t s = 1; s <= 3; ++s) {
--- a/tests/wire_test.cpp
+++ b/tests/simulator_adapter/codec_test.cpp
@@ -1,59 +1,16 @@
-// The codec and the settings parser, on bytes written here.
+// Decoding of the simulator's batches and encoding of the replies, on bytes written here.
+#include "simulator_adapter/codec.h"
+
 #include <gtest/gtest.h>
 
-#include <cstring>
 #include <string>
 #include <vector>
 
-#include "codec.h"
-#include "instance_table.h"
-#include "settings_parser.h"
+#include "frames.h"
 
-namespace hingelink::benchlink {
+namespace hingelink::simulator_adapter {
 namespace {
 
-std::string Hex(std::string_view text) {
-  std::string bytes;
-  int high = -1;
-  for (char c : text) {
-    if (c == ' ') continue;
-    const int digit = c <= '9' ? c - '0' : c - 'a' + 10;
-    if (high < 0) {
-      high = digit;
-    } else {
-      bytes.push_back(static_cast<char>(high * 16 + digit));
-      high = -1;
-    }
-  }
-  return bytes;
-}
-
-template <typename T>
-void Put(std::string& out, T value) {
-  out.append(reinterpret_cast<const char*>(&value), sizeof(T));
-}
-
-std::string Frame(double now, std::uint32_t count, const std::string& body) {
-  std::string frame;
-  Put(frame, now);
-  Put(frame, static_cast<std::uint32_t>(16 + body.size()));
-  Put(frame, count);
-  return frame + body;
-}
-
-const char kSettings[] =
-    "specifics.cpus=2\nspecifics.memoryKb=10000\nspecifics.runFactor=4\nrules.fallMultiple=5\nquantumMs=2\n"
-    "requestClasses.count=1\nrequestClasses.0.hardLimitMs=4000\nrequestClasses.0.repeat=safe\n"
-    "someday.newKey=7\nspecifics.gauges=cpu_busy,runnable\n";
-
-std::string Open(std::uint32_t instance, const std::string& settings) {
-  std::string body = "\1";
-  Put(body, instance);
-  Put(body, std::uint64_t{9});
-  Put(body, static_cast<std::uint32_t>(settings.size()));
-  return body + settings;
-}
-
 TEST(Codec, ReadsEveryField) {
   const std::string submit =
       Hex("02 03000000 c4913a5d3b790400 192b6f0ee7bc0800 0000c441 640ad2557c3bf091 0000203f 0500"
@@ -149,48 +106,5 @@
   EXPECT_THROW(DecodeBatch(Frame(0, 0, "").substr(0, 15)), WireError);
 }
 
-TEST(SettingsParser, AnUnknownStopModeIsRefused) {
-  const std::string base = kSettings;
-  EXPECT_FALSE(ParseSettings(base).can_cancel_runs);
-  EXPECT_FALSE(ParseSettings(base + "specifics.stopMode=silent\n").can_cancel_runs);
-  EXPECT_TRUE(ParseSettings(base + "specifics.stopMode=abort\n").can_cancel_runs);
-  EXPECT_TRUE(ParseSettings(base + "specifics.stopMode=suspend\n").can_cancel_runs);
-  EXPECT_THROW(ParseSettings(base + "specifics.stopMode=maybe\n"), WireError);
-}
-
-TEST(SettingsParser, ReadsSkipsAndRefuses) {
-  const Settings s = ParseSettings(kSettings);
-  EXPECT_EQ(s.cores, 2);
-  EXPECT_EQ(s.classes[0].deadline_ms, 4000);
-  EXPECT_EQ(s.gauges, (std::vector<std::string>{"cpu_busy", "runnable"}));
-  EXPECT_FALSE(s.callers_send_remaining_wait);
-  const std::string base = kSettings;
-  EXPECT_THROW(ParseSettings(base + "specifics.memoryKb=lots\n"), WireError);
-  EXPECT_THROW(ParseSettings(base + "specifics.cpus=2.5\n"), WireError);
-  EXPECT_THROW(ParseSettings(base + "specifics.cold=perhaps\n"), WireError);
-  EXPECT_THROW(ParseSettings(base + "requestClasses.0.repeat=often\n"), WireError);
-  EXPECT_THROW(ParseSettings(base + "requestClasses.count=99999999999\n"), WireError);
-  EXPECT_THROW(ParseSettings(base + "specifics.classCalls=true,false\n"), WireError);
-  EXPECT_THROW(ParseSettings(base + "no pair\n"), WireError);
-  EXPECT_THROW(ParseSettings("specifics.cpus=2\n"), WireError);
-}
-
-TEST(InstanceTable, RefusesUnknownInstancesAndContradictions) {
-  InstanceTable table;
-  EXPECT_THROW(table.Answer(DecodeBatch(Frame(0, 1, Hex("07 01000000 0500000000000000")))), WireError);
-  EXPECT_THROW(
-      table.Answer(DecodeBatch(Frame(0, 1, Open(1, std::string(kSettings) + "specifics.memoryKb=0\n")))),
-      WireError);
-}
-
-TEST(InstanceTable, RetiredInstanceIsGoneAndMayStartAgainInTheSameBatch) {
-  InstanceTable table;
-  EXPECT_GT(table.Answer(DecodeBatch(Frame(0, 1, Open(1, kSettings)))).size(), 8u);
-  const std::string again = table.Answer(DecodeBatch(Frame(5, 2, Hex("09 01000000") + Open(1, kSettings))));
-  EXPECT_GT(again.size(), 8u);
-  EXPECT_EQ(table.Answer(DecodeBatch(Frame(6, 1, Hex("09 01000000")))).size(), 8u);
-  EXPECT_THROW(table.Answer(DecodeBatch(Frame(7, 1, Hex("07 01000000 0500000000000000")))), WireError);
-}
-
 }  // namespace
-}  // namespace hingelink::benchlink
+}  // namespace hingelink::simulator_adapter
--- /dev/null
+++ b/tests/simulator_adapter/frames.h
@@ -0,0 +1,55 @@
+// Frames of the simulator's protocol and settings, as bytes, for the tests of the adapter.
+#ifndef HINGELINK_TESTS_SIMULATOR_ADAPTER_FRAMES_H_
+#define HINGELINK_TESTS_SIMULATOR_ADAPTER_FRAMES_H_
+
+#include <cstdint>
+#include <string>
+#include <string_view>
+
+namespace hingelink::simulator_adapter {
+
+inline std::string Hex(std::string_view text) {
+  std::string bytes;
+  int high = -1;
+  for (char c : text) {
+    if (c == ' ') continue;
+    const int digit = c <= '9' ? c - '0' : c - 'a' + 10;
+    if (high < 0) {
+      high = digit;
+    } else {
+      bytes.push_back(static_cast<char>(high * 16 + digit));
+      high = -1;
+    }
+  }
+  return bytes;
+}
+
+template <typename T>
+void Put(std::string& out, T value) {
+  out.append(reinterpret_cast<const char*>(&value), sizeof(T));
+}
+
+inline std::string Frame(double now, std::uint32_t count, const std::string& body) {
+  std::string frame;
+  Put(frame, now);
+  Put(frame, static_cast<std::uint32_t>(16 + body.size()));
+  Put(frame, count);
+  return frame + body;
+}
+
+inline constexpr char kSettings[] =
+    "specifics.cpus=2\nspecifics.memoryKb=10000\nspecifics.runFactor=4\nrules.fallMultiple=5\nquantumMs=2\n"
+    "requestClasses.count=1\nrequestClasses.0.hardLimitMs=4000\nrequestClasses.0.repeat=safe\n"
+    "someday.newKey=7\nspecifics.gauges=cpu_busy,runnable\n";
+
+inline std::string Open(std::uint32_t instance, const std::string& settings) {
+  std::string body = "\1";
+  Put(body, instance);
+  Put(body, std::uint64_t{9});
+  Put(body, static_cast<std::uint32_t>(settings.size()));
+  return body + settings;
+}
+
+}  // namespace hingelink::simulator_adapter
+
+#endif  // HINGELINK_TESTS_SIMULATOR_ADAPTER_FRAMES_H_
--- a/tests/standin/gateways_test.cpp
+++ b/tests/standin/gateways_test.cpp
@@ -30,7 +30,7 @@
 
     void Answer(std::uint32_t stream, proto::AnswerCode code, const std::string& body,
                 const proto::AnswerFields& fields = {}) const {
-      net::Send(bev.get(), proto::AnswerHead(stream, code, fields, body.size()));
+      net::Send(bev.get(), proto::EncodeAnswerHeader(stream, code, fields, body.size()));
       net::Send(bev.get(), body);
     }
     void Close() {
@@ -73,9 +73,10 @@
   static void Read(Connection& c) {
     while (!c.closed) {
       const std::string_view all = net::Arrived(c.bev.get());
-      const auto head = proto::ReadHead(all);
+      const auto head = proto::ParseFrameHeader(all);
       if (!head || all.size() < head->Size()) return;
-      const std::string payload(all.substr(proto::kHeadBytes, head->Size() - proto::kHeadBytes));
+      const std::string payload(
+          all.substr(proto::kFrameHeaderBytes, head->Size() - proto::kFrameHeaderBytes));
       const auto type = head->type;
       const auto stream = head->stream;
       net::Consume(c.bev.get(), head->Size());
@@ -188,7 +189,7 @@
 TEST(GatewaysStandin, RetriesARefusalElsewhereAndAFailureOnlyWhereItMay) {
   const FakeNode::Take refuse = [](FakeNode::Connection& c, std::uint32_t stream,
                                    const proto::RequestFrame&) {
-    c.Answer(stream, proto::AnswerCode::kRefused, "");
+    c.Answer(stream, proto::AnswerCode::kRejected, "");
   };
   const FakeNode::Take fail = [](FakeNode::Connection& c, std::uint32_t stream, const proto::RequestFrame&) {
     c.Answer(stream, proto::AnswerCode::kFailed, "");
@@ -212,8 +213,8 @@
 TEST(GatewaysStandin, HeedsAdviceWhereItIsSetTo) {
   const FakeNode::Take away = [](FakeNode::Connection& c, std::uint32_t stream, const proto::RequestFrame&) {
     proto::AnswerFields fields;
-    fields.holdoff = 60'000ms;
-    c.Answer(stream, proto::AnswerCode::kRefused, "", fields);
+    fields.retry_after = 60'000ms;
+    c.Answer(stream, proto::AnswerCode::kRejected, "", fields);
   };
   const Story heeds({away});
   EXPECT_EQ(heeds.sum.tries, heeds.sum.refused);
--- a/tests/standin/standin_test.cpp
+++ b/tests/standin/standin_test.cpp
@@ -16,7 +16,7 @@
 
 using namespace std::chrono_literals;
 using namespace hingelink::standin;
-using hingelink::proto::ReqText;
+using hingelink::proto::FormatRequestId;
 
 double Sum(const std::vector<std::uint64_t>& ids) {
   double sum = 0;
@@ -126,7 +126,7 @@
 };
 
 std::string Spawn(std::uint64_t req, const std::string& body) {
-  return "spawn " + ReqText(req) + " c " + std::to_string(body.size()) + "\r\n" + body + "\r\n";
+  return "spawn " + FormatRequestId(req) + " c " + std::to_string(body.size()) + "\r\n" + body + "\r\n";
 }
 
 TEST(PoolStandin, RunsAndGivesAResultThatCanBeTold) {
