--- a/bench/learned_measure.cpp
+++ b/bench/learned_measure.cpp
@@ -2,7 +2,7 @@
 //   learned_measure [ROUNDS] [SECONDS] [CORES] [LOADS...]      loads as shares of what the pool can do
 // All kinds start side by side, each with a pool and gateways of its own; the gateways begin once the node
 // listens.
-#include "decide/recall.h"
+#include "decide/learned/learned_state_import.h"
 #include "site.h"
 #include "state/learned_store.h"
 
@@ -38,8 +38,8 @@
     const double run = work * 1.15 * kind.factor;
     learned.classes.push_back({name, run, run, work, 1000});
   }
-  state::LearnedStore store(state::SystemFiles(), folder);
-  store.Save({1, decide::Remember("cores", UnixNow() - kind.age, settings, learned)});
+  state::LearnedStore store(state::SystemFileSystem(), folder);
+  store.Save({1, decide::MakeLearnedRecord("cores", UnixNow() - kind.age, settings, learned)});
 }
 
 }  // namespace
--- a/src/appliance/config.cpp
+++ b/src/appliance/config.cpp
@@ -9,7 +9,7 @@
 #include "net/peers.h"
 #include "node/config.h"
 #include "schema/schema.h"
-#include "state/files.h"
+#include "state/file_system.h"
 
 namespace hingelink::appliance {
 namespace {
@@ -89,28 +89,28 @@
   config.log_bytes = log.value("rotate_bytes", config.log_bytes);
   config.log_keep = log.value("keep", config.log_keep);
   const Json supervisor = json.value("supervisor", Json::object());
-  decide::Limits& limits = config.limits;
-  limits.backoff_first = supervisor.value("backoff_first_ms", limits.backoff_first);
-  limits.backoff_most = supervisor.value("backoff_most_ms", limits.backoff_most);
-  limits.good_after = supervisor.value("good_after_ms", limits.good_after);
-  limits.loop_crashes = supervisor.value("loop_crashes", limits.loop_crashes);
-  limits.loop_rest = supervisor.value("loop_rest_ms", limits.loop_rest);
-  limits.answer_within = supervisor.value("answer_within_ms", limits.answer_within);
-  limits.silent_looks = supervisor.value("silent_looks", limits.silent_looks);
-  limits.upgrade_within = supervisor.value("upgrade_within_ms", limits.upgrade_within);
+  decide::SupervisorOptions& limits = config.limits;
+  limits.initial_backoff = supervisor.value("backoff_first_ms", limits.initial_backoff);
+  limits.max_backoff = supervisor.value("backoff_most_ms", limits.max_backoff);
+  limits.stable_after = supervisor.value("good_after_ms", limits.stable_after);
+  limits.crash_loop_threshold = supervisor.value("loop_crashes", limits.crash_loop_threshold);
+  limits.crash_loop_backoff = supervisor.value("loop_rest_ms", limits.crash_loop_backoff);
+  limits.startup_timeout = supervisor.value("answer_within_ms", limits.startup_timeout);
+  limits.unresponsive_threshold = supervisor.value("silent_looks", limits.unresponsive_threshold);
+  limits.upgrade_timeout = supervisor.value("upgrade_within_ms", limits.upgrade_timeout);
   // Behind a successor a node may take 3.7 s; a drain takes stop_ms. The kill must not come before.
   const double least = std::max(3700.0, config.node["stop_ms"].get<double>()) + 500;
-  limits.drain_within = supervisor.value("drain_within_ms", least);
-  if (limits.drain_within < least) {
+  limits.drain_timeout = supervisor.value("drain_within_ms", least);
+  if (limits.drain_timeout < least) {
     char wanted[160];
     std::snprintf(
         wanted, sizeof wanted,
         "/supervisor/drain_within_ms: found %.0f; wanted at least %.0f (/node/stop_ms, or 3700, and 500): "
         "the node needs that to answer what it has read",
-        limits.drain_within, least);
+        limits.drain_timeout, least);
     faults.push_back(wanted);
   }
-  if (limits.backoff_most < limits.backoff_first) {
+  if (limits.max_backoff < limits.initial_backoff) {
     faults.push_back(
         "/supervisor/backoff_most_ms: found less than backoff_first_ms; wanted at least as much");
   }
@@ -134,7 +134,7 @@
 }
 
 Config ReadConfig(const std::string& path) {
-  const auto text = state::SystemFiles().Read(path);
+  const auto text = state::SystemFileSystem().Read(path);
   if (!text) throw ConfigError({path + ": there is no such file"});
   Config config = ParseConfig(*text);
   if (config.peers.is_object()) {
--- a/src/appliance/processes.h
+++ b/src/appliance/processes.h
@@ -8,7 +8,7 @@
 #include <string>
 #include <vector>
 
-#include "decide/supervise.h"
+#include "decide/supervision/supervisor.h"
 #include "net/event.h"
 
 namespace hingelink::appliance {
--- a/src/appliance/supervisor.cpp
+++ b/src/appliance/supervisor.cpp
@@ -32,23 +32,23 @@
 constexpr auto kLookWithin = 2000ms;
 constexpr auto kSearchWithin = 1000ms;
 
-state::FolderLock TakeLock(const std::string& folder) {
-  auto lock = state::FolderLock::Take(folder + "/lock");
+state::DirectoryLock TakeLock(const std::string& folder) {
+  auto lock = state::DirectoryLock::TryAcquire(folder + "/lock");
   if (!lock) throw AlreadyRuns("another supervisor holds " + folder);
   return std::move(*lock);
 }
 
-const char* NameOf(const decide::Action& action) {
+const char* NameOf(const decide::SupervisorAction& action) {
   return std::visit(
       [](const auto& a) {
         using A = std::decay_t<decltype(a)>;
-        if constexpr (std::is_same_v<A, decide::Save>) return "save";
-        if constexpr (std::is_same_v<A, decide::Start>) return "start";
-        if constexpr (std::is_same_v<A, decide::Release>) return "release";
-        if constexpr (std::is_same_v<A, decide::TellLeave>) return "tell-leave";
-        if constexpr (std::is_same_v<A, decide::Kill>) return "kill";
-        if constexpr (std::is_same_v<A, decide::Point>) return "point";
-        if constexpr (std::is_same_v<A, decide::Exit>) return "exit";
+        if constexpr (std::is_same_v<A, decide::PersistState>) return "save";
+        if constexpr (std::is_same_v<A, decide::SpawnProcess>) return "start";
+        if constexpr (std::is_same_v<A, decide::ReleaseProcess>) return "release";
+        if constexpr (std::is_same_v<A, decide::RequestDrain>) return "tell-leave";
+        if constexpr (std::is_same_v<A, decide::KillProcess>) return "kill";
+        if constexpr (std::is_same_v<A, decide::RedirectControlSocket>) return "point";
+        if constexpr (std::is_same_v<A, decide::ExitSupervisor>) return "exit";
         return "";
       },
       action);
@@ -114,12 +114,12 @@
     if (!response.is_object() || !response.contains("result") || !response["result"].is_object()) return;
     seen = response["result"];
     const std::string state = seen.value("state", "");
-    owner.Take(decide::Seen{generation, seen.value("ready", false), state == "draining"});
+    owner.Take(decide::StatusReported{generation, seen.value("ready", false), state == "draining"});
   }
   void Unanswered() {
     asked = false;
     Lose();
-    owner.Take(decide::Silent{generation});
+    owner.Take(decide::Unresponsive{generation});
   }
   void Lose() {
     if (!link) return;
@@ -149,9 +149,9 @@
       lock_(TakeLock(options_.folder)),
       config_(ReadConfig(options_.config)),
       base_(net::MakeBase()),
-      store_(state::SystemFiles(), options_.folder, state::BootId()),
+      store_(state::SystemFileSystem(), options_.folder, state::BootId()),
       decide_(config_.limits, options_.seed),
-      tick_(base_.get(), [this] { Take(decide::Tick{}); }),
+      tick_(base_.get(), [this] { Take(decide::TimerExpired{}); }),
       look_(base_.get(), [this] { Look(); }) {
   std::filesystem::create_directories(Path("run"));
   std::filesystem::permissions(Path("run"), std::filesystem::perms::owner_all);
@@ -163,20 +163,20 @@
   };
   // Who ends the supervisor by SIGTERM wants the appliance down, as `down` does: a machine that goes off.
   const auto down = [](evutil_socket_t, short, void* self) {
-    static_cast<Supervisor*>(self)->Take(decide::AskDown{});
+    static_cast<Supervisor*>(self)->Take(decide::StopRequested{});
   };
   on(SIGTERM, down);
   on(SIGINT, down);
-  const auto handler = [this](decide::Event event) {
+  const auto handler = [this](decide::SupervisorEvent event) {
     return [this, event](const nlohmann::json&) { return Ask(event); };
   };
   server_ = std::make_unique<control::Server>(
       base_.get(), control::Server::Options{.path = Path("supervisor.sock")}, [this] { return Status(); },
       std::map<std::string, control::Server::Handler>{
-          {"up", handler(decide::AskUp{})},
-          {"drain", handler(decide::AskDrain{})},
-          {"down", handler(decide::AskDown{})},
-          {"upgrade", handler(decide::AskUpgrade{})},
+          {"up", handler(decide::StartRequested{})},
+          {"drain", handler(decide::DrainRequested{})},
+          {"down", handler(decide::StopRequested{})},
+          {"upgrade", handler(decide::UpgradeRequested{})},
           {"reload", [this](const nlohmann::json&) { return Reload(); }},
           {"version", [](const nlohmann::json&) {
              return Json{{"control", control::kVersion}};
@@ -200,9 +200,9 @@
   return std::filesystem::exists(SocketOf(generation) + ".ended");
 }
 
-decide::Plan Supervisor::Search() const {
-  decide::Plan plan;
-  std::vector<decide::Life> found;
+decide::SupervisorState Supervisor::Search() const {
+  decide::SupervisorState plan;
+  std::vector<decide::Incarnation> found;
   for (const auto& entry : std::filesystem::directory_iterator(options_.folder)) {
     const std::string name = entry.path().filename();
     std::uint64_t generation = 0;
@@ -213,45 +213,45 @@
     plan.last_generation = std::max(plan.last_generation, generation);
     try {
       const auto seen = control::Client(entry.path()).Call("status", nlohmann::json::object(), kSearchWithin);
-      decide::Life life;
+      decide::Incarnation life;
       life.generation = generation;
       life.process.pid = seen.value("pid", 0);
       life.process.start_ticks = StartTicks(life.process.pid).value_or(0);
       life.ready = seen.value("ready", false);
       const std::string state = seen.value("state", "");
-      life.leaving = state == "draining" || state == "handed-over";
+      life.draining = state == "draining" || state == "handed-over";
       found.push_back(life);
     } catch (const std::exception&) {
       // Nobody answers: its process has ended.
     }
   }
   std::sort(found.begin(), found.end(), [](const auto& a, const auto& b) {
-    return std::tie(a.leaving, b.generation) < std::tie(b.leaving, a.generation);
+    return std::tie(a.draining, b.generation) < std::tie(b.draining, a.generation);
   });
   if (!found.empty()) plan.current = found[0];
   if (found.size() > 1) plan.predecessor = found[1];
-  if (plan.current && plan.current->leaving) plan.want = decide::Want::kDrained;
+  if (plan.current && plan.current->draining) plan.desired = decide::DesiredState::kDrained;
   return plan;
 }
 
 void Supervisor::Adopt() {
-  state::FoundPlan found = store_.Load();
-  using What = state::FoundPlan::What;
-  if (found.what == What::kDamaged || found.what == What::kNewer) {
-    log::Warn("plan-set-aside", {{"what", found.why}});
+  state::LoadedSupervisorState found = store_.Load();
+  using Status = state::LoadedSupervisorState::Status;
+  if (found.status == Status::kCorrupt || found.status == Status::kUnsupportedVersion) {
+    log::Warn("plan-set-aside", {{"what", found.detail}});
   }
-  if (found.what != What::kGood) {
-    const decide::Plan searched = Search();
+  if (found.status != Status::kValid) {
+    const decide::SupervisorState searched = Search();
     // What was wanted holds across a boot; who serves is what the sockets tell.
-    found.plan.last_generation = std::max(found.plan.last_generation, searched.last_generation);
-    found.plan.current = searched.current;
-    found.plan.predecessor = searched.predecessor;
-    if (found.what != What::kOtherBoot) found.plan.want = searched.want;
+    found.state.last_generation = std::max(found.state.last_generation, searched.last_generation);
+    found.state.current = searched.current;
+    found.state.predecessor = searched.predecessor;
+    if (found.status != Status::kPreviousBoot) found.state.desired = searched.desired;
   }
   // No node of an earlier life may be given a number twice: its socket would be taken for the new one's.
-  decide::Plan& plan = found.plan;
+  decide::SupervisorState& plan = found.state;
   std::vector<std::uint64_t> gone;
-  for (std::optional<decide::Life>* life : {&plan.current, &plan.successor, &plan.predecessor}) {
+  for (std::optional<decide::Incarnation>* life : {&plan.current, &plan.successor, &plan.predecessor}) {
     if (!*life) continue;
     if (auto process = Process::Find((*life)->process)) {
       log::Info("adopted", {{"generation", (*life)->generation}, {"pid", (*life)->process.pid}});
@@ -261,13 +261,14 @@
     }
   }
   // Who asks for the node to be up does not mean a supervisor that ends with the node before.
-  if (options_.asked_up && plan.want == decide::Want::kDown) plan.want = decide::Want::kDrained;
-  events_.push_back(decide::Began{plan});
+  if (options_.asked_up && plan.desired == decide::DesiredState::kStopped)
+    plan.desired = decide::DesiredState::kDrained;
+  events_.push_back(decide::SupervisorStarted{plan});
   for (const std::uint64_t generation : gone) {
     log::Info("found-ended", {{"generation", generation}});
-    events_.push_back(decide::Gone{generation, EndedWell(generation)});
+    events_.push_back(decide::Exited{generation, EndedWell(generation)});
   }
-  if (options_.asked_up) events_.push_back(decide::AskUp{});
+  if (options_.asked_up) events_.push_back(decide::StartRequested{});
   Work();
   answer_.reset();
 }
@@ -287,7 +288,7 @@
   log::Info("supervisor-ends");
 }
 
-void Supervisor::Take(const decide::Event& event) {
+void Supervisor::Take(const decide::SupervisorEvent& event) {
   events_.push_back(event);
   Work();
 }
@@ -296,48 +297,49 @@
 void Supervisor::Work() {
   if (std::exchange(taking_, true)) return;
   while (!events_.empty()) {
-    const decide::Event next = events_.front();
+    const decide::SupervisorEvent next = events_.front();
     events_.pop_front();
-    for (const decide::Action& action : decide_.Take(Now(), next)) Carry(action);
+    for (const decide::SupervisorAction& action : decide_.OnEvent(Now(), next)) Carry(action);
   }
   taking_ = false;
   // A full disk has room again.
   if (!saved_) Save();
 }
 
-void Supervisor::Carry(const decide::Action& action) {
+void Supervisor::Carry(const decide::SupervisorAction& action) {
   if (const char* name = NameOf(action); options_.before && *name != '\0') options_.before(name, ++actions_);
   std::visit(
       [this](const auto& a) {
         using A = std::decay_t<decltype(a)>;
-        if constexpr (std::is_same_v<A, decide::Save>) {
+        if constexpr (std::is_same_v<A, decide::PersistState>) {
           Save();
-        } else if constexpr (std::is_same_v<A, decide::Start>) {
+        } else if constexpr (std::is_same_v<A, decide::SpawnProcess>) {
           StartProcess(a.generation);
-        } else if constexpr (std::is_same_v<A, decide::Release>) {
+        } else if constexpr (std::is_same_v<A, decide::ReleaseProcess>) {
           if (waiting_ && waiting_generation_ == a.generation) waiting_->Release();
           waiting_.reset();
-        } else if constexpr (std::is_same_v<A, decide::TellLeave> || std::is_same_v<A, decide::Kill>) {
+        } else if constexpr (std::is_same_v<A, decide::RequestDrain> ||
+                             std::is_same_v<A, decide::KillProcess>) {
           const auto held = held_.find(a.generation);
-          const int number = std::is_same_v<A, decide::Kill> ? SIGKILL : SIGTERM;
+          const int number = std::is_same_v<A, decide::KillProcess> ? SIGKILL : SIGTERM;
           if (held != held_.end()) held->second->process.Signal(number);
-        } else if constexpr (std::is_same_v<A, decide::Point>) {
+        } else if constexpr (std::is_same_v<A, decide::RedirectControlSocket>) {
           Point(a.generation);
-        } else if constexpr (std::is_same_v<A, decide::Arm>) {
+        } else if constexpr (std::is_same_v<A, decide::SetTimer>) {
           const double in = std::max(0.0, a.at - Now());
           tick_.After(std::chrono::duration_cast<net::Steady::duration>(
               std::chrono::duration<double, std::milli>(in + 1)));
-        } else if constexpr (std::is_same_v<A, decide::Report>) {
+        } else if constexpr (std::is_same_v<A, decide::LogEvent>) {
           last_report_ = a.code;
-          if (a.in > 0) {
-            log::Warn(a.code,
-                      {{"generation", a.generation}, {"again_in_ms", static_cast<std::int64_t>(a.in)}});
+          if (a.restart_in > 0) {
+            log::Warn(a.code, {{"generation", a.generation},
+                               {"again_in_ms", static_cast<std::int64_t>(a.restart_in)}});
           } else {
             log::Info(a.code, {{"generation", a.generation}});
           }
-        } else if constexpr (std::is_same_v<A, decide::Answer>) {
+        } else if constexpr (std::is_same_v<A, decide::OperatorReply>) {
           answer_ = a;
-        } else if constexpr (std::is_same_v<A, decide::Exit>) {
+        } else if constexpr (std::is_same_v<A, decide::ExitSupervisor>) {
           exit_ = true;
         }
       },
@@ -346,11 +348,12 @@
 
 void Supervisor::WriteNodeConfig(std::uint64_t generation) {
   std::uint64_t seed = options_.seed + generation * 0x9e3779b97f4a7c15u;
-  state::WriteWhole(state::SystemFiles(), options_.folder, "node-" + std::to_string(generation) + ".json",
-                    config_.NodeJson(generation, seed));
+  state::WriteFileAtomically(state::SystemFileSystem(), options_.folder,
+                             "node-" + std::to_string(generation) + ".json",
+                             config_.NodeJson(generation, seed));
   if (config_.peers.is_object()) {
-    state::WriteWhole(state::SystemFiles(), options_.folder, "peers-" + std::to_string(generation) + ".json",
-                      config_.peers.dump(2) + '\n');
+    state::WriteFileAtomically(state::SystemFileSystem(), options_.folder,
+                               "peers-" + std::to_string(generation) + ".json", config_.peers.dump(2) + '\n');
   }
 }
 
@@ -362,7 +365,7 @@
     } catch (const std::exception& fault) {
       log::Warn("configuration-not-taken", {{"what", fault.what()}});
     }
-    if (decide_.plan().successor && config_.pool.size() < 2) {
+    if (decide_.state().successor && config_.pool.size() < 2) {
       throw std::runtime_error("an upgrade needs a second address in /node/pool");
     }
     WriteNodeConfig(generation);
@@ -396,12 +399,12 @@
     auto process = Process::Find(waiting_->id());
     if (!process) throw std::runtime_error("the new process ended at once");
     HoldProcess(generation, std::move(*process));
-    events_.push_back(decide::Started{generation, waiting_->id()});
+    events_.push_back(decide::ProcessStarted{generation, waiting_->id()});
   } catch (const std::exception& fault) {
     log::Warn("start-failed", {{"generation", generation}, {"what", fault.what()}});
     // The process that waited, if there is one, ends by that; it is held until it has.
     waiting_.reset();
-    events_.push_back(decide::StartFailed{generation});
+    events_.push_back(decide::ProcessStartFailed{generation});
   }
 }
 
@@ -426,14 +429,14 @@
   std::filesystem::remove(SocketOf(generation) + ".ended", ignored);
   std::filesystem::remove(Path("node-" + std::to_string(generation) + ".json"), ignored);
   std::filesystem::remove(Path("peers-" + std::to_string(generation) + ".json"), ignored);
-  Take(decide::Gone{generation, clean});
+  Take(decide::Exited{generation, clean});
 }
 
 // A disk that is full or broken does not stop the node from serving. Should the supervisor die meanwhile, the
 // next one asks at the sockets what there is.
 void Supervisor::Save() {
   try {
-    store_.Save(decide_.plan());
+    store_.Save(decide_.state());
     if (!std::exchange(saved_, true)) log::Info("plan-saved-again");
   } catch (const state::FileError& fault) {
     if (std::exchange(saved_, false)) log::Warn("plan-not-saved", {{"what", fault.what()}});
@@ -457,18 +460,18 @@
   if (!saved_) Save();
 }
 
-Json Supervisor::Ask(const decide::Event& event) {
+Json Supervisor::Ask(const decide::SupervisorEvent& event) {
   answer_.reset();
   Take(event);
-  const decide::Answer answer = answer_.value_or(decide::Answer{false, "ends"});
+  const decide::OperatorReply answer = answer_.value_or(decide::OperatorReply{false, "ends"});
   if (!answer.ok) throw control::Fault(answer.code, std::string("the supervisor says no: ") + answer.code);
   return {{"already", std::strcmp(answer.code, "already") == 0},
-          {"generation", decide_.plan().last_generation},
-          {"phase", decide::PhaseName(decide_.phase())}};
+          {"generation", decide_.state().last_generation},
+          {"phase", decide::SupervisorPhaseName(decide_.phase())}};
 }
 
 Json Supervisor::Reload() {
-  const decide::Plan& plan = decide_.plan();
+  const decide::SupervisorState& plan = decide_.state();
   if (!plan.current) throw control::Fault("not-serving", "no node serves; the next start reads the file");
   try {
     Config fresh = ReadConfig(options_.config);
@@ -492,11 +495,13 @@
 }
 
 Json Supervisor::Status() const {
-  const decide::Plan& plan = decide_.plan();
-  const auto life = [this](const std::optional<decide::Life>& l) -> Json {
+  const decide::SupervisorState& plan = decide_.state();
+  const auto life = [this](const std::optional<decide::Incarnation>& l) -> Json {
     if (!l) return nullptr;
-    Json json = {
-        {"generation", l->generation}, {"pid", l->process.pid}, {"ready", l->ready}, {"leaving", l->leaving}};
+    Json json = {{"generation", l->generation},
+                 {"pid", l->process.pid},
+                 {"ready", l->ready},
+                 {"leaving", l->draining}};
     const auto held = held_.find(l->generation);
     if (held != held_.end() && held->second->seen.is_object()) {
       json["state"] = held->second->seen.value("state", "");
@@ -506,15 +511,15 @@
   };
   Json json = {{"schema", 1},
                {"pid", getpid()},
-               {"phase", decide::PhaseName(decide_.phase())},
+               {"phase", decide::SupervisorPhaseName(decide_.phase())},
                {"last_report", last_report_},
                {"last_generation", plan.last_generation},
-               {"crashes_in_row", plan.crashes_in_row},
+               {"crashes_in_row", plan.consecutive_crashes},
                {"plan_saved", saved_},
                {"current", life(plan.current)},
                {"successor", life(plan.successor)},
                {"predecessor", life(plan.predecessor)}};
-  if (decide_.start_at()) json["start_in_ms"] = std::max(0.0, *decide_.start_at() - Now());
+  if (decide_.restart_at()) json["start_in_ms"] = std::max(0.0, *decide_.restart_at() - Now());
   return json;
 }
 
--- a/src/appliance/supervisor.h
+++ b/src/appliance/supervisor.h
@@ -2,7 +2,7 @@
 //
 // In the state folder:
 //   lock                held as long as a supervisor lives
-//   plan.json           what lasts (state/plan_store.h)
+//   plan.json           what lasts (state/supervisor_state_store.h)
 //   node-N.json         the configuration of start N
 //   peers-N.json        how it joins the other nodes; only where the appliance's file says so
 //   node-N.sock         the control socket of start N
@@ -25,10 +25,10 @@
 #include "appliance/config.h"
 #include "appliance/processes.h"
 #include "control/server.h"
-#include "decide/supervise.h"
+#include "decide/supervision/supervisor.h"
 #include "net/event.h"
-#include "state/files.h"
-#include "state/plan_store.h"
+#include "state/file_system.h"
+#include "state/supervisor_state_store.h"
 
 namespace hingelink::appliance {
 
@@ -63,10 +63,10 @@
 
   void Adopt();
   // Guards against a second node where no plan tells of the first: asks at each socket that is there.
-  decide::Plan Search() const;
-  void Take(const decide::Event& event);
+  decide::SupervisorState Search() const;
+  void Take(const decide::SupervisorEvent& event);
   void Work();
-  void Carry(const decide::Action& action);
+  void Carry(const decide::SupervisorAction& action);
   void StartProcess(std::uint64_t generation);
   void HoldProcess(std::uint64_t generation, Process process);
   void Ended(std::uint64_t generation);
@@ -75,7 +75,7 @@
   void Look();
   void WriteNodeConfig(std::uint64_t generation);
   control::Json Status() const;
-  control::Json Ask(const decide::Event& event);
+  control::Json Ask(const decide::SupervisorEvent& event);
   control::Json Reload();
   std::string Path(const std::string& name) const { return options_.folder + '/' + name; }
   std::string SocketOf(std::uint64_t generation) const;
@@ -83,21 +83,21 @@
   decide::TimeMs Now() const;
 
   SupervisorOptions options_;
-  state::FolderLock lock_;
+  state::DirectoryLock lock_;
   Config config_;
   net::BasePtr base_;
-  state::PlanStore store_;
-  decide::Supervise decide_;
+  state::SupervisorStateStore store_;
+  decide::Supervisor decide_;
   std::map<std::uint64_t, std::unique_ptr<Held>> held_;
   std::vector<std::unique_ptr<Held>> ended_;  // Freed outside their own callbacks.
   std::unique_ptr<WaitingProcess> waiting_;
   std::uint64_t waiting_generation_ = 0;
   net::Timer tick_;
   net::Timer look_;
-  std::deque<decide::Event> events_;
+  std::deque<decide::SupervisorEvent> events_;
   bool taking_ = false;
   bool saved_ = true;
-  std::optional<decide::Answer> answer_;
+  std::optional<decide::OperatorReply> answer_;
   std::uint64_t actions_ = 0;
   std::string last_report_;
   std::unique_ptr<control::Server> server_;
--- a/src/background/runner.cpp
+++ b/src/background/job_runner.cpp
@@ -1,4 +1,4 @@
-#include "background/runner.h"
+#include "background/job_runner.h"
 
 #include <sys/eventfd.h>
 #include <time.h>
@@ -37,15 +37,15 @@
 }  // namespace
 
 // Outlives the runner where a call hangs.
-struct Runner::Shared {
+struct JobRunner::Shared {
   struct Done {
     decide::JobIndex job = 0;
-    Took took;
+    JobResult result;
     decide::JobTime cpu{0};
   };
   std::mutex mutex;
   std::condition_variable changed;
-  std::optional<std::pair<decide::JobIndex, Work>> next;
+  std::optional<std::pair<decide::JobIndex, JobFunction>> next;
   std::optional<Done> done;
   bool stop = false;
   std::atomic<bool> cancelled{false};
@@ -54,7 +54,7 @@
   static void Run(const std::shared_ptr<Shared>& self) {
     pthread_setname_np(pthread_self(), "background");
     for (;;) {
-      std::pair<decide::JobIndex, Work> task;
+      std::pair<decide::JobIndex, JobFunction> task;
       {
         std::unique_lock lock(self->mutex);
         self->changed.wait(lock, [&] { return self->stop || self->next; });
@@ -64,9 +64,9 @@
       Done done{task.first, {}, {}};
       const decide::JobTime before = ThreadCpu();
       try {
-        done.took = task.second(self->cancelled);
+        done.result = task.second(self->cancelled);
       } catch (const std::exception& fault) {
-        done.took = {false, 0, fault.what()};
+        done.result = {false, 0, fault.what()};
       }
       done.cpu = ThreadCpu() - before;
       task.second = {};
@@ -81,29 +81,30 @@
   }
 };
 
-Runner::Runner(event_base* base, const decide::BackgroundOptions& options, std::vector<Job> jobs, Sees sees)
+JobRunner::JobRunner(event_base* base, const decide::JobSchedulerOptions& options, std::vector<Job> jobs,
+                     NodeConditions conditions)
     : jobs_(std::move(jobs)),
-      sees_(std::move(sees)),
-      decide_(options, Specs(jobs_), Now()),
+      conditions_(std::move(conditions)),
+      scheduler_(options, Specs(jobs_), Now()),
       shared_(std::make_shared<Shared>()),
-      heard_(event_new(
+      finished_event_(event_new(
           base, shared_->wake.get(), EV_READ | EV_PERSIST,
           [](evutil_socket_t fd, short, void* self) {
             std::uint64_t count = 0;
             (void)!read(fd, &count, sizeof count);
-            static_cast<Runner*>(self)->Hear();
+            static_cast<JobRunner*>(self)->OnJobFinished();
           },
           this)),
-      next_(base,
-            [this] {
-              Carry(decide_.Pass(Now()));
-              Arm();
-            }),
-      see_(base, [this] { SeeNode(); }) {
-  if (!heard_) throw std::runtime_error("libevent: no event");
-  event_add(heard_.get(), nullptr);
-  see_.After(kSee);
-  Arm();
+      wakeup_timer_(base,
+                    [this] {
+                      ExecuteActions(scheduler_.Advance(Now()));
+                      SetTimer();
+                    }),
+      poll_timer_(base, [this] { PollConditions(); }) {
+  if (!finished_event_) throw std::runtime_error("libevent: no event");
+  event_add(finished_event_.get(), nullptr);
+  poll_timer_.After(kSee);
+  SetTimer();
   // Signals are the loop's.
   sigset_t all, before;
   sigfillset(&all);
@@ -112,25 +113,25 @@
   pthread_sigmask(SIG_SETMASK, &before, nullptr);
 }
 
-Runner::~Runner() { Finish(1s); }
+JobRunner::~JobRunner() { Finish(1s); }
 
-void Runner::Finish(std::chrono::milliseconds at_most) {
+void JobRunner::Finish(std::chrono::milliseconds at_most) {
   if (std::exchange(finished_, true)) return;
   const net::Steady::time_point until = net::Steady::now() + at_most;
-  Carry(decide_.Drain(Now()));
-  while (!decide_.over()) {
+  ExecuteActions(scheduler_.BeginDrain(Now()));
+  while (!scheduler_.drained()) {
     {
       std::unique_lock lock(shared_->mutex);
       if (!shared_->changed.wait_until(lock, until, [this] { return shared_->done.has_value(); })) break;
     }
-    Hear();
+    OnJobFinished();
   }
   {
     const std::lock_guard lock(shared_->mutex);
     shared_->stop = true;
   }
   shared_->changed.notify_all();
-  if (decide_.idle()) {
+  if (scheduler_.idle()) {
     thread_.join();
   } else {
     // Guards the end of the process against a disk that hangs.
@@ -139,11 +140,11 @@
   }
 }
 
-void Runner::Carry(const decide::BackgroundActions& actions) {
-  for (const decide::BackgroundAction& action : actions) {
+void JobRunner::ExecuteActions(const decide::JobActions& actions) {
+  for (const decide::JobAction& action : actions) {
     if (const auto* start = std::get_if<decide::StartJob>(&action)) {
       shared_->cancelled = false;
-      Work work = jobs_[start->job].prepare(start->last);
+      JobFunction work = jobs_[start->job].prepare(start->final_run);
       {
         const std::lock_guard lock(shared_->mutex);
         shared_->next.emplace(start->job, std::move(work));
@@ -152,50 +153,52 @@
     } else if (std::holds_alternative<decide::CancelJob>(action)) {
       shared_->cancelled = true;
     } else {
-      log::Warn("background-stuck", {{"job", jobs_[std::get<decide::ReportStuck>(action).job].spec.name}});
+      log::Warn("background-stuck", {{"job", jobs_[std::get<decide::ReportStuckJob>(action).job].spec.name}});
     }
   }
 }
 
-void Runner::Hear() {
+void JobRunner::OnJobFinished() {
   std::optional<Shared::Done> done;
   {
     const std::lock_guard lock(shared_->mutex);
     done = std::exchange(shared_->done, std::nullopt);
   }
   if (!done) return;
-  if (!done->took.good) {
-    log::Warn("background-failed", {{"job", jobs_[done->job].spec.name}, {"what", done->took.why}});
+  if (!done->result.succeeded) {
+    log::Warn("background-failed", {{"job", jobs_[done->job].spec.name}, {"what", done->result.error}});
   }
-  Carry(decide_.Ended(done->job, done->took.good, done->cpu, done->took.bytes, Now()));
-  Arm();
+  ExecuteActions(scheduler_.OnJobFinished(done->job, done->result.succeeded, done->cpu,
+                                          done->result.bytes_written, Now()));
+  SetTimer();
 }
 
-void Runner::SeeNode() {
-  see_.After(kSee);
-  Carry(sees_.leaving() ? decide_.Drain(Now()) : decide_.SetPressure(sees_.under_pressure(), Now()));
-  Arm();
+void JobRunner::PollConditions() {
+  poll_timer_.After(kSee);
+  ExecuteActions(conditions_.draining() ? scheduler_.BeginDrain(Now())
+                                        : scheduler_.SetOverloaded(conditions_.under_pressure(), Now()));
+  SetTimer();
 }
 
-void Runner::Arm() {
-  if (const auto next = decide_.Next(Now())) {
-    next_.After(std::chrono::duration_cast<net::Steady::duration>(*next - Now()));
+void JobRunner::SetTimer() {
+  if (const auto next = scheduler_.NextWakeup(Now())) {
+    wakeup_timer_.After(std::chrono::duration_cast<net::Steady::duration>(*next - Now()));
   } else {
-    next_.Stop();
+    wakeup_timer_.Stop();
   }
 }
 
-void Runner::Ask(const std::string& name) {
+void JobRunner::RequestRun(const std::string& name) {
   for (decide::JobIndex i = 0; i < jobs_.size(); ++i) {
-    if (jobs_[i].spec.name == name) Carry(decide_.Ask(i, Now()));
+    if (jobs_[i].spec.name == name) ExecuteActions(scheduler_.RequestRun(i, Now()));
   }
-  Arm();
+  SetTimer();
 }
 
-std::vector<JobLook> Runner::LookAt() const {
-  std::vector<JobLook> looks;
+std::vector<JobReport> JobRunner::JobReports() const {
+  std::vector<JobReport> looks;
   for (decide::JobIndex i = 0; i < jobs_.size(); ++i) {
-    looks.push_back({jobs_[i].spec.name, jobs_[i].spec.priority, decide_.LookAt(i, Now())});
+    looks.push_back({jobs_[i].spec.name, jobs_[i].spec.priority, scheduler_.StatsOf(i, Now())});
   }
   return looks;
 }
--- a/src/cli/control_of_node.cpp
+++ b/src/cli/control_of_node.cpp
@@ -3,7 +3,7 @@
 #include <arpa/inet.h>
 #include <unistd.h>
 
-#include "background/keeper.h"
+#include "background/learned_state_persister.h"
 #include "control/server.h"
 #include "fleet/fleet.h"
 #include "log/log.h"
@@ -85,29 +85,29 @@
 class KeptState : public StateOfNode {
  public:
   KeptState(node::Node& node, const std::string& folder)
-      : keeper_(node, state::SystemFiles(), {.folder = folder}) {}
+      : keeper_(node, state::SystemFileSystem(), {.directory = folder}) {}
   void Finish() override { keeper_.Finish(); }
   std::string Jobs() const override {
     static constexpr const char* kStates[] = {"resting", "due", "running"};
     Json jobs = Json::array();
-    for (const background::JobLook& job : keeper_.LookAt()) {
+    for (const background::JobReport& job : keeper_.JobReports()) {
       jobs.push_back({{"name", job.name},
                       {"priority", job.priority},
-                      {"state", kStates[static_cast<int>(job.look.state)]},
-                      {"runs", job.look.runs},
-                      {"failures", job.look.failures},
-                      {"starved", job.look.starved},
-                      {"cancelled", job.look.cancelled},
-                      {"due_for_ms", job.look.due_for.count()},
-                      {"last_took_ms", job.look.last_took.count()},
-                      {"cpu_ms", job.look.cpu.count()},
-                      {"bytes", job.look.bytes}});
+                      {"state", kStates[static_cast<int>(job.stats.state)]},
+                      {"runs", job.stats.runs},
+                      {"failures", job.stats.failures},
+                      {"starved", job.stats.starvation_runs},
+                      {"cancelled", job.stats.cancelled},
+                      {"due_for_ms", job.stats.overdue_by.count()},
+                      {"last_took_ms", job.stats.last_duration.count()},
+                      {"cpu_ms", job.stats.cpu.count()},
+                      {"bytes", job.stats.bytes}});
     }
     return jobs.dump();
   }
 
  private:
-  background::Keeper keeper_;
+  background::LearnedStatePersister keeper_;
 };
 
 class MembersOfFleet : public FleetOfNode {
--- a/src/cli/learned.cpp
+++ b/src/cli/learned.cpp
@@ -12,7 +12,7 @@
 #include "cli/commands.h"
 #include "cli/state_folder.h"
 #include "control/client.h"
-#include "decide/recall.h"
+#include "decide/learned/learned_state_import.h"
 #include "state/learned_store.h"
 
 namespace hingelink::cli {
@@ -26,15 +26,15 @@
 };
 
 // Looks and touches nothing: what Load() would set aside stays where it is.
-class ReadOnly : public state::Files {
+class ReadOnly : public state::FileSystem {
  public:
-  std::unique_ptr<state::OpenFile> Create(const std::string& path) override {
+  std::unique_ptr<state::WritableFile> Create(const std::string& path) override {
     throw state::FileError("open " + path + ": this command only reads");
   }
   void Rename(const std::string&, const std::string&) override {}
-  void SyncFolder(const std::string&) override {}
+  void SyncDirectory(const std::string&) override {}
   std::optional<std::string> Read(const std::string& path) override {
-    return state::SystemFiles().Read(path);
+    return state::SystemFileSystem().Read(path);
   }
 };
 
@@ -46,7 +46,7 @@
   return text;
 }
 
-state::FoundLearned Look(const StateOptions& options) {
+state::LoadedLearned Look(const StateOptions& options) {
   if (!std::filesystem::is_directory(options.folder)) {
     throw std::runtime_error(options.folder + ": there is no such folder; give the one of serve --learned");
   }
@@ -55,14 +55,15 @@
 }
 
 int Show(const StateOptions& options) {
-  const state::FoundLearned found = Look(options);
+  const state::LoadedLearned found = Look(options);
   if (options.json) {
-    Json json = {{"found", found.stored.has_value()}, {"records", found.records}, {"notes", found.notes}};
-    if (found.stored) {
-      const decide::Remembered& r = found.stored->remembered;
-      json["sequence"] = found.stored->sequence;
-      json["site"] = r.site;
-      json["at_ms"] = r.at.count();
+    Json json = {
+        {"found", found.entry.has_value()}, {"records", found.log_records}, {"notes", found.warnings}};
+    if (found.entry) {
+      const decide::LearnedRecord& r = found.entry->record;
+      json["sequence"] = found.entry->sequence;
+      json["site"] = r.node_name;
+      json["at_ms"] = r.recorded_at.count();
       json["classes"] = Json::array();
       for (const hingelink::LearnedClass& c : r.learned.classes) {
         json["classes"].push_back({{"name", c.name},
@@ -70,47 +71,46 @@
                                    {"cost_ms", c.core_time_ms},
                                    {"hint_ms", c.expected_work_ms},
                                    {"samples", c.samples},
-                                   {"wrong", decide::Implausible(c)}});
+                                   {"wrong", decide::SanityCheckFailure(c)}});
       }
     }
     std::printf("%s\n", json.dump(2).c_str());
-  } else if (!found.stored) {
+  } else if (!found.entry) {
     std::printf("nothing learned in %s\n", options.folder.c_str());
   } else {
-    const decide::Remembered& r = found.stored->remembered;
+    const decide::LearnedRecord& r = found.entry->record;
     std::printf("%s, learned by %s, %s, entry %llu (%zu in the log)\n", options.folder.c_str(),
-                r.site.c_str(), When(r.at).c_str(), static_cast<unsigned long long>(found.stored->sequence),
-                found.records);
+                r.node_name.c_str(), When(r.recorded_at).c_str(),
+                static_cast<unsigned long long>(found.entry->sequence), found.log_records);
     std::printf("%-24s %10s %10s %10s %9s\n", "class", "run ms", "cost ms", "hint ms", "samples");
     for (const hingelink::LearnedClass& c : r.learned.classes) {
       std::printf("%-24s %10.2f %10.2f %10.2f %9d %s\n", c.name.c_str(), c.run_ms, c.core_time_ms,
-                  c.expected_work_ms, c.samples, decide::Implausible(c).c_str());
+                  c.expected_work_ms, c.samples, decide::SanityCheckFailure(c).c_str());
     }
   }
-  for (const std::string& note : found.notes) std::fprintf(stderr, "hingelink: %s\n", note.c_str());
+  for (const std::string& note : found.warnings) std::fprintf(stderr, "hingelink: %s\n", note.c_str());
   return 0;
 }
 
 int Verify(const StateOptions& options) {
-  const state::FoundLearned found = Look(options);
-  std::size_t wrong = found.notes.size();
-  for (const std::string& note : found.notes) std::printf("%s\n", note.c_str());
-  if (found.stored) {
-    for (const hingelink::LearnedClass& c : found.stored->remembered.learned.classes) {
-      const std::string why = decide::Implausible(c);
+  const state::LoadedLearned found = Look(options);
+  std::size_t wrong = found.warnings.size();
+  for (const std::string& note : found.warnings) std::printf("%s\n", note.c_str());
+  if (found.entry) {
+    for (const hingelink::LearnedClass& c : found.entry->record.learned.classes) {
+      const std::string why = decide::SanityCheckFailure(c);
       if (why.empty()) continue;
       std::printf("class \"%s\": %s\n", c.name.c_str(), why.c_str());
       ++wrong;
     }
   }
-  if (wrong == 0)
-    std::printf("%s: good%s\n", options.folder.c_str(), found.stored ? "" : ", nothing learned");
+  if (wrong == 0) std::printf("%s: good%s\n", options.folder.c_str(), found.entry ? "" : ", nothing learned");
   return wrong == 0 ? 0 : 1;
 }
 
 int Reset(const StateOptions& options) {
   Look(options);
-  const auto lock = state::FolderLock::Take(options.folder + "/learned.lock");
+  const auto lock = state::DirectoryLock::TryAcquire(options.folder + "/learned.lock");
   if (!lock) throw std::runtime_error(options.folder + ": a node keeps what it learns there; end it first");
   for (const char* name : {"learned.state", "learned.state.1", "learned.log"}) {
     std::filesystem::remove(options.folder + '/' + name);
--- a/src/decide/background.h
+++ b/src/decide/jobs/job_scheduler.h
@@ -3,8 +3,8 @@
 // the time and carries out the actions.
 //
 // One job runs at a time, so that a call that takes long (an fsync on a slow disk) holds up other jobs only.
-#ifndef HINGELINK_DECIDE_BACKGROUND_H_
-#define HINGELINK_DECIDE_BACKGROUND_H_
+#ifndef HINGELINK_DECIDE_JOBS_JOB_SCHEDULER_H_
+#define HINGELINK_DECIDE_JOBS_JOB_SCHEDULER_H_
 
 #include <chrono>
 #include <cstddef>
@@ -22,27 +22,28 @@
 
 struct JobSpec {
   std::string name;
-  int priority = 0;  // Of those that are due, the highest goes first; equal ones by how long they are due.
-  JobTime every{0};  // Due again so long after its last end; 0: only when asked for.
-  JobTime starves{60'000};  // Due for so long, it runs under pressure too, and before all that starve less.
-  JobTime stuck{10'000};    // A run that takes longer is reported, once.
-  JobTime cpu{1};           // Expected of the first run; later the mean of what runs took.
-  double bytes = 0;
-  bool last_chance = false;  // Runs once more at a drain, whatever the budgets say.
+  int priority = 0;   // Of those that are due, the highest goes first; equal ones by how long they are due.
+  JobTime period{0};  // Due again so long after its last end; 0: only when asked for.
+  JobTime starvation_limit{
+      60'000};  // Due for so long, it runs under pressure too, and before all that starve less.
+  JobTime stuck_after{10'000};  // A run that takes longer is reported, once.
+  JobTime expected_cpu{1};      // Expected of the first run; later the mean of what runs took.
+  double expected_bytes = 0;
+  bool run_on_drain = false;  // Runs once more at a drain, whatever the budgets say.
 };
 
-struct BackgroundOptions {
+struct JobSchedulerOptions {
   // Shares of one core and of the disk that all jobs together may take, and how much may be saved up.
-  double cpu_share = 0.02;
+  double cpu_fraction = 0.02;
   double bytes_per_second = 1 << 20;
-  JobTime saved_up{5'000};
+  JobTime max_burst{5'000};
   // After a failure a job waits so long, twice as long after each further one, to at most the second.
-  JobTime retry_first{1'000}, retry_most{60'000};
+  JobTime initial_backoff{1'000}, max_backoff{60'000};
 };
 
 struct StartJob {
   JobIndex job = 0;
-  bool last = false;  // The last chance before the process ends.
+  bool final_run = false;  // The last chance before the process ends.
   bool operator==(const StartJob&) const = default;
 };
 // It shall end early, with nothing half done. A wish: its end still comes by Ended().
@@ -50,45 +51,46 @@
   JobIndex job = 0;
   bool operator==(const CancelJob&) const = default;
 };
-struct ReportStuck {
+struct ReportStuckJob {
   JobIndex job = 0;
-  bool operator==(const ReportStuck&) const = default;
+  bool operator==(const ReportStuckJob&) const = default;
 };
-using BackgroundAction = std::variant<StartJob, CancelJob, ReportStuck>;
-using BackgroundActions = std::vector<BackgroundAction>;
+using JobAction = std::variant<StartJob, CancelJob, ReportStuckJob>;
+using JobActions = std::vector<JobAction>;
 
-class Background {
+class JobScheduler {
  public:
-  Background(const BackgroundOptions& options, std::vector<JobSpec> jobs, JobTime now);
+  JobScheduler(const JobSchedulerOptions& options, std::vector<JobSpec> jobs, JobTime now);
 
   // Due from now on, if it was not.
-  BackgroundActions Ask(JobIndex job, JobTime now);
+  JobActions RequestRun(JobIndex job, JobTime now);
   // Requests are under pressure, or no longer: what can wait, waits.
-  BackgroundActions SetPressure(bool high, JobTime now);
+  JobActions SetOverloaded(bool high, JobTime now);
   // Time has passed.
-  BackgroundActions Pass(JobTime now);
+  JobActions Advance(JobTime now);
   // A run is over, with what it took. `good`: it did what it was for.
-  BackgroundActions Ended(JobIndex job, bool good, JobTime cpu, double bytes, JobTime now);
+  JobActions OnJobFinished(JobIndex job, bool succeeded, JobTime cpu, double bytes, JobTime now);
   // The process ends: nothing starts any more but the last chances, highest priority first, each at most
   // once.
-  BackgroundActions Drain(JobTime now);
+  JobActions BeginDrain(JobTime now);
 
   // No job runs, and after a drain none will.
   bool idle() const { return !running_; }
-  bool over() const { return draining_ && !running_ && !NextLast(); }
+  bool drained() const { return draining_ && !running_ && !NextLast(); }
   // When to call Pass() again if nothing else happens before; nothing where only an event can change
   // anything.
-  std::optional<JobTime> Next(JobTime now) const;
+  std::optional<JobTime> NextWakeup(JobTime now) const;
 
   // What is known of a job, for those who watch.
-  enum class State { kResting, kDue, kRunning };
-  struct Look {
-    State state = State::kResting;
-    std::uint64_t runs = 0, failures = 0, starved = 0, cancelled = 0;  // `starved`: runs begun by that guard.
-    JobTime due_for{0}, last_took{0}, cpu{0};
+  enum class JobState { kIdle, kDue, kRunning };
+  struct JobStats {
+    JobState state = JobState::kIdle;
+    std::uint64_t runs = 0, failures = 0, starvation_runs = 0,
+                  cancelled = 0;  // `starved`: runs begun by that guard.
+    JobTime overdue_by{0}, last_duration{0}, cpu{0};
     double bytes = 0;  // In all, as `cpu`.
   };
-  Look LookAt(JobIndex job, JobTime now) const;
+  JobStats StatsOf(JobIndex job, JobTime now) const;
   const JobSpec& spec(JobIndex job) const { return jobs_[job].spec; }
   std::size_t size() const { return jobs_.size(); }
 
@@ -103,25 +105,25 @@
     bool last_given = false;   // It has had its last chance.
     JobTime mean_cpu{0};
     double mean_bytes = 0;
-    Look look;
+    JobStats stats;
   };
   struct Running {
     JobIndex job = 0;
     JobTime since{0};
-    bool reported = false, cancelled = false, last = false;
+    bool reported = false, cancelled = false, final_run = false;
   };
 
   void Fill(JobTime now);
-  void Go(JobTime now, BackgroundActions& actions);
-  void Start(JobIndex job, bool last, JobTime now, BackgroundActions& actions);
+  void Go(JobTime now, JobActions& actions);
+  void Start(JobIndex job, bool final_run, JobTime now, JobActions& actions);
   bool Due(const Job& job, JobTime now) const { return job.due <= now && job.not_before <= now; }
-  bool Starves(const Job& job, JobTime now) const { return now - job.due >= job.spec.starves; }
+  bool Starves(const Job& job, JobTime now) const { return now - job.due >= job.spec.starvation_limit; }
   bool Affordable(const Job& job) const;
   // The one whose turn it is, if its budget allows it.
   std::optional<JobIndex> First(JobTime now) const;
   std::optional<JobIndex> NextLast() const;
 
-  BackgroundOptions options_;
+  JobSchedulerOptions options_;
   std::vector<Job> jobs_;
   std::optional<Running> running_;
   bool pressure_ = false;
@@ -133,4 +135,4 @@
 
 }  // namespace hingelink::decide
 
-#endif  // HINGELINK_DECIDE_BACKGROUND_H_
+#endif  // HINGELINK_DECIDE_JOBS_JOB_SCHEDULER_H_
--- a/src/node/node_others.cpp
+++ b/src/node/node_others.cpp
@@ -2,7 +2,7 @@
 #include <algorithm>
 #include <utility>
 
-#include "decide/recall.h"
+#include "decide/learned/learned_state_import.h"
 #include "node/node.h"
 
 namespace hingelink::node {
@@ -101,12 +101,13 @@
 void Node::HearPredecessor(const proto::LearnedLine& line) {
   // Once decisions have begun, this process knows better. A predecessor may have had another file.
   if (policy_) return;
-  const decide::Remembered remembered{config_.name,
-                                      std::chrono::milliseconds(0),
-                                      config_.settings.cores,
-                                      {{line.name, line.aim, line.deadline}},
-                                      {{{line.name, line.run, line.cost, line.hint, line.samples}}}};
-  Recall(decide::Recall(remembered, config_.name, std::chrono::milliseconds(0), config_.settings).learned);
+  const decide::LearnedRecord remembered{config_.name,
+                                         std::chrono::milliseconds(0),
+                                         config_.settings.cores,
+                                         {{line.name, line.aim, line.deadline}},
+                                         {{{line.name, line.run, line.cost, line.hint, line.samples}}}};
+  Recall(decide::ImportLearnedRecord(remembered, config_.name, std::chrono::milliseconds(0), config_.settings)
+             .learned);
 }
 
 }  // namespace hingelink::node
--- a/src/state/files.cpp
+++ b/src/state/file_system.cpp
@@ -1,4 +1,4 @@
-#include "state/files.h"
+#include "state/file_system.h"
 
 #include <fcntl.h>
 #include <sys/file.h>
@@ -18,13 +18,13 @@
   throw FileError(std::string(call) + ' ' + path + ": " + std::strerror(errno));
 }
 
-class SystemFile : public OpenFile {
+class SystemWritableFile : public WritableFile {
  public:
-  explicit SystemFile(std::string path)
+  explicit SystemWritableFile(std::string path)
       : path_(std::move(path)), fd_(open(path_.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, 0600)) {
     if (fd_ < 0) Fail("open", path_);
   }
-  ~SystemFile() override { close(fd_); }
+  ~SystemWritableFile() override { close(fd_); }
   void Write(std::string_view bytes) override {
     while (!bytes.empty()) {
       const ssize_t got = write(fd_, bytes.data(), bytes.size());
@@ -42,22 +42,22 @@
   int fd_;
 };
 
-class System : public Files {
+class SystemFileSystemImpl : public FileSystem {
  public:
-  std::unique_ptr<OpenFile> Create(const std::string& path) override {
-    return std::make_unique<SystemFile>(path);
+  std::unique_ptr<WritableFile> Create(const std::string& path) override {
+    return std::make_unique<SystemWritableFile>(path);
   }
   void Rename(const std::string& from, const std::string& to) override {
     if (std::rename(from.c_str(), to.c_str()) != 0) Fail("rename", from);
   }
-  void SyncFolder(const std::string& folder) override {
-    const int fd = open(folder.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC);
-    if (fd < 0) Fail("open", folder);
+  void SyncDirectory(const std::string& directory) override {
+    const int fd = open(directory.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC);
+    if (fd < 0) Fail("open", directory);
     const int got = fsync(fd);
     const int error = errno;
     close(fd);
     errno = error;
-    if (got != 0) Fail("fsync", folder);
+    if (got != 0) Fail("fsync", directory);
   }
   std::optional<std::string> Read(const std::string& path) override {
     const int fd = open(path.c_str(), O_RDONLY | O_CLOEXEC);
@@ -79,13 +79,14 @@
 
 }  // namespace
 
-Files& SystemFiles() {
-  static System system;
+FileSystem& SystemFileSystem() {
+  static SystemFileSystemImpl system;
   return system;
 }
 
-void WriteWhole(Files& files, const std::string& folder, const std::string& name, std::string_view bytes) {
-  const std::string path = folder + '/' + name, fresh = path + ".new";
+void WriteFileAtomically(FileSystem& files, const std::string& directory, const std::string& name,
+                         std::string_view bytes) {
+  const std::string path = directory + '/' + name, fresh = path + ".new";
   {
     const auto file = files.Create(fresh);
     file->Write(bytes);
@@ -93,10 +94,10 @@
     file->Sync();
   }
   files.Rename(fresh, path);
-  files.SyncFolder(folder);
+  files.SyncDirectory(directory);
 }
 
-std::optional<FolderLock> FolderLock::Take(const std::string& path) {
+std::optional<DirectoryLock> DirectoryLock::TryAcquire(const std::string& path) {
   const int fd = open(path.c_str(), O_RDWR | O_CREAT | O_CLOEXEC, 0600);
   if (fd < 0) Fail("open", path);
   if (flock(fd, LOCK_EX | LOCK_NB) != 0) {
@@ -106,12 +107,12 @@
     if (error != EWOULDBLOCK) Fail("flock", path);
     return std::nullopt;
   }
-  return FolderLock(fd);
+  return DirectoryLock(fd);
 }
 
-FolderLock::FolderLock(FolderLock&& other) noexcept : fd_(std::exchange(other.fd_, -1)) {}
+DirectoryLock::DirectoryLock(DirectoryLock&& other) noexcept : fd_(std::exchange(other.fd_, -1)) {}
 
-FolderLock::~FolderLock() {
+DirectoryLock::~DirectoryLock() {
   if (fd_ >= 0) close(fd_);
 }
 
--- a/src/state/files.h
+++ b/src/state/file_system.h
@@ -1,7 +1,7 @@
 // The calls on files that state rests on, one by one, so that a test can let each of them fail or cut the
 // power behind it.
-#ifndef HINGELINK_STATE_FILES_H_
-#define HINGELINK_STATE_FILES_H_
+#ifndef HINGELINK_STATE_FILE_SYSTEM_H_
+#define HINGELINK_STATE_FILE_SYSTEM_H_
 
 #include <memory>
 #include <optional>
@@ -18,44 +18,45 @@
 };
 
 // A file that is being written.
-class OpenFile {
+class WritableFile {
  public:
-  virtual ~OpenFile() = default;
+  virtual ~WritableFile() = default;
   virtual void Write(std::string_view bytes) = 0;
   virtual void Sync() = 0;
 };
 
-class Files {
+class FileSystem {
  public:
-  virtual ~Files() = default;
+  virtual ~FileSystem() = default;
   // Empties what is there.
-  virtual std::unique_ptr<OpenFile> Create(const std::string& path) = 0;
+  virtual std::unique_ptr<WritableFile> Create(const std::string& path) = 0;
   virtual void Rename(const std::string& from, const std::string& to) = 0;
-  virtual void SyncFolder(const std::string& folder) = 0;
+  virtual void SyncDirectory(const std::string& directory) = 0;
   // Nothing where there is no such file.
   virtual std::optional<std::string> Read(const std::string& path) = 0;
 };
 
 // The machine's own.
-Files& SystemFiles();
+FileSystem& SystemFileSystem();
 
 // The file has the old bytes or the new ones, whatever happens, and the new ones once this returns. Throws
 // FileError.
-void WriteWhole(Files& files, const std::string& folder, const std::string& name, std::string_view bytes);
+void WriteFileAtomically(FileSystem& files, const std::string& directory, const std::string& name,
+                         std::string_view bytes);
 
 // A lock that ends with the process that holds it. Nothing where another process holds it.
-class FolderLock {
+class DirectoryLock {
  public:
-  static std::optional<FolderLock> Take(const std::string& path);
-  FolderLock(FolderLock&& other) noexcept;
-  FolderLock& operator=(FolderLock&&) = delete;
-  ~FolderLock();
+  static std::optional<DirectoryLock> TryAcquire(const std::string& path);
+  DirectoryLock(DirectoryLock&& other) noexcept;
+  DirectoryLock& operator=(DirectoryLock&&) = delete;
+  ~DirectoryLock();
 
  private:
-  explicit FolderLock(int fd) : fd_(fd) {}
+  explicit DirectoryLock(int fd) : fd_(fd) {}
   int fd_;
 };
 
 }  // namespace hingelink::state
 
-#endif  // HINGELINK_STATE_FILES_H_
+#endif  // HINGELINK_STATE_FILE_SYSTEM_H_
--- a/src/state/learned_store.cpp
+++ b/src/state/learned_store.cpp
@@ -34,10 +34,10 @@
   return XXH3_64bits(all.data(), all.size());
 }
 
-Json ToJson(const Stored& stored) {
-  const decide::Remembered& r = stored.remembered;
+Json ToJson(const LearnedEntry& entry) {
+  const decide::LearnedRecord& r = entry.record;
   Json told = Json::array(), classes = Json::array();
-  for (const decide::ClassTold& c : r.told) {
+  for (const decide::ClassSignature& c : r.class_signatures) {
     told.push_back({{"name", c.name}, {"aim_ms", c.latency_objective_ms}, {"deadline_ms", c.deadline_ms}});
   }
   for (const hingelink::LearnedClass& c : r.learned.classes) {
@@ -47,9 +47,8 @@
                        {"hint_ms", c.expected_work_ms},
                        {"samples", c.samples}});
   }
-  return {{"sequence", stored.sequence}, {"site", r.site},
-          {"at_ms", r.at.count()},       {"cores", r.cores},
-          {"told", std::move(told)},     {"classes", std::move(classes)}};
+  return {{"sequence", entry.sequence}, {"site", r.node_name},     {"at_ms", r.recorded_at.count()},
+          {"cores", r.cores},           {"told", std::move(told)}, {"classes", std::move(classes)}};
 }
 
 std::string Name(const Json& json) {
@@ -67,30 +66,31 @@
 }
 
 // Types and bounds of the form alone; whether the values can have been learned is decide::Recall's to say.
-Stored FromJson(const Json& json) {
-  Stored stored;
-  decide::Remembered& r = stored.remembered;
-  stored.sequence = json.at("sequence").get<std::uint64_t>();
-  r.site = json.at("site").get<std::string>();
-  r.at = std::chrono::milliseconds(json.at("at_ms").get<std::int64_t>());
+LearnedEntry FromJson(const Json& json) {
+  LearnedEntry entry;
+  decide::LearnedRecord& r = entry.record;
+  entry.sequence = json.at("sequence").get<std::uint64_t>();
+  r.node_name = json.at("site").get<std::string>();
+  r.recorded_at = std::chrono::milliseconds(json.at("at_ms").get<std::int64_t>());
   r.cores = json.at("cores").get<int>();
   for (const Json& c : List(json, "told")) {
-    r.told.push_back({Name(c), c.at("aim_ms").get<double>(), c.at("deadline_ms").get<double>()});
+    r.class_signatures.push_back({Name(c), c.at("aim_ms").get<double>(), c.at("deadline_ms").get<double>()});
   }
   for (const Json& c : List(json, "classes")) {
     r.learned.classes.push_back({Name(c), c.at("run_ms").get<double>(), c.at("cost_ms").get<double>(),
                                  c.at("hint_ms").get<double>(), c.at("samples").get<int>()});
   }
-  return stored;
+  return entry;
 }
 
 }  // namespace
 
-std::string EncodeLearned(const Stored& stored, bool record) {
-  const std::vector<std::uint8_t> cbor = Json::to_cbor(ToJson(stored));
-  if (cbor.size() > kMostLearned) throw std::length_error("what was learned takes more than 1 MiB");
+std::string EncodeLearned(const LearnedEntry& entry, bool record) {
+  const std::vector<std::uint8_t> cbor = Json::to_cbor(ToJson(entry));
+  if (cbor.size() > kMaxLearnedPayloadBytes)
+    throw std::length_error("what was learned takes more than 1 MiB");
   const std::string payload(cbor.begin(), cbor.end());
-  const std::string head = Little(kLearnedVersion, 4) + Little(payload.size(), 4);
+  const std::string head = Little(kLearnedFormatVersion, 4) + Little(payload.size(), 4);
   return std::string(record ? kRecordMagic : kSnapshotMagic) + head + Little(CheckOf(head, payload), 8) +
          payload;
 }
@@ -98,93 +98,94 @@
 DecodedLearned DecodePayload(std::string_view payload) {
   DecodedLearned decoded;
   try {
-    decoded.stored = FromJson(Json::from_cbor(payload.begin(), payload.end()));
-    decoded.what = DecodedLearned::What::kWhole;
+    decoded.entry = FromJson(Json::from_cbor(payload.begin(), payload.end()));
+    decoded.status = DecodedLearned::Status::kValid;
     decoded.bytes = payload.size();
   } catch (const std::exception& fault) {
-    decoded.why = fault.what();
+    decoded.detail = fault.what();
   }
   return decoded;
 }
 
 DecodedLearned DecodeLearned(std::string_view bytes, bool record) {
   DecodedLearned decoded;
-  const auto say = [&decoded](DecodedLearned::What what, std::string why) {
-    decoded.what = what;
-    decoded.why = std::move(why);
+  const auto say = [&decoded](DecodedLearned::Status status, std::string detail) {
+    decoded.status = status;
+    decoded.detail = std::move(detail);
     return decoded;
   };
   const std::string_view magic = record ? kRecordMagic : kSnapshotMagic;
   if (bytes.substr(0, magic.size()) != magic.substr(0, bytes.size())) {
-    return say(DecodedLearned::What::kBad, "it does not begin as such a file does");
+    return say(DecodedLearned::Status::kCorrupt, "it does not begin as such a file does");
   }
-  if (bytes.size() < kHead) return say(DecodedLearned::What::kTorn, "it ends within its head");
+  if (bytes.size() < kHead) return say(DecodedLearned::Status::kTruncated, "it ends within its head");
   const std::uint64_t version = FromLittle(bytes.substr(8, 4)), length = FromLittle(bytes.substr(12, 4));
   // Before all else that a newer one may do otherwise.
-  if (version > kLearnedVersion) {
-    return say(DecodedLearned::What::kNewer, "its version is " + std::to_string(version) +
-                                                 ", and this program knows up to " +
-                                                 std::to_string(kLearnedVersion));
+  if (version > kLearnedFormatVersion) {
+    return say(DecodedLearned::Status::kUnsupportedVersion, "its version is " + std::to_string(version) +
+                                                                ", and this program knows up to " +
+                                                                std::to_string(kLearnedFormatVersion));
   }
-  if (version == 0 || length > kMostLearned) {
-    return say(DecodedLearned::What::kBad, "its head holds numbers that no program writes");
+  if (version == 0 || length > kMaxLearnedPayloadBytes) {
+    return say(DecodedLearned::Status::kCorrupt, "its head holds numbers that no program writes");
   }
-  if (bytes.size() - kHead < length) return say(DecodedLearned::What::kTorn, "it ends too early");
+  if (bytes.size() - kHead < length) return say(DecodedLearned::Status::kTruncated, "it ends too early");
   const std::string_view payload = bytes.substr(kHead, length);
   if (FromLittle(bytes.substr(16, 8)) != CheckOf(bytes.substr(8, 8), payload)) {
-    return say(DecodedLearned::What::kBad, "its check does not match what stands in it");
+    return say(DecodedLearned::Status::kCorrupt, "its check does not match what stands in it");
   }
   decoded = DecodePayload(payload);
   decoded.bytes += kHead;
   return decoded;
 }
 
-LearnedStore::LearnedStore(Files& files, std::string folder) : files_(files), folder_(std::move(folder)) {}
+LearnedStore::LearnedStore(FileSystem& files, std::string directory)
+    : files_(files), directory_(std::move(directory)) {}
 
-std::optional<Stored> LearnedStore::LoadSnapshot(const char* name, FoundLearned& found) {
+std::optional<LearnedEntry> LearnedStore::LoadSnapshot(const char* name, LoadedLearned& found) {
   const auto bytes = files_.Read(Path(name));
   if (!bytes) return std::nullopt;
   DecodedLearned decoded = DecodeLearned(*bytes, false);
-  if (decoded.what == DecodedLearned::What::kWhole && decoded.bytes != bytes->size()) {
-    decoded.what = DecodedLearned::What::kBad;
-    decoded.why = "bytes follow behind its end";
+  if (decoded.status == DecodedLearned::Status::kValid && decoded.bytes != bytes->size()) {
+    decoded.status = DecodedLearned::Status::kCorrupt;
+    decoded.detail = "bytes follow behind its end";
   }
-  if (decoded.what == DecodedLearned::What::kWhole) return std::move(decoded.stored);
-  const char* aside = decoded.what == DecodedLearned::What::kNewer ? ".newer" : ".damaged";
-  found.notes.push_back(std::string(name) + ": " + decoded.why + "; set aside as " + name + aside);
+  if (decoded.status == DecodedLearned::Status::kValid) return std::move(decoded.entry);
+  const char* aside = decoded.status == DecodedLearned::Status::kUnsupportedVersion ? ".newer" : ".damaged";
+  found.warnings.push_back(std::string(name) + ": " + decoded.detail + "; set aside as " + name + aside);
   files_.Rename(Path(name), Path(name) + aside);
   return std::nullopt;
 }
 
-FoundLearned LearnedStore::Load() {
-  FoundLearned found;
+LoadedLearned LearnedStore::Load() {
+  LoadedLearned found;
   for (const char* name : {kSnapshot, kBefore}) {
-    std::optional<Stored> stored = LoadSnapshot(name, found);
-    if (stored && (!found.stored || stored->sequence > found.stored->sequence))
-      found.stored = std::move(stored);
+    std::optional<LearnedEntry> entry = LoadSnapshot(name, found);
+    if (entry && (!found.entry || entry->sequence > found.entry->sequence)) found.entry = std::move(entry);
   }
   const auto log = files_.Read(Path(kLog));
   if (!log) return found;
   std::string_view rest(*log);
   while (!rest.empty()) {
     DecodedLearned decoded = DecodeLearned(rest, true);
-    if (decoded.what != DecodedLearned::What::kWhole) {
-      found.torn = rest.size();
-      found.notes.push_back(std::string(kLog) + ": " + std::to_string(rest.size()) + " bytes behind record " +
-                            std::to_string(found.records) + " are left out: " + decoded.why);
+    if (decoded.status != DecodedLearned::Status::kValid) {
+      found.truncated_bytes = rest.size();
+      found.warnings.push_back(std::string(kLog) + ": " + std::to_string(rest.size()) +
+                               " bytes behind record " + std::to_string(found.log_records) +
+                               " are left out: " + decoded.detail);
       break;
     }
-    ++found.records;
+    ++found.log_records;
     rest.remove_prefix(decoded.bytes);
     // A log that is older than the snapshot was to begin anew when the power went.
-    if (!found.stored || decoded.stored.sequence > found.stored->sequence)
-      found.stored = std::move(decoded.stored);
+    if (!found.entry || decoded.entry.sequence > found.entry->sequence)
+      found.entry = std::move(decoded.entry);
   }
   return found;
 }
 
-void LearnedStore::Save(const Stored& stored) {
-  const std::string bytes = EncodeLearned(stored, false);
+void LearnedStore::Save(const LearnedEntry& entry) {
+  const std::string bytes = EncodeLearned(entry, false);
   const std::string fresh = Path(kSnapshot) + ".new";
   {
     const auto file = files_.Create(fresh);
@@ -194,19 +195,19 @@
   // Whichever of the two names the power cut leaves behind: each leads to a whole file.
   if (files_.Read(Path(kSnapshot))) files_.Rename(Path(kSnapshot), Path(kBefore));
   files_.Rename(fresh, Path(kSnapshot));
-  files_.SyncFolder(folder_);
+  files_.SyncDirectory(directory_);
   // Only behind the folder's sync: its records are in the snapshot from here on.
   log_.reset();
   log_bytes_ = 0;
   auto log = files_.Create(Path(kLog));
   // Its name too must last before a record in it does.
-  files_.SyncFolder(folder_);
+  files_.SyncDirectory(directory_);
   log_ = std::move(log);
 }
 
-void LearnedStore::Append(const Stored& stored) {
+void LearnedStore::Append(const LearnedEntry& entry) {
   if (!log_) throw FileError("append learned.log: no snapshot has been written yet");
-  const std::string bytes = EncodeLearned(stored, true);
+  const std::string bytes = EncodeLearned(entry, true);
   try {
     log_->Write(bytes);
     log_->Sync();
--- a/src/state/learned_store.h
+++ b/src/state/learned_store.h
@@ -28,34 +28,34 @@
 #include <string_view>
 #include <vector>
 
-#include "decide/recall.h"
-#include "state/files.h"
+#include "decide/learned/learned_state_import.h"
+#include "state/file_system.h"
 
 namespace hingelink::state {
 
-inline constexpr std::uint32_t kLearnedVersion = 1;
+inline constexpr std::uint32_t kLearnedFormatVersion = 1;
 // Of a payload, and of the log: past it a snapshot is due.
-inline constexpr std::size_t kMostLearned = 1 << 20, kMostLog = 256 << 10;
+inline constexpr std::size_t kMaxLearnedPayloadBytes = 1 << 20, kMaxLogBytes = 256 << 10;
 
-struct Stored {
+struct LearnedEntry {
   std::uint64_t sequence = 0;
-  decide::Remembered remembered;
+  decide::LearnedRecord record;
 };
 
 // One frame. Throws std::length_error where it would be larger than kMostLearned.
-std::string EncodeLearned(const Stored& stored, bool record);
+std::string EncodeLearned(const LearnedEntry& entry, bool record);
 
 struct DecodedLearned {
-  enum class What {
-    kWhole,
-    kTorn,   // Ends too early, as a write that the power cut.
-    kBad,    // Not what was written, or of another kind.
-    kNewer,  // Of a version that this program does not know.
+  enum class Status {
+    kValid,
+    kTruncated,           // Ends too early, as a write that the power cut.
+    kCorrupt,             // Not what was written, or of another kind.
+    kUnsupportedVersion,  // Of a version that this program does not know.
   };
-  What what = What::kBad;
-  Stored stored;
+  Status status = Status::kCorrupt;
+  LearnedEntry entry;
   std::size_t bytes = 0;  // Of the frame.
-  std::string why;
+  std::string detail;
 };
 // The frame at the start of `bytes`.
 DecodedLearned DecodeLearned(std::string_view bytes, bool record);
@@ -63,35 +63,35 @@
 // A payload alone, without head and check.
 DecodedLearned DecodePayload(std::string_view payload);
 
-struct FoundLearned {
-  std::optional<Stored> stored;
-  std::size_t records = 0;         // Whole ones in the log.
-  std::size_t torn = 0;            // Bytes behind them.
-  std::vector<std::string> notes;  // What was set aside or passed over, and why; a line each.
+struct LoadedLearned {
+  std::optional<LearnedEntry> entry;
+  std::size_t log_records = 0;        // Whole ones in the log.
+  std::size_t truncated_bytes = 0;    // Bytes behind them.
+  std::vector<std::string> warnings;  // What was set aside or passed over, and why; a line each.
 };
 
 class LearnedStore {
  public:
-  LearnedStore(Files& files, std::string folder);
+  LearnedStore(FileSystem& files, std::string directory);
 
   // The newest that is whole. Files that are not are set aside as NAME.damaged or NAME.newer. Never throws
   // for what stands in them; FileError where they cannot be read.
-  FoundLearned Load();
+  LoadedLearned Load();
   // A snapshot: lasts once this returns, and the log begins anew. Throws FileError; what was there before is
   // then still there.
-  void Save(const Stored& stored);
+  void Save(const LearnedEntry& entry);
   // A record behind the snapshot: lasts once this returns. Throws FileError.
-  void Append(const Stored& stored);
+  void Append(const LearnedEntry& entry);
   // The log has reached its bound, or cannot be written behind: a snapshot is due.
-  bool wants_snapshot() const { return !log_ || log_bytes_ >= kMostLog; }
+  bool snapshot_due() const { return !log_ || log_bytes_ >= kMaxLogBytes; }
 
  private:
-  std::string Path(const char* name) const { return folder_ + '/' + name; }
-  std::optional<Stored> LoadSnapshot(const char* name, FoundLearned& found);
+  std::string Path(const char* name) const { return directory_ + '/' + name; }
+  std::optional<LearnedEntry> LoadSnapshot(const char* name, LoadedLearned& found);
 
-  Files& files_;
-  std::string folder_;
-  std::unique_ptr<OpenFile> log_;  // Since the snapshot of this process.
+  FileSystem& files_;
+  std::string directory_;
+  std::unique_ptr<WritableFile> log_;  // Since the snapshot of this process.
   std::size_t log_bytes_ = 0;
 };
 
--- a/tests/appliance/appliance_test.cpp
+++ b/tests/appliance/appliance_test.cpp
@@ -2,10 +2,10 @@
 // the stand-ins.
 #include <gtest/gtest.h>
 
-#include "decide/supervise.h"
+#include "decide/supervision/supervisor.h"
 #include "rig.h"
 #include "state/learned_store.h"
-#include "state/plan_store.h"
+#include "state/supervisor_state_store.h"
 
 namespace {
 
@@ -111,8 +111,8 @@
   // A record comes within 5 s of learning.
   const std::string folder = rig.folder() + "/learned";
   const auto learned = [&folder]() -> std::size_t {
-    const auto found = hingelink::state::LearnedStore(hingelink::state::SystemFiles(), folder).Load();
-    return found.stored ? found.stored->remembered.learned.classes.size() : 0;
+    const auto found = hingelink::state::LearnedStore(hingelink::state::SystemFileSystem(), folder).Load();
+    return found.entry ? found.entry->record.learned.classes.size() : 0;
   };
   ASSERT_TRUE(Await([&] { return std::filesystem::exists(folder + "/learned.state") && learned() == 3; }));
   const pid_t before = rig.NodePid();
@@ -204,13 +204,13 @@
 TEST(Appliance, APidOfAnotherProgramIsLeftAlone) {
   Rig rig;
   const pid_t other = hingelink::cli::StartDetached("/bin/sleep", {"1000"}, {}, "");
-  hingelink::decide::Plan plan;
-  plan.want = hingelink::decide::Want::kDown;
+  hingelink::decide::SupervisorState plan;
+  plan.desired = hingelink::decide::DesiredState::kStopped;
   plan.last_generation = 7;
   plan.current =
-      hingelink::decide::Life{.generation = 7, .process = {other, 1}, .ready = true, .leaving = true};
+      hingelink::decide::Incarnation{.generation = 7, .process = {other, 1}, .ready = true, .draining = true};
   std::ofstream(rig.folder() + "/plan.json")
-      << hingelink::state::PlanStore::Encode(plan, hingelink::state::BootId());
+      << hingelink::state::SupervisorStateStore::Encode(plan, hingelink::state::BootId());
   rig.StartSupervisor(false);
   ASSERT_TRUE(rig.AwaitReady());
   EXPECT_EQ(Generation(*rig.Status()), 8);
@@ -223,12 +223,13 @@
 // Of another boot: what was wanted holds, and the processes do not.
 TEST(Appliance, AfterABootWhatWasWantedHolds) {
   Rig rig;
-  hingelink::decide::Plan plan;
-  plan.want = hingelink::decide::Want::kDrained;
+  hingelink::decide::SupervisorState plan;
+  plan.desired = hingelink::decide::DesiredState::kDrained;
   plan.last_generation = 7;
-  plan.current =
-      hingelink::decide::Life{.generation = 7, .process = {getpid(), 1}, .ready = true, .leaving = false};
-  std::ofstream(rig.folder() + "/plan.json") << hingelink::state::PlanStore::Encode(plan, "another boot");
+  plan.current = hingelink::decide::Incarnation{
+      .generation = 7, .process = {getpid(), 1}, .ready = true, .draining = false};
+  std::ofstream(rig.folder() + "/plan.json")
+      << hingelink::state::SupervisorStateStore::Encode(plan, "another boot");
   rig.StartSupervisor(true);
   ASSERT_TRUE(rig.AwaitPhase("drained"));
   EXPECT_TRUE(rig.Nodes().empty());
--- a/tests/background/keeper_test.cpp
+++ b/tests/background/learned_state_persister_test.cpp
@@ -1,5 +1,5 @@
 // Jobs on their helper thread, and what a node learned from one life to the next.
-#include "background/keeper.h"
+#include "background/learned_state_persister.h"
 
 #include <gtest/gtest.h>
 
@@ -21,9 +21,9 @@
 using peers::Gate;
 using peers::Gateway;
 
-Job JobOf(const char* name, std::function<Took(const std::atomic<bool>&)> work, bool last = false) {
+Job JobOf(const char* name, std::function<JobResult(const std::atomic<bool>&)> work, bool final_run = false) {
   Job job;
-  job.spec = {.name = name, .priority = 1, .stuck = decide::JobTime(1), .last_chance = last};
+  job.spec = {.name = name, .priority = 1, .stuck_after = decide::JobTime(1), .run_on_drain = final_run};
   job.prepare = [work = std::move(work)](bool) { return work; };
   return job;
 }
@@ -47,7 +47,7 @@
     log::Configure(log);
   }
   net::BasePtr base = net::MakeBase();
-  Runner::Sees calm{.under_pressure = [] { return false; }, .leaving = [] { return false; }};
+  JobRunner::NodeConditions calm{.under_pressure = [] { return false; }, .draining = [] { return false; }};
 };
 using RunnerTest = Loop;
 using KeeperTest = Loop;
@@ -64,14 +64,14 @@
     std::vector<Job> jobs;
     jobs.push_back(JobOf("snapshot", [gate](const std::atomic<bool>&) {
       gate->Wait();
-      return Took{};
+      return JobResult{};
     }));
-    Runner runner(base.get(), {}, std::move(jobs), calm);
-    runner.Ask("snapshot");
+    JobRunner runner(base.get(), {}, std::move(jobs), calm);
+    runner.RequestRun("snapshot");
     Turn(base.get(), [&] { return gate->waiting() && ticks > 20 && Said("background-stuck job=snapshot"); });
     EXPECT_GT(ticks, 20);
     EXPECT_TRUE(Said("background-stuck job=snapshot"));
-    EXPECT_EQ(runner.LookAt()[0].look.state, decide::Background::State::kRunning);
+    EXPECT_EQ(runner.JobReports()[0].stats.state, decide::JobScheduler::JobState::kRunning);
     runner.Finish(5ms);
     EXPECT_TRUE(Said("background-left-behind"));
   }
@@ -81,30 +81,30 @@
 TEST_F(RunnerTest, AFailureIsToldAndTriedAgain) {
   std::vector<Job> jobs;
   auto runs = std::make_shared<std::atomic<int>>(0);
-  jobs.push_back(JobOf("clean", [runs](const std::atomic<bool>&) -> Took {
+  jobs.push_back(JobOf("clean", [runs](const std::atomic<bool>&) -> JobResult {
     if (++*runs == 1) throw state::FileError("write x: No space left on device");
     return {};
   }));
-  decide::BackgroundOptions options;
-  options.retry_first = decide::JobTime(1);
-  Runner runner(base.get(), options, std::move(jobs), calm);
-  runner.Ask("clean");
-  Turn(base.get(), [&] { return runner.LookAt()[0].look.runs == 2 && *runs == 2; });
-  EXPECT_EQ(runner.LookAt()[0].look.failures, 1u);
+  decide::JobSchedulerOptions options;
+  options.initial_backoff = decide::JobTime(1);
+  JobRunner runner(base.get(), options, std::move(jobs), calm);
+  runner.RequestRun("clean");
+  Turn(base.get(), [&] { return runner.JobReports()[0].stats.runs == 2 && *runs == 2; });
+  EXPECT_EQ(runner.JobReports()[0].stats.failures, 1u);
   EXPECT_TRUE(Said("background-failed job=clean"));
 }
 
 TEST_F(RunnerTest, TheLastChanceIsGivenOnceAtTheEnd) {
   auto lasts = std::make_shared<std::atomic<int>>(0);
   std::vector<Job> jobs(1);
-  jobs[0].spec = {.name = "snapshot", .last_chance = true};
-  jobs[0].prepare = [lasts](bool last) {
-    return [lasts, last](const std::atomic<bool>&) {
-      *lasts += last ? 1 : 0;
-      return Took{};
+  jobs[0].spec = {.name = "snapshot", .run_on_drain = true};
+  jobs[0].prepare = [lasts](bool final_run) {
+    return [lasts, final_run](const std::atomic<bool>&) {
+      *lasts += final_run ? 1 : 0;
+      return JobResult{};
     };
   };
-  Runner runner(base.get(), {}, std::move(jobs), calm);
+  JobRunner runner(base.get(), {}, std::move(jobs), calm);
   runner.Finish(40s);
   runner.Finish(40s);
   EXPECT_EQ(*lasts, 1);
@@ -114,10 +114,10 @@
 class Life {
  public:
   // `shared`: where processes of this node take over from each other; empty: none does.
-  Life(state::Files& files, const std::string& folder, const std::string& shared = {})
+  Life(state::FileSystem& files, const std::string& directory, const std::string& shared = {})
       : node_(
             node::ParseConfig(json_), [this] { return node::ParseConfig(json_); }, shared),
-        keeper_(node_, files, {.folder = folder, .record_each = 20ms}),
+        keeper_(node_, files, {.directory = directory, .record_interval = 20ms}),
         thread_([this] {
           node_.Run();
           keeper_.Finish();
@@ -153,7 +153,7 @@
   peers::Listener pool_, registry_;
   std::string json_ = peers::RunningNode::Json(pool_, registry_, 600, 1024);
   node::Node node_;
-  Keeper keeper_;
+  LearnedStatePersister keeper_;
   std::thread thread_;
   peers::PoolLink link_;
   int notice_ = 0;
@@ -162,29 +162,29 @@
 
 TEST_F(KeeperTest, WhatOneLifeLearnedTheNextBeginsWith) {
   char name[] = "/tmp/hingelink.keeper.XXXXXX";
-  const std::string folder = mkdtemp(name);
+  const std::string directory = mkdtemp(name);
   state::RecordingDisk disk;
-  { Life(disk, folder).Serve(40); }
-  state::FoundLearned found = state::LearnedStore(disk, folder).Load();
-  ASSERT_TRUE(found.stored);
-  ASSERT_EQ(found.stored->remembered.learned.classes.size(), 1u);
-  EXPECT_EQ(found.stored->remembered.learned.classes[0].name, "order-lodge");
-  EXPECT_EQ(found.stored->remembered.learned.classes[0].samples, 41);
-  const std::uint64_t before = found.stored->sequence;
-  { Life(disk, folder).Serve(3); }
+  { Life(disk, directory).Serve(40); }
+  state::LoadedLearned found = state::LearnedStore(disk, directory).Load();
+  ASSERT_TRUE(found.entry);
+  ASSERT_EQ(found.entry->record.learned.classes.size(), 1u);
+  EXPECT_EQ(found.entry->record.learned.classes[0].name, "order-lodge");
+  EXPECT_EQ(found.entry->record.learned.classes[0].samples, 41);
+  const std::uint64_t before = found.entry->sequence;
+  { Life(disk, directory).Serve(3); }
   EXPECT_TRUE(Said("learned-taken classes=1 faith_percent=100"));
-  found = state::LearnedStore(disk, folder).Load();
+  found = state::LearnedStore(disk, directory).Load();
   // 12 at most are taken over, and three are new.
-  EXPECT_EQ(found.stored->remembered.learned.classes[0].samples, 15);
-  EXPECT_GT(found.stored->sequence, before);
-  std::filesystem::remove_all(folder);
+  EXPECT_EQ(found.entry->record.learned.classes[0].samples, 15);
+  EXPECT_GT(found.entry->sequence, before);
+  std::filesystem::remove_all(directory);
 }
 
 TEST_F(KeeperTest, TheSecondAddressHasFiguresOfEachJob) {
   char name[] = "/tmp/hingelink.keeper.XXXXXX";
-  const std::string folder = mkdtemp(name);
+  const std::string directory = mkdtemp(name);
   state::RecordingDisk disk;
-  Life life(disk, folder);
+  Life life(disk, directory);
   life.Serve(20);
   std::string figures;
   for (const auto end = net::Steady::now() + 40s; net::Steady::now() < end;) {
@@ -196,48 +196,48 @@
   EXPECT_NE(figures.find("# TYPE edge_node_background_bytes counter\n"), std::string::npos);
   EXPECT_NE(figures.find("edge_node_background_runs{job=\"snapshot\"} 0\n"), std::string::npos);
   EXPECT_EQ(figures.find("edge_node_background_runs{job=\"record\"} 0\n"), std::string::npos);
-  std::filesystem::remove_all(folder);
+  std::filesystem::remove_all(directory);
 }
 
 TEST_F(KeeperTest, ADiskThatIsFullIsLoggedAndTheNodeServes) {
   char name[] = "/tmp/hingelink.keeper.XXXXXX";
-  const std::string folder = mkdtemp(name);
+  const std::string directory = mkdtemp(name);
   state::RecordingDisk disk;
   disk.fail_at = 1;
-  { Life(disk, folder).Serve(20); }
+  { Life(disk, directory).Serve(20); }
   EXPECT_TRUE(Said("background-failed job="));
-  std::filesystem::remove_all(folder);
+  std::filesystem::remove_all(directory);
 }
 
 TEST_F(KeeperTest, AFolderThatCannotBeIsLoggedAndTheNodeServes) {
-  { Life(state::SystemFiles(), "/proc/no/such/folder").Serve(20); }
+  { Life(state::SystemFileSystem(), "/proc/no/such/folder").Serve(20); }
   EXPECT_TRUE(Said("background-failed job=snapshot"));
 }
 
 TEST_F(KeeperTest, OfTwoProcessesOneWritesAndTheOtherGoesOnBehindIt) {
   char name[] = "/tmp/hingelink.keeper.XXXXXX";
-  const std::string folder = mkdtemp(name);
+  const std::string directory = mkdtemp(name);
   state::RecordingDisk disk;
-  state::LearnedStore other(disk, folder);
+  state::LearnedStore other(disk, directory);
   {
     const std::ptrdiff_t failures = TimesSaid("background-failed");
-    auto held = state::FolderLock::Take(folder + "/learned.lock");
+    auto held = state::DirectoryLock::TryAcquire(directory + "/learned.lock");
     ASSERT_TRUE(held);
-    { Life(disk, folder).Serve(20); }
-    EXPECT_FALSE(other.Load().stored);
+    { Life(disk, directory).Serve(20); }
+    EXPECT_FALSE(other.Load().entry);
     // To wait for the other is no failure.
     EXPECT_EQ(TimesSaid("background-failed"), failures);
     // The next one begins, and then the other, which still has the lock, writes for the last time.
-    Life next(disk, folder);
-    other.Save({500, decide::Remember("n3", 0ms, {}, {})});
+    Life next(disk, directory);
+    other.Save({500, decide::MakeLearnedRecord("n3", 0ms, {}, {})});
     held.reset();
     next.Serve(20);
   }
-  const state::FoundLearned found = other.Load();
-  ASSERT_TRUE(found.stored);
-  EXPECT_GT(found.stored->sequence, 500u);
-  EXPECT_EQ(found.stored->remembered.learned.classes.size(), 1u);
-  std::filesystem::remove_all(folder);
+  const state::LoadedLearned found = other.Load();
+  ASSERT_TRUE(found.entry);
+  EXPECT_GT(found.entry->sequence, 500u);
+  EXPECT_EQ(found.entry->record.learned.classes.size(), 1u);
+  std::filesystem::remove_all(directory);
 }
 
 // ---- Over the handover channel, with a real node on one side of it ----
@@ -246,10 +246,10 @@
  protected:
   HandoverOfLearned() {
     char name[] = "/tmp/hingelink.handover.XXXXXX";
-    folder = mkdtemp(name);
-    std::filesystem::create_directory(folder + "/state");
+    directory = mkdtemp(name);
+    std::filesystem::create_directory(directory + "/state");
   }
-  ~HandoverOfLearned() override { std::filesystem::remove_all(folder); }
+  ~HandoverOfLearned() override { std::filesystem::remove_all(directory); }
   static net::Handover::Events Deaf() {
     return {.successor_ready = [] {},
             .successor_lost = [] {},
@@ -258,17 +258,17 @@
             .predecessor_learned = [](const proto::LearnedLine&) {}};
   }
 
-  std::string folder;
+  std::string directory;
   state::RecordingDisk disk;
 };
 
 TEST_F(HandoverOfLearned, ANodeTellsItsSuccessorWhatItHasLearned) {
-  Life predecessor(disk, folder + "/state", folder);
+  Life predecessor(disk, directory + "/state", directory);
   predecessor.Serve(40);
   std::vector<proto::LearnedLine> heard;
   net::Handover::Events events = Deaf();
   events.predecessor_learned = [&heard](const proto::LearnedLine& line) { heard.push_back(line); };
-  net::Handover successor(base.get(), folder, std::move(events));
+  net::Handover successor(base.get(), directory, std::move(events));
   ASSERT_GE(successor.TakeListener().get(), 0);
   Turn(base.get(), [&] { return !heard.empty(); });
   ASSERT_EQ(heard.size(), 1u);
@@ -286,8 +286,8 @@
   };
   const auto now = std::chrono::duration_cast<std::chrono::milliseconds>(
       std::chrono::system_clock::now().time_since_epoch());
-  state::LearnedStore(disk, folder + "/state")
-      .Save({1, decide::Remember("n3", now, told.settings, known(111))});
+  state::LearnedStore(disk, directory + "/state")
+      .Save({1, decide::MakeLearnedRecord("n3", now, told.settings, known(111))});
   // The predecessor: its listener, and then its lines, one of them of a class that was told otherwise.
   const net::Descriptor listener(socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC | SOCK_NONBLOCK, 0));
   ASSERT_EQ(listen(listener.get(), 8), 0);
@@ -299,11 +299,11 @@
       return std::vector<proto::LearnedLine>{{"order-lodge", 2000, 4900, 222, 222, 300, 100},
                                              {"usage-view", 1500, 9999, 333, 333, 300, 100}};
     };
-    predecessor.emplace(host.base(), folder, std::move(events));
+    predecessor.emplace(host.base(), directory, std::move(events));
     predecessor->Offer(listener.get());
   });
   {
-    Life successor(disk, folder + "/state", folder);
+    Life successor(disk, directory + "/state", directory);
     const Learned knew = successor.Knew();
     ASSERT_EQ(knew.classes.size(), 1u);
     EXPECT_EQ(knew.classes[0].name, "order-lodge");
--- a/tests/compatibility/stored_formats_test.cpp
+++ b/tests/compatibility/stored_formats_test.cpp
@@ -5,7 +5,7 @@
 
 #include "benchlink/settings_parser.h"
 #include "control/protocol.h"
-#include "decide/recall.h"
+#include "decide/learned/learned_state_import.h"
 #include "fixtures.h"
 #include "fleet/codec.h"
 #include "lab/scenario/scenario.h"
@@ -13,7 +13,7 @@
 #include "node/config.h"
 #include "schema/schema.h"
 #include "state/learned_store.h"
-#include "state/plan_store.h"
+#include "state/supervisor_state_store.h"
 
 namespace hingelink {
 namespace {
@@ -110,10 +110,10 @@
   for (const char* name : {"learned/learned.state", "learned/learned.state.1"}) {
     const std::string bytes = ReadFixture(name);
     const state::DecodedLearned decoded = state::DecodeLearned(bytes, false);
-    ASSERT_EQ(decoded.what, state::DecodedLearned::What::kWhole) << name;
+    ASSERT_EQ(decoded.status, state::DecodedLearned::Status::kValid) << name;
     EXPECT_EQ(decoded.bytes, bytes.size());
-    EXPECT_EQ(state::EncodeLearned(decoded.stored, false), bytes) << name;
-    EXPECT_FALSE(decoded.stored.remembered.learned.classes.empty());
+    EXPECT_EQ(state::EncodeLearned(decoded.entry, false), bytes) << name;
+    EXPECT_FALSE(decoded.entry.record.learned.classes.empty());
   }
   std::string_view log_bytes;
   const std::string log = ReadFixture("learned/learned.log");
@@ -121,8 +121,8 @@
   std::string again;
   while (!log_bytes.empty()) {
     const state::DecodedLearned decoded = state::DecodeLearned(log_bytes, true);
-    ASSERT_EQ(decoded.what, state::DecodedLearned::What::kWhole);
-    again += state::EncodeLearned(decoded.stored, true);
+    ASSERT_EQ(decoded.status, state::DecodedLearned::Status::kValid);
+    again += state::EncodeLearned(decoded.entry, true);
     log_bytes.remove_prefix(decoded.bytes);
   }
   EXPECT_EQ(again, log);
@@ -131,10 +131,10 @@
 TEST(SupervisorPlan, IsReadAndWrittenAgainWithTheSameBytes) {
   const std::string text = ReadFixture("plan.json");
   const std::string boot = json::parse(text).at("boot").get<std::string>();
-  const state::FoundPlan found = state::PlanStore::Decode(text, boot);
-  ASSERT_EQ(found.what, state::FoundPlan::What::kGood);
-  EXPECT_TRUE(found.plan.current);
-  EXPECT_EQ(state::PlanStore::Encode(found.plan, boot), text);
+  const state::LoadedSupervisorState found = state::SupervisorStateStore::Decode(text, boot);
+  ASSERT_EQ(found.status, state::LoadedSupervisorState::Status::kValid);
+  EXPECT_TRUE(found.state.current);
+  EXPECT_EQ(state::SupervisorStateStore::Encode(found.state, boot), text);
 }
 
 TEST(Scenarios, AreReadAndWrittenAgainWithTheSameBytes) {
--- a/tests/state/learned_fuzz.cpp
+++ b/tests/state/learned_fuzz.cpp
@@ -14,19 +14,19 @@
   settings.classes = {{.name = "view", .latency_objective_ms = 500, .deadline_ms = 1200}};
   for (const bool record : {false, true}) {
     state::DecodedLearned decoded = state::DecodeLearned(bytes, record);
-    if (decoded.what != state::DecodedLearned::What::kWhole) {
+    if (decoded.status != state::DecodedLearned::Status::kValid) {
       // The payload alone, behind a head that is right: the check would keep all draws out.
-      if (size > state::kMostLearned) continue;
+      if (size > state::kMaxLearnedPayloadBytes) continue;
       decoded = state::DecodePayload(bytes);
-      if (decoded.what != state::DecodedLearned::What::kWhole) continue;
+      if (decoded.status != state::DecodedLearned::Status::kValid) continue;
     }
     // What is read can be written, and what is taken over is plausible.
-    const std::string again = state::EncodeLearned(decoded.stored, record);
-    if (state::DecodeLearned(again, record).what != state::DecodedLearned::What::kWhole) std::abort();
-    const decide::Recalled recalled = decide::Recall(
-        decoded.stored.remembered, decoded.stored.remembered.site, std::chrono::hours(500'000), settings);
+    const std::string again = state::EncodeLearned(decoded.entry, record);
+    if (state::DecodeLearned(again, record).status != state::DecodedLearned::Status::kValid) std::abort();
+    const decide::LearnedImport recalled = decide::ImportLearnedRecord(
+        decoded.entry.record, decoded.entry.record.node_name, std::chrono::hours(500'000), settings);
     for (const LearnedClass& c : recalled.learned.classes) {
-      if (!decide::Implausible(c).empty() || c.samples > 12) std::abort();
+      if (!decide::SanityCheckFailure(c).empty() || c.samples > 12) std::abort();
     }
   }
   return 0;
@@ -43,7 +43,8 @@
   settings.classes = {{.name = "view", .latency_objective_ms = 500, .deadline_ms = 1200}};
   Learned learned;
   learned.classes = {{"view", 31.5, 30, 28, 900}, {"save", 45, 44, 0, 40}};
-  const state::Stored stored{7, decide::Remember("shire-1", std::chrono::hours(500'000), settings, learned)};
+  const state::LearnedEntry stored{
+      7, decide::MakeLearnedRecord("shire-1", std::chrono::hours(500'000), settings, learned)};
   const std::vector<std::string> seeds = {state::EncodeLearned(stored, false),
                                           state::EncodeLearned(stored, true),
                                           state::EncodeLearned(stored, false).substr(24)};
--- a/tests/state/learned_store_test.cpp
+++ b/tests/state/learned_store_test.cpp
@@ -25,32 +25,32 @@
 }
 constexpr milliseconds kThen = hours(500'000);
 
-Stored Sample(std::uint64_t sequence) {
+LearnedEntry Sample(std::uint64_t sequence) {
   hingelink::Learned learned;
   learned.classes = {{"view", 31.5 + static_cast<double>(sequence), 30, 28, 900}, {"save", 45, 44, 0, 40}};
-  return {sequence, decide::Remember("shire-1", kThen, Told(), learned)};
+  return {sequence, decide::MakeLearnedRecord("shire-1", kThen, Told(), learned)};
 }
-std::uint64_t SequenceOf(const FoundLearned& found) { return found.stored ? found.stored->sequence : 0; }
+std::uint64_t SequenceOf(const LoadedLearned& found) { return found.entry ? found.entry->sequence : 0; }
 
 TEST(LearnedStore, WhatIsSavedAndAppendedIsLoaded) {
   RecordingDisk disk;
   LearnedStore store(disk, "/s");
-  EXPECT_FALSE(store.Load().stored);
-  EXPECT_TRUE(store.wants_snapshot());
+  EXPECT_FALSE(store.Load().entry);
+  EXPECT_TRUE(store.snapshot_due());
   store.Save(Sample(1));
   store.Append(Sample(2));
   store.Append(Sample(3));
-  const FoundLearned found = LearnedStore(disk, "/s").Load();
-  ASSERT_TRUE(found.stored);
-  EXPECT_EQ(found.stored->sequence, 3u);
-  EXPECT_EQ(found.records, 2u);
-  EXPECT_TRUE(found.notes.empty());
-  const auto& c = found.stored->remembered.learned.classes.at(0);
+  const LoadedLearned found = LearnedStore(disk, "/s").Load();
+  ASSERT_TRUE(found.entry);
+  EXPECT_EQ(found.entry->sequence, 3u);
+  EXPECT_EQ(found.log_records, 2u);
+  EXPECT_TRUE(found.warnings.empty());
+  const auto& c = found.entry->record.learned.classes.at(0);
   EXPECT_EQ(c.name, "view");
   EXPECT_EQ(c.run_ms, 34.5);
   EXPECT_EQ(c.samples, 900);
-  EXPECT_EQ(found.stored->remembered.told, Sample(3).remembered.told);
-  EXPECT_EQ(found.stored->remembered.at, kThen);
+  EXPECT_EQ(found.entry->record.class_signatures, Sample(3).record.class_signatures);
+  EXPECT_EQ(found.entry->record.recorded_at, kThen);
 }
 
 // Two lives with snapshots and records; the power may go behind any call of either.
@@ -73,22 +73,22 @@
   std::size_t states = 0, torn = 0;
   for (std::size_t count = 0; count <= disk.recorded(); ++count) {
     std::uint64_t least = 0, most = 1;
-    for (const auto& [from, what] : lasting) {
-      if (from <= count) least = what;
-      if (from <= count) most = what + 1;
+    for (const auto& [from, status] : lasting) {
+      if (from <= count) least = status;
+      if (from <= count) most = status + 1;
     }
     disk.EachCut(count, [&](const std::map<std::string, std::string>& files) {
       ++states;
       RecordingDisk after(files);
       LearnedStore store(after, "/s");
-      const FoundLearned found = store.Load();
+      const LoadedLearned found = store.Load();
       ASSERT_GE(SequenceOf(found), least) << count;
       ASSERT_LE(SequenceOf(found), most) << count;
-      if (found.stored) {
-        ASSERT_EQ(found.stored->remembered.learned.classes.at(0).run_ms,
-                  31.5 + static_cast<double>(found.stored->sequence));
+      if (found.entry) {
+        ASSERT_EQ(found.entry->record.learned.classes.at(0).run_ms,
+                  31.5 + static_cast<double>(found.entry->sequence));
       }
-      torn += found.torn > 0 ? 1 : 0;
+      torn += found.truncated_bytes > 0 ? 1 : 0;
       // And the life that follows can write.
       store.Save(Sample(100));
       store.Append(Sample(101));
@@ -119,7 +119,7 @@
     } catch (const FileError&) {
       ++failures;
     }
-    const FoundLearned found = LearnedStore(disk, "/s").Load();
+    const LoadedLearned found = LearnedStore(disk, "/s").Load();
     EXPECT_GE(SequenceOf(found), lasts) << call;
     EXPECT_LE(SequenceOf(found), lasts + 1) << call;
     // What failed is tried again with a snapshot.
@@ -140,7 +140,7 @@
   disk.calls = 0;
   disk.fail_at = 2;  // The record's sync.
   EXPECT_THROW(store.Append(Sample(2)), FileError);
-  EXPECT_TRUE(store.wants_snapshot());
+  EXPECT_TRUE(store.snapshot_due());
   EXPECT_THROW(store.Append(Sample(3)), FileError);
 }
 
@@ -150,10 +150,10 @@
     for (std::size_t at = 0; at < good.size(); ++at) {
       std::string bad = good;
       bad[at] = static_cast<char>(bad[at] ^ 0x15);
-      EXPECT_NE(DecodeLearned(bad, record).what, DecodedLearned::What::kWhole) << at;
-      EXPECT_EQ(DecodeLearned(good.substr(0, at), record).what, DecodedLearned::What::kTorn) << at;
+      EXPECT_NE(DecodeLearned(bad, record).status, DecodedLearned::Status::kValid) << at;
+      EXPECT_EQ(DecodeLearned(good.substr(0, at), record).status, DecodedLearned::Status::kTruncated) << at;
     }
-    EXPECT_EQ(DecodeLearned(good, !record).what, DecodedLearned::What::kBad);
+    EXPECT_EQ(DecodeLearned(good, !record).status, DecodedLearned::Status::kCorrupt);
   }
 }
 
@@ -162,17 +162,17 @@
   std::string newer = good;
   newer[8] = 9;
   RecordingDisk disk({{"/s/learned.state", newer}, {"/s/learned.state.1", good}});
-  FoundLearned found = LearnedStore(disk, "/s").Load();
+  LoadedLearned found = LearnedStore(disk, "/s").Load();
   EXPECT_EQ(SequenceOf(found), 7u);
-  ASSERT_EQ(found.notes.size(), 1u);
-  EXPECT_NE(found.notes[0].find("its version is 9"), std::string::npos);
+  ASSERT_EQ(found.warnings.size(), 1u);
+  EXPECT_NE(found.warnings[0].find("its version is 9"), std::string::npos);
   EXPECT_TRUE(disk.Has("/s/learned.state.newer"));
   EXPECT_FALSE(disk.Has("/s/learned.state"));
 
   RecordingDisk bad({{"/s/learned.state", good + "x"}, {"/s/learned.state.1", good.substr(0, 40)}});
   found = LearnedStore(bad, "/s").Load();
-  EXPECT_FALSE(found.stored);
-  EXPECT_EQ(found.notes.size(), 2u);
+  EXPECT_FALSE(found.entry);
+  EXPECT_EQ(found.warnings.size(), 2u);
   EXPECT_TRUE(bad.Has("/s/learned.state.damaged"));
   EXPECT_TRUE(bad.Has("/s/learned.state.1.damaged"));
 }
@@ -182,62 +182,63 @@
   LearnedStore store(disk, "/s");
   store.Save(Sample(1));
   std::uint64_t sequence = 1;
-  while (!store.wants_snapshot()) store.Append(Sample(++sequence));
-  EXPECT_LE(disk.Read("/s/learned.log")->size(), kMostLog + 1000);
+  while (!store.snapshot_due()) store.Append(Sample(++sequence));
+  EXPECT_LE(disk.Read("/s/learned.log")->size(), kMaxLogBytes + 1000);
   store.Save(Sample(++sequence));
   EXPECT_EQ(disk.Read("/s/learned.log")->size(), 0u);
-  EXPECT_FALSE(store.wants_snapshot());
+  EXPECT_FALSE(store.snapshot_due());
 }
 
 RC_GTEST_PROP(LearnedStoreProperty, AnyBytesAreReadWithoutHarm, (const std::string& noise, bool record)) {
   // Behind a good head and a good check, too.
   const DecodedLearned decoded = DecodeLearned(noise, record);
-  RC_ASSERT(decoded.what != DecodedLearned::What::kWhole || decoded.bytes <= noise.size());
+  RC_ASSERT(decoded.status != DecodedLearned::Status::kValid || decoded.bytes <= noise.size());
   std::string half = EncodeLearned(Sample(1), record);
   const std::size_t at = *rc::gen::inRange<std::size_t>(0, half.size());
   half.replace(at, noise.size(), noise);
   if (half.substr(0, EncodeLearned(Sample(1), record).size()) != EncodeLearned(Sample(1), record)) {
-    RC_ASSERT(DecodeLearned(half, record).what != DecodedLearned::What::kWhole);
+    RC_ASSERT(DecodeLearned(half, record).status != DecodedLearned::Status::kValid);
   }
 }
 
 // ---- How much of it counts ----
 
-decide::Recalled Take(const Stored& stored, milliseconds age, const hingelink::Settings& settings = Told(),
-                      const std::string& site = "shire-1") {
-  return decide::Recall(stored.remembered, site, kThen + age, settings);
+decide::LearnedImport TryAcquire(const LearnedEntry& stored, milliseconds age,
+                                 const hingelink::Settings& settings = Told(),
+                                 const std::string& site = "shire-1") {
+  return decide::ImportLearnedRecord(stored.record, site, kThen + age, settings);
 }
 
 TEST(Recall, FreshKnowledgeCountsForSoManySamplesAndOldForLess) {
-  const auto now = Take(Sample(1), milliseconds(0));
+  const auto now = TryAcquire(Sample(1), milliseconds(0));
   ASSERT_EQ(now.classes, 2u);
-  EXPECT_EQ(now.faith, 1);
+  EXPECT_EQ(now.confidence, 1);
   EXPECT_EQ(now.learned.classes[0].samples, 12);
-  EXPECT_EQ(Take(Sample(1), hours(72)).learned.classes[0].samples, 6);
-  EXPECT_EQ(Take(Sample(1), hours(144)).learned.classes[0].samples, 3);
-  EXPECT_EQ(Take(Sample(1), hours(21 * 24)).classes, 0u);  // Three weeks.
+  EXPECT_EQ(TryAcquire(Sample(1), hours(72)).learned.classes[0].samples, 6);
+  EXPECT_EQ(TryAcquire(Sample(1), hours(144)).learned.classes[0].samples, 3);
+  EXPECT_EQ(TryAcquire(Sample(1), hours(21 * 24)).classes, 0u);  // Three weeks.
 }
 
 TEST(Recall, AClockThatWentBackCountsAsOldNotAsNew) {
-  const auto taken = Take(Sample(1), -hours(1));
+  const auto taken = TryAcquire(Sample(1), -hours(1));
   EXPECT_EQ(taken.learned.classes[0].samples, 3);
-  ASSERT_EQ(taken.left_out.size(), 1u);
-  EXPECT_NE(taken.left_out[0].find("ahead of the clock"), std::string::npos);
+  ASSERT_EQ(taken.skipped.size(), 1u);
+  EXPECT_NE(taken.skipped[0].find("ahead of the clock"), std::string::npos);
 }
 
 TEST(Recall, AnotherSitesKnowledgeIsNotTaken) {
-  const auto taken = Take(Sample(1), milliseconds(0), Told(), "shire-2");
+  const auto taken = TryAcquire(Sample(1), milliseconds(0), Told(), "shire-2");
   EXPECT_EQ(taken.classes, 0u);
-  EXPECT_EQ(taken.faith, 0);
+  EXPECT_EQ(taken.confidence, 0);
 }
 
 TEST(Recall, AClassToldOtherwiseOrGoneIsLearnedAnew) {
   hingelink::Settings changed = Told();
   changed.classes[0].deadline_ms = 2000;
   changed.classes[1].name = "other";
-  const auto taken = Take(Sample(1), milliseconds(0), changed);
+  const auto taken = TryAcquire(Sample(1), milliseconds(0), changed);
   EXPECT_EQ(taken.classes, 0u);
-  EXPECT_EQ(taken.left_out.size(), 2u);
+  EXPECT_EQ(taken.skipped.size(), 2u);
 }
 
 TEST(Recall, PoisonedValuesAreLeftOut) {
@@ -251,12 +252,12 @@
                                                                    {"view", 10, 9, 1, -5},
                                                                    {"view", 1e300, 9, 1, 5},
                                                                    {"", 10, 9, 1, 5}}) {
-    Stored stored = Sample(1);
-    stored.remembered.learned.classes[0] = poisoned;
-    const auto taken = Take(stored, milliseconds(0));
+    LearnedEntry stored = Sample(1);
+    stored.record.learned.classes[0] = poisoned;
+    const auto taken = TryAcquire(stored, milliseconds(0));
     EXPECT_EQ(taken.classes, 1u);
     EXPECT_EQ(taken.learned.classes[0].name, "save");
-    EXPECT_FALSE(decide::Implausible(poisoned).empty());
+    EXPECT_FALSE(decide::SanityCheckFailure(poisoned).empty());
   }
 }
 
--- a/tests/state/recording_disk.h
+++ b/tests/state/recording_disk.h
@@ -12,11 +12,11 @@
 #include <utility>
 #include <vector>
 
-#include "state/files.h"
+#include "state/file_system.h"
 
 namespace hingelink::state {
 
-class RecordingDisk : public Files {
+class RecordingDisk : public FileSystem {
  public:
   int fail_at = 0;  // This call fails, from 1 on.
   int calls = 0;
@@ -31,7 +31,7 @@
     first_bytes_ = bytes_;
   }
 
-  std::unique_ptr<OpenFile> Create(const std::string& path) override {
+  std::unique_ptr<WritableFile> Create(const std::string& path) override {
     Call("open " + path);
     // A file that is there is emptied and keeps its place.
     if (const auto it = names_.find(path); it != names_.end()) {
@@ -51,8 +51,8 @@
     names_[to] = names_.at(from);
     names_.erase(from);
   }
-  void SyncFolder(const std::string& folder) override {
-    Call("fsync " + folder);
+  void SyncDirectory(const std::string& directory) override {
+    Call("fsync " + directory);
     ops_.push_back({.kind = Op::kSyncNames});
   }
   std::optional<std::string> Read(const std::string& path) override {
@@ -86,7 +86,7 @@
     int inode = 0;
     std::string from{}, to{}, bytes{};
   };
-  class File : public OpenFile {
+  class File : public WritableFile {
    public:
     File(RecordingDisk& disk, int inode) : disk_(disk), inode_(inode) {}
     void Write(std::string_view bytes) override {
@@ -104,8 +104,8 @@
     int inode_;
   };
 
-  void Call(const std::string& what) {
-    if (++calls == fail_at) throw FileError(what + ": No space left on device");
+  void Call(const std::string& status) {
+    if (++calls == fail_at) throw FileError(status + ": No space left on device");
   }
 
   std::map<std::string, std::string> Rebuild(std::size_t count, std::size_t names_synced, std::size_t subset,
--- a/tests/state/plan_store_test.cpp
+++ b/tests/state/supervisor_state_store_test.cpp
@@ -1,5 +1,5 @@
 // The plan on the disk: each call failing in turn, the power cut behind each, and files that others left.
-#include "state/plan_store.h"
+#include "state/supervisor_state_store.h"
 
 #include <gtest/gtest.h>
 #include <rapidcheck.h>
@@ -11,29 +11,30 @@
 namespace {
 
 using namespace hingelink::state;
-using hingelink::decide::Life;
-using hingelink::decide::Plan;
-using hingelink::decide::Want;
-
-Plan Sample(std::uint64_t generation) {
-  Plan plan;
-  plan.want = Want::kServe;
-  plan.last_generation = generation;
-  plan.current = Life{.generation = generation, .process = {1234, 99}, .ready = true, .leaving = false};
-  plan.successor =
-      Life{.generation = generation + 1, .process = {1235, 100}, .ready = false, .leaving = true};
-  plan.crashes_in_row = 3;
-  return plan;
+using hingelink::decide::DesiredState;
+using hingelink::decide::Incarnation;
+using hingelink::decide::SupervisorState;
+
+SupervisorState Sample(std::uint64_t generation) {
+  SupervisorState state;
+  state.desired = DesiredState::kServing;
+  state.last_generation = generation;
+  state.current =
+      Incarnation{.generation = generation, .process = {1234, 99}, .ready = true, .draining = false};
+  state.successor =
+      Incarnation{.generation = generation + 1, .process = {1235, 100}, .ready = false, .draining = true};
+  state.consecutive_crashes = 3;
+  return state;
 }
 
 // A disk in memory that forgets, at a power cut, all that was not synced: bytes of files, and names of
 // folders. Its call number `fail_at` fails; the power goes behind call number `cut_at`.
-class Disk : public Files {
+class Disk : public FileSystem {
  public:
   int calls = 0, fail_at = 0, cut_at = 0;
   struct PowerCut {};
 
-  std::unique_ptr<OpenFile> Create(const std::string& path) override {
+  std::unique_ptr<WritableFile> Create(const std::string& path) override {
     Call("open " + path);
     const int inode = ++last_inode_;
     names_[path] = inode;
@@ -47,7 +48,7 @@
     names_.erase(from);
     After();
   }
-  void SyncFolder(const std::string&) override {
+  void SyncDirectory(const std::string&) override {
     Call("fsync folder");
     lasting_names_ = names_;
     After();
@@ -75,7 +76,7 @@
   bool Has(const std::string& path) const { return names_.count(path) != 0; }
 
  private:
-  class File : public OpenFile {
+  class File : public WritableFile {
    public:
     File(Disk& disk, int inode) : disk_(disk), inode_(inode) {}
     void Write(std::string_view bytes) override {
@@ -93,8 +94,8 @@
     Disk& disk_;
     int inode_;
   };
-  void Call(const std::string& what) {
-    if (++calls == fail_at) throw FileError(what + ": No space left on device");
+  void Call(const std::string& status) {
+    if (++calls == fail_at) throw FileError(status + ": No space left on device");
   }
   void After() const {
     if (calls == cut_at) throw PowerCut();
@@ -106,34 +107,34 @@
   int last_inode_ = 0;
 };
 
-TEST(PlanStore, WhatIsSavedIsLoaded) {
+TEST(SupervisorStateStore, WhatIsSavedIsLoaded) {
   Disk disk;
-  PlanStore store(disk, "/s", "boot");
-  EXPECT_EQ(store.Load().what, FoundPlan::What::kNone);
+  SupervisorStateStore store(disk, "/s", "boot");
+  EXPECT_EQ(store.Load().status, LoadedSupervisorState::Status::kAbsent);
   store.Save(Sample(4));
-  const FoundPlan found = store.Load();
-  EXPECT_EQ(found.what, FoundPlan::What::kGood);
-  EXPECT_EQ(found.plan, Sample(4));
+  const LoadedSupervisorState found = store.Load();
+  EXPECT_EQ(found.status, LoadedSupervisorState::Status::kValid);
+  EXPECT_EQ(found.state, Sample(4));
 }
 
-TEST(PlanStore, AnyPlanComesBackAsItWas) {
+TEST(SupervisorStateStore, AnyPlanComesBackAsItWas) {
   EXPECT_TRUE(rc::check([](std::uint8_t want, std::uint64_t last, std::uint32_t crashes, bool a, bool b,
                            bool c, std::uint16_t pid, std::uint64_t ticks) {
-    Plan plan;
-    plan.want = static_cast<Want>(want % 3);
-    plan.last_generation = last;
-    plan.crashes_in_row = crashes;
-    const Life life{.generation = last, .process = {pid + 2, ticks}, .ready = a, .leaving = b};
-    if (a) plan.current = life;
-    if (b) plan.successor = life;
-    if (c) plan.predecessor = life;
-    RC_ASSERT(PlanStore::Decode(PlanStore::Encode(plan, "x"), "x").plan == plan);
+    SupervisorState state;
+    state.desired = static_cast<DesiredState>(want % 3);
+    state.last_generation = last;
+    state.consecutive_crashes = crashes;
+    const Incarnation life{.generation = last, .process = {pid + 2, ticks}, .ready = a, .draining = b};
+    if (a) state.current = life;
+    if (b) state.successor = life;
+    if (c) state.predecessor = life;
+    RC_ASSERT(SupervisorStateStore::Decode(SupervisorStateStore::Encode(state, "x"), "x").state == state);
   }));
 }
 
 // Saves a second plan over a first, with the disk's trouble at one of the calls; then `after`. Whether it was
 // saved. Whatever came of it, the old plan or the new is found.
-bool SavesOver(Disk& disk, PlanStore& store, int Disk::*trouble, int call,
+bool SavesOver(Disk& disk, SupervisorStateStore& store, int Disk::*trouble, int call,
                const std::function<void()>& after = {}) {
   store.Save(Sample(1));
   disk.calls = 0;
@@ -147,51 +148,51 @@
     saved = false;
   }
   if (after) after();
-  const FoundPlan found = store.Load();
-  EXPECT_EQ(found.what, FoundPlan::What::kGood) << call << found.why;
-  EXPECT_TRUE(found.plan == Sample(2) || (!saved && found.plan == Sample(1))) << call;
+  const LoadedSupervisorState found = store.Load();
+  EXPECT_EQ(found.status, LoadedSupervisorState::Status::kValid) << call << found.detail;
+  EXPECT_TRUE(found.state == Sample(2) || (!saved && found.state == Sample(1))) << call;
   return saved;
 }
 
-TEST(PlanStore, EachCallFailingInTurnLeavesTheOldPlanOrTheNew) {
+TEST(SupervisorStateStore, EachCallFailingInTurnLeavesTheOldPlanOrTheNew) {
   int failed = 0;
   for (int call = 1; call <= 8; ++call) {
     Disk disk;
-    PlanStore store(disk, "/s", "boot");
+    SupervisorStateStore store(disk, "/s", "boot");
     failed += SavesOver(disk, store, &Disk::fail_at, call) ? 0 : 1;
     // And it can be saved again.
     disk.fail_at = 0;
     store.Save(Sample(3));
-    EXPECT_EQ(store.Load().plan, Sample(3));
+    EXPECT_EQ(store.Load().state, Sample(3));
   }
   EXPECT_EQ(failed, 5);  // open, write, fsync, rename, fsync of the folder.
 }
 
-TEST(PlanStore, APowerCutBehindEachCallLeavesTheOldPlanOrTheNew) {
+TEST(SupervisorStateStore, APowerCutBehindEachCallLeavesTheOldPlanOrTheNew) {
   int cuts = 0;
   for (int call = 1; call <= 16; ++call) {
     Disk disk;
-    PlanStore store(disk, "/s", "boot");
+    SupervisorStateStore store(disk, "/s", "boot");
     const auto back = [&disk, call] { disk.PowerBack(call > 8); };
     cuts += SavesOver(disk, store, &Disk::cut_at, (call - 1) % 8 + 1, back) ? 0 : 1;
   }
   EXPECT_EQ(cuts, 10);
 }
 
-TEST(PlanStore, AnyChangedByteIsNoticedAndTheFileIsSetAside) {
-  const std::string good = PlanStore::Encode(Sample(4), "boot");
+TEST(SupervisorStateStore, AnyChangedByteIsNoticedAndTheFileIsSetAside) {
+  const std::string good = SupervisorStateStore::Encode(Sample(4), "boot");
   int noticed = 0;
   for (std::size_t at = 0; at < good.size(); ++at) {
     std::string bad = good;
     bad[at] = static_cast<char>(bad[at] ^ 0x15);
     Disk disk;
     disk.Put("/s/plan.json", bad);
-    const FoundPlan found = PlanStore(disk, "/s", "boot").Load();
+    const LoadedSupervisorState found = SupervisorStateStore(disk, "/s", "boot").Load();
     // White space between the words is no part of the plan.
-    const bool same = found.what == FoundPlan::What::kGood && found.plan == Sample(4);
+    const bool same = found.status == LoadedSupervisorState::Status::kValid && found.state == Sample(4);
     if (!same) {
-      ASSERT_NE(found.what, FoundPlan::What::kGood) << at;
-      EXPECT_EQ(found.plan, Plan{}) << at;
+      ASSERT_NE(found.status, LoadedSupervisorState::Status::kValid) << at;
+      EXPECT_EQ(found.state, SupervisorState{}) << at;
       ++noticed;
     }
   }
@@ -199,36 +200,38 @@
   for (std::size_t size = 0; size + 2 < good.size(); ++size) {
     Disk disk;
     disk.Put("/s/plan.json", good.substr(0, size));
-    EXPECT_EQ(PlanStore(disk, "/s", "boot").Load().what, FoundPlan::What::kDamaged) << size;
+    EXPECT_EQ(SupervisorStateStore(disk, "/s", "boot").Load().status, LoadedSupervisorState::Status::kCorrupt)
+        << size;
     EXPECT_TRUE(disk.Has("/s/plan.json.damaged"));
     EXPECT_FALSE(disk.Has("/s/plan.json"));
   }
 }
 
-TEST(PlanStore, OfAnotherBootOnlyWhatWasWantedHolds) {
+TEST(SupervisorStateStore, OfAnotherBootOnlyWhatWasWantedHolds) {
   Disk disk;
-  PlanStore(disk, "/s", "yesterday").Save(Sample(4));
-  const FoundPlan found = PlanStore(disk, "/s", "today").Load();
-  EXPECT_EQ(found.what, FoundPlan::What::kOtherBoot);
-  EXPECT_FALSE(found.plan.current);
-  EXPECT_FALSE(found.plan.successor);
-  EXPECT_EQ(found.plan.want, Want::kServe);
-  EXPECT_EQ(found.plan.last_generation, 4u);
+  SupervisorStateStore(disk, "/s", "yesterday").Save(Sample(4));
+  const LoadedSupervisorState found = SupervisorStateStore(disk, "/s", "today").Load();
+  EXPECT_EQ(found.status, LoadedSupervisorState::Status::kPreviousBoot);
+  EXPECT_FALSE(found.state.current);
+  EXPECT_FALSE(found.state.successor);
+  EXPECT_EQ(found.state.desired, DesiredState::kServing);
+  EXPECT_EQ(found.state.last_generation, 4u);
 }
 
-TEST(PlanStore, ANewerFormatIsSetAsideAndNeverGuessedAt) {
+TEST(SupervisorStateStore, ANewerFormatIsSetAsideAndNeverGuessedAt) {
   Disk disk;
   disk.Put("/s/plan.json", R"({"format":2,"want":"serve"})");
-  const FoundPlan found = PlanStore(disk, "/s", "boot").Load();
-  EXPECT_EQ(found.what, FoundPlan::What::kNewer);
+  const LoadedSupervisorState found = SupervisorStateStore(disk, "/s", "boot").Load();
+  EXPECT_EQ(found.status, LoadedSupervisorState::Status::kUnsupportedVersion);
   EXPECT_TRUE(disk.Has("/s/plan.json.newer"));
 }
 
-TEST(PlanStore, APidThatCannotBeOneIsDamage) {
+TEST(SupervisorStateStore, APidThatCannotBeOneIsDamage) {
   for (const std::int64_t pid : {std::int64_t{-5}, std::int64_t{1}, std::int64_t{1} << 40}) {
-    Plan plan = Sample(1);
-    plan.current->process.pid = pid;
-    EXPECT_THROW(PlanStore::Decode(PlanStore::Encode(plan, "b"), "b"), std::runtime_error);
+    SupervisorState state = Sample(1);
+    state.current->process.pid = pid;
+    EXPECT_THROW(SupervisorStateStore::Decode(SupervisorStateStore::Encode(state, "b"), "b"),
+                 std::runtime_error);
   }
 }
 
