--- a/bench/spread_measure.cpp
+++ b/bench/spread_measure.cpp
@@ -28,13 +28,13 @@
     draw ^= draw >> 7;
     return draw ^= draw << 17;
   });
-  FleetTime now(0);
+  Milliseconds now(0);
   spread.SetServices(now, Services(services));
   for (const auto id : spread.all()) spread.SetUp(now, id, true);
   constexpr int kRuns = 200'000;
   double spent = 0;
   for (int i = 0; i < kRuns; ++i) {
-    now += FleetTime(0.5);
+    now += Milliseconds(0.5);
     if (i % 50 == 0) {
       spread.Tick(now);
       for (const auto id : spread.ToAsk(now)) spread.Told(now, id, static_cast<double>(i % 7), now);
@@ -42,7 +42,7 @@
     const auto began = Clock::now();
     const auto start = spread.Choose(now, {});
     spent += std::chrono::duration<double, std::nano>(Clock::now() - began).count();
-    spread.Ended(now, start->service, {}, RunEndsAs::kWell, FleetTime(10));
+    spread.Ended(now, start->service, {}, RunEndsAs::kWell, Milliseconds(10));
   }
   return spent / kRuns;
 }
--- a/src/appliance/config.cpp
+++ b/src/appliance/config.cpp
@@ -6,7 +6,7 @@
 #include <set>
 
 #include "net/event.h"
-#include "net/peers.h"
+#include "net/gossip_transport.h"
 #include "node/config.h"
 #include "schema/schema.h"
 #include "state/files.h"
@@ -143,7 +143,7 @@
         std::filesystem::absolute(path).parent_path() / config.peers["keys"].get<std::string>();
     config.peers["keys"] = keys.string();
     try {
-      net::ReadPeerKeys(keys);
+      net::ReadGossipKeys(keys);
     } catch (const std::exception& fault) {
       throw ConfigError({std::string("/peers/keys: ") + fault.what()});
     }
--- a/src/cli/control_of_node.cpp
+++ b/src/cli/control_of_node.cpp
@@ -114,62 +114,63 @@
  public:
   MembersOfFleet(node::Node& node, const std::string& path)
       : fleet_(node, [path] { return fleet::ReadFleetConfig(path); }) {}
-  void Finish() override { fleet_.Finish(); }
+  void Finish() override { fleet_.AnnounceLeave(); }
   std::string Members(bool brief) const override {
-    const fleet::Fleet::Seen seen = fleet_.Look();
+    const fleet::Fleet::Snapshot snapshot = fleet_.TakeSnapshot();
     if (brief) {
-      Json json = {{"self", {{"life", seen.self.version.life}}}, {"cut_off", seen.cut_off}};
+      Json json = {{"self", {{"life", snapshot.self.version.process_epoch}}},
+                   {"cut_off", snapshot.holds_removals}};
       Json& members = json["members"] = Json::array();
-      for (const auto& other : seen.others) {
+      for (const auto& other : snapshot.members) {
         members.push_back({{"name", log::Printable(other.record.name)},
-                           {"life", other.record.version.life},
-                           {"state", decide::BeliefName(other.record.belief)}});
+                           {"life", other.record.version.process_epoch},
+                           {"state", decide::MemberStateName(other.record.state)}});
       }
       return json.dump();
     }
-    Json json = {{"self", RecordJson(seen.self)},
-                 {"linked", seen.linked},
-                 {"cut_off", seen.cut_off},
-                 {"health", seen.health}};
+    Json json = {{"self", RecordJson(snapshot.self)},
+                 {"linked", snapshot.is_transport_open},
+                 {"cut_off", snapshot.holds_removals},
+                 {"health", snapshot.local_health}};
     json["members"] = Json::array();
-    for (const auto& other : seen.others) {
+    for (const auto& other : snapshot.members) {
       Json member = RecordJson(other.record);
-      member["state"] = decide::BeliefName(other.record.belief);
-      member["held"] = other.held;
-      if (other.heard.count() >= 0) member["heard_ms"] = std::llround(other.heard.count());
-      if (!other.record.by.empty()) member["by"] = log::Printable(other.record.by);
+      member["state"] = decide::MemberStateName(other.record.state);
+      member["held"] = other.is_removal_held;
+      if (other.last_heard_ago.count() >= 0) member["heard_ms"] = std::llround(other.last_heard_ago.count());
+      if (!other.record.accuser.empty()) member["by"] = log::Printable(other.record.accuser);
       json["members"].push_back(std::move(member));
     }
-    json["counts"] = {{"suspicions", seen.counts.suspicions},
-                      {"withdrawn", seen.counts.withdrawn},
-                      {"gone", seen.counts.gone},
-                      {"returned", seen.counts.returned},
-                      {"refuted", seen.counts.refuted},
-                      {"thaws", seen.counts.thaws}};
-    json["link"] = {{"sent", seen.link.sent},         {"sent_bytes", seen.link.sent_bytes},
-                    {"received", seen.link.received}, {"received_bytes", seen.link.received_bytes},
-                    {"not_ours", seen.link.not_ours}, {"wrong_key", seen.link.wrong_key},
-                    {"again", seen.link.again},       {"unsent", seen.link.unsent}};
+    json["counts"] = {
+        {"suspicions", snapshot.counters.suspicions}, {"withdrawn", snapshot.counters.withdrawn_suspicions},
+        {"gone", snapshot.counters.removed},          {"returned", snapshot.counters.returned},
+        {"refuted", snapshot.counters.refutations},   {"thaws", snapshot.counters.pauses}};
+    json["link"] = {
+        {"sent", snapshot.transport.sent},          {"sent_bytes", snapshot.transport.sent_bytes},
+        {"received", snapshot.transport.received},  {"received_bytes", snapshot.transport.received_bytes},
+        {"not_ours", snapshot.transport.malformed}, {"wrong_key", snapshot.transport.unauthenticated},
+        {"again", snapshot.transport.replayed},     {"unsent", snapshot.transport.unsent}};
     return json.dump();
   }
   std::string Short() const override {
-    const fleet::Fleet::Seen seen = fleet_.Look();
+    const fleet::Fleet::Snapshot snapshot = fleet_.TakeSnapshot();
     std::size_t by_state[3] = {1, 0, 0};
-    for (const auto& other : seen.others) ++by_state[static_cast<std::size_t>(other.record.belief)];
+    for (const auto& other : snapshot.members) ++by_state[static_cast<std::size_t>(other.record.state)];
     return Json{{"alive", by_state[0]},
                 {"suspect", by_state[1]},
                 {"gone", by_state[2]},
-                {"cut_off", seen.cut_off},
-                {"linked", seen.linked}}
+                {"cut_off", snapshot.holds_removals},
+                {"linked", snapshot.is_transport_open}}
         .dump();
   }
 
   std::vector<std::pair<std::string, std::string>> Here() const override {
-    const fleet::Fleet::Seen seen = fleet_.Look();
-    std::vector<std::pair<std::string, std::string>> here = {{seen.self.name, seen.self.zone}};
-    for (const auto& other : seen.others) {
+    const fleet::Fleet::Snapshot snapshot = fleet_.TakeSnapshot();
+    std::vector<std::pair<std::string, std::string>> here = {{snapshot.self.name, snapshot.self.zone}};
+    for (const auto& other : snapshot.members) {
       // Suspects may be back any moment: what moves for them moves twice.
-      if (other.record.belief != decide::Belief::kGone && other.record.phase != decide::MemberPhase::kLeft)
+      if (other.record.state != decide::MemberState::kDead &&
+          other.record.phase != decide::MemberPhase::kLeft)
         here.emplace_back(other.record.name, other.record.zone);
     }
     return here;
@@ -183,7 +184,7 @@
     // Names come from other processes, and end on terminals.
     return {{"name", log::Printable(record.name)},
             {"address", std::string(text) + ':' + std::to_string(record.address.port)},
-            {"life", record.version.life},
+            {"life", record.version.process_epoch},
             {"incarnation", record.version.incarnation},
             {"phase", decide::MemberPhaseName(record.phase)},
             {"zone", log::Printable(record.zone)},
--- a/src/cli/fleet.cpp
+++ b/src/cli/fleet.cpp
@@ -9,7 +9,7 @@
 #include "cli/commands.h"
 #include "cli/state_folder.h"
 #include "control/client.h"
-#include "net/peers.h"
+#include "net/gossip_transport.h"
 
 namespace hingelink::cli {
 namespace {
@@ -147,7 +147,7 @@
   explain->add_option("file", *path, "What 'hingelink fleet spread --json' printed")->required();
   explain->callback([path, &status] { status = Explain(*path); });
   fleet->add_subcommand("key", "Print a key drawn now, a line of the file that peers.keys names")
-      ->callback([] { std::fputs(net::NewPeerKey().c_str(), stdout); });
+      ->callback([] { std::fputs(net::GenerateGossipKey().c_str(), stdout); });
 }
 
 }  // namespace hingelink::cli
--- a/src/cli/lab.cpp
+++ b/src/cli/lab.cpp
@@ -34,9 +34,9 @@
   for (std::uint64_t i = 0; i < options.seeds; ++i, ++scenario.seed) {
     lab::SimOptions sim;
     if (options.words) {
-      sim.words = [](lab::Millis at, std::size_t node, const decide::FleetWord& word) {
-        std::printf("%10.1f n%zu %s %s %.0f\n", at.count(), node, word.code.c_str(), word.name.c_str(),
-                    word.figure);
+      sim.words = [](lab::Millis at, std::size_t node, const decide::MembershipEvent& word) {
+        std::printf("%10.1f n%zu %s %s %.0f\n", at.count(), node, decide::MembershipEventName(word.kind),
+                    word.member.c_str(), word.value);
       };
     }
     const lab::SimResult result = lab::Simulate(scenario, sim);
--- a/src/cli/lab_rig.cpp
+++ b/src/cli/lab_rig.cpp
@@ -3,7 +3,7 @@
 #include "cli/sample_config.h"
 #include "control/client.h"
 #include "decide/subset.h"
-#include "net/peers.h"
+#include "net/gossip_transport.h"
 
 namespace hingelink::cli {
 
@@ -11,7 +11,7 @@
   lab::RigOptions rig;
   rig.program = program;
   rig.folder = folder;
-  rig.new_key = net::NewPeerKey;
+  rig.new_key = net::GenerateGossipKey;
   rig.services_of = [](const lab::Scenario& scenario, std::size_t size) {
     const lab::Fleet& fleet = scenario.fleet;
     std::vector<decide::SubsetNode> nodes;
--- a/src/cli/services.cpp
+++ b/src/cli/services.cpp
@@ -132,7 +132,7 @@
 
 std::string SharedServices::Spread() const {
   const decide::Spread& spread = group_->spread();
-  const decide::FleetTime now = group_->Now();
+  const decide::Milliseconds now = group_->Now();
   Json json = {{"self", self_},
                {"way", decide::WayName(options_.spread.way)},
                {"nodes", spread.nodes()},
--- a/src/decide/membership_internal.h
+++ b/src/decide/membership/membership_internal.h
@@ -6,33 +6,34 @@
 #include <functional>
 #include <string>
 
-#include "decide/membership.h"
+#include "decide/membership/membership.h"
 
 namespace hingelink::decide {
 
 // Of the fixed parts of a record and a message on the link (src/fleet/codec.cpp), rounded up.
-inline constexpr std::size_t kRecordBytes = 40, kMessageBytes = 40, kDigestBytes = 5, kBucketBytes = 2,
-                             kParcelBytes = 5;
+inline constexpr std::size_t kRecordBytes = 40, kBucketBytes = 2;
 // Draws for a random member before giving up for this time.
 inline constexpr int kDraws = 8;
 // Between two looks at a suspicion that the guard against mass change holds.
-inline constexpr FleetTime kLookAgain{500};
-inline constexpr FleetTime kLeastHold{50};
+inline constexpr Milliseconds kLookAgain{500};
+inline constexpr Milliseconds kLeastHold{50};
 inline constexpr std::size_t kMuchNews = 20;
 // So many others must be known before one that has just come compares with any of them.
 inline constexpr std::size_t kFewKnown = 8;
 // A queue of so many words sends each as often as a single one, of twice as many half as often, down to this.
 inline constexpr double kCrowd = 64, kLeastSent = 3;
 // A node whose name others keep taking for a greater life raises its own at most so often, and says so then.
-inline constexpr FleetTime kRaiseEach{1'000};
+inline constexpr Milliseconds kRaiseEach{1'000};
 inline constexpr int kRaisesOfAName = 3;
-inline constexpr FleetTime kForgetEach{5'000};
+inline constexpr Milliseconds kForgetEach{5'000};
 // Behind a thaw, in periods: what came meanwhile must be read before anybody is accused.
 inline constexpr double kDoubtPeriods = 3;
 
-inline std::size_t BucketOf(const std::string& name) { return std::hash<std::string>{}(name) % kBuckets; }
+inline std::size_t BucketOf(const std::string& name) {
+  return std::hash<std::string>{}(name) % kDigestBuckets;
+}
 
-inline bool Here(Belief belief) { return belief != Belief::kGone; }
+inline bool Here(MemberState belief) { return belief != MemberState::kDead; }
 
 }  // namespace hingelink::decide
 
--- a/src/decide/membership_messages.cpp
+++ b/src/decide/membership/membership_messages.cpp
@@ -4,36 +4,36 @@
 #include <cmath>
 #include <utility>
 
-#include "decide/membership_internal.h"
+#include "decide/membership/membership_internal.h"
 
 namespace hingelink::decide {
 
-PeerMessage Membership::Compose(MessageKind kind, std::uint32_t number) {
-  PeerMessage message;
+GossipMessage Membership::Compose(GossipMessageKind kind, std::uint32_t number) {
+  GossipMessage message;
   message.kind = kind;
-  message.number = number;
-  message.view = view_;
+  message.sequence_number = number;
+  message.view_digest = view_;
   message.records.push_back(self_);
   return message;
 }
 
 // The words that were sent least often, the one on `first` before all: who is suspected must hear of it.
-void Membership::Fill(PeerMessage& message, const std::string& first) {
-  std::size_t bytes = MostBytes(message);
+void Membership::Fill(GossipMessage& message, const std::string& first) {
+  std::size_t bytes = MaxEncodedSize(message);
   const auto add = [&](const MemberRecord& record) {
-    bytes += MostBytes(record);
+    bytes += MaxEncodedSize(record);
     message.records.push_back(record);
   };
   if (const Member* target = first.empty() ? nullptr : Find(first);
-      target != nullptr && target->record.belief != Belief::kAlive &&
-      bytes + MostBytes(target->record) <= options_.most_bytes) {
+      target != nullptr && target->record.state != MemberState::kAlive &&
+      bytes + MaxEncodedSize(target->record) <= options_.max_message_bytes) {
     add(target->record);
   }
   const unsigned limit = Limit();
   std::vector<Member*> told;
   for (const auto& [key, member] : queue_) {
-    if (bytes + kRecordBytes > options_.most_bytes) break;
-    if (bytes + MostBytes(member->record) > options_.most_bytes) continue;
+    if (bytes + kRecordBytes > options_.max_message_bytes) break;
+    if (bytes + MaxEncodedSize(member->record) > options_.max_message_bytes) continue;
     if (member->record.name != first) add(member->record);
     told.push_back(member);
   }
@@ -47,12 +47,12 @@
   }
 }
 
-void Membership::Send(PeerAddress to, PeerMessage message, const std::string& first) {
+void Membership::Send(PeerAddress to, GossipMessage message, const std::string& first) {
   Fill(message, first);
-  out_.sends.push_back({to, std::move(message)});
+  out_.messages.push_back({to, std::move(message)});
 }
 
-MembershipActions Membership::SetPhase(FleetTime now, MemberPhase phase) {
+MembershipActions Membership::SetPhase(Milliseconds now, MemberPhase phase) {
   Notice(now);
   if (phase == self_.phase) return TakeOut();
   MemberRecord fresh = self_;
@@ -66,17 +66,18 @@
 }
 
 // An answer to this node's own probe, or to one that it made for another.
-void Membership::HearAck(const PeerMessage& message) {
-  if (probe_ && !probe_->answered && message.number == probe_->number && message.subject == probe_->name) {
+void Membership::HearAck(const GossipMessage& message) {
+  if (probe_ && !probe_->answered && message.sequence_number == probe_->number &&
+      message.target == probe_->name) {
     probe_->answered = true;
     Health(-1);
   }
   const auto helped = std::find_if(helped_.begin(), helped_.end(), [&](const Helped& h) {
-    return h.number == message.number && h.name == message.subject;
+    return h.number == message.sequence_number && h.name == message.target;
   });
-  if (helped != helped_.end() && message.subject == message.records.front().name) {
-    PeerMessage ack = Compose(MessageKind::kAck, helped->askers_number);
-    ack.subject = message.subject;
+  if (helped != helped_.end() && message.target == message.records.front().name) {
+    GossipMessage ack = Compose(GossipMessageKind::kAck, helped->askers_number);
+    ack.target = message.target;
     ack.records.push_back(message.records.front());
     Send(helped->asker, std::move(ack));
     helped_.erase(helped);
@@ -84,31 +85,31 @@
 }
 
 // Probes a member for another node, and tells that node what comes of it.
-void Membership::HelpToProbe(FleetTime now, PeerAddress from, const PeerMessage& message) {
-  if (helped_.size() < options_.most_helped && !message.subject.empty()) {
+void Membership::HelpToProbe(Milliseconds now, PeerAddress from, const GossipMessage& message) {
+  if (helped_.size() < options_.max_indirect_probes && !message.target.empty()) {
     Helped helped;
     helped.number = ++last_number_;
-    helped.name = message.subject;
+    helped.name = message.target;
     helped.asker = from;
-    helped.askers_number = message.number;
-    helped.nack_at = now + options_.answer * 0.8;
-    helped.end_at = now + options_.period;
+    helped.askers_number = message.sequence_number;
+    helped.nack_at = now + options_.probe_timeout * 0.8;
+    helped.end_at = now + options_.probe_interval;
     helped_.push_back(helped);
-    PeerMessage ping = Compose(MessageKind::kPing, helped.number);
-    ping.subject = message.subject;
-    Send(message.address, std::move(ping), message.subject);
+    GossipMessage ping = Compose(GossipMessageKind::kPing, helped.number);
+    ping.target = message.target;
+    Send(message.target_address, std::move(ping), message.target);
   }
 }
 
 // Another node's digests: tells which buckets differ, with records of those.
-void Membership::AnswerCompare(PeerAddress from, const PeerMessage& message, const std::string& first) {
-  PeerMessage differ = Compose(MessageKind::kDiffer, message.number);
-  std::size_t bytes = MostBytes(differ) + kBuckets * kBucketBytes;
-  std::array<bool, kBuckets> wanted{};
-  if (message.digests.size() == kBuckets) {
-    for (std::size_t i = 0; i < kBuckets; ++i) {
-      wanted[i] = message.digests[i] != digests_[i];
-      if (wanted[i]) differ.differing.push_back(static_cast<std::uint8_t>(i));
+void Membership::AnswerCompare(PeerAddress from, const GossipMessage& message, const std::string& first) {
+  GossipMessage differ = Compose(GossipMessageKind::kSyncResponse, message.sequence_number);
+  std::size_t bytes = MaxEncodedSize(differ) + kDigestBuckets * kBucketBytes;
+  std::array<bool, kDigestBuckets> wanted{};
+  if (message.bucket_digests.size() == kDigestBuckets) {
+    for (std::size_t i = 0; i < kDigestBuckets; ++i) {
+      wanted[i] = message.bucket_digests[i] != digests_[i];
+      if (wanted[i]) differ.differing_buckets.push_back(static_cast<std::uint8_t>(i));
     }
   }
   // From a random place on: what does not fit this time will be first another time.
@@ -116,33 +117,33 @@
   for (std::size_t i = 0; i < order_.size(); ++i) {
     const MemberRecord& record = order_[(from_place + i) % order_.size()]->record;
     if (!wanted[BucketOf(record.name)]) continue;
-    if (bytes + MostBytes(record) > options_.most_bytes) break;
-    bytes += MostBytes(record);
+    if (bytes + MaxEncodedSize(record) > options_.max_message_bytes) break;
+    bytes += MaxEncodedSize(record);
     differ.records.push_back(record);
   }
   Send(from, std::move(differ), first);
 }
 
 // The buckets that differ at another node: tells what is known here of them.
-void Membership::AnswerDiffer(PeerAddress from, const PeerMessage& message, const std::string& first) {
-  std::array<bool, kBuckets> wanted{};
-  for (const std::uint8_t bucket : message.differing) wanted[bucket % kBuckets] = true;
-  PeerMessage news = Compose(MessageKind::kNews, message.number);
-  std::size_t bytes = MostBytes(news);
+void Membership::AnswerDiffer(PeerAddress from, const GossipMessage& message, const std::string& first) {
+  std::array<bool, kDigestBuckets> wanted{};
+  for (const std::uint8_t bucket : message.differing_buckets) wanted[bucket % kDigestBuckets] = true;
+  GossipMessage news = Compose(GossipMessageKind::kGossip, message.sequence_number);
+  std::size_t bytes = MaxEncodedSize(news);
   const std::size_t from_place = Below(order_.size());
   for (std::size_t i = 0; i < order_.size(); ++i) {
     const MemberRecord& record = order_[(from_place + i) % order_.size()]->record;
     if (!wanted[BucketOf(record.name)]) continue;
-    if (bytes + MostBytes(record) > options_.most_bytes) break;
+    if (bytes + MaxEncodedSize(record) > options_.max_message_bytes) break;
     // What has just come from there is known there.
     if (std::find(message.records.begin(), message.records.end(), record) != message.records.end()) continue;
-    bytes += MostBytes(record);
+    bytes += MaxEncodedSize(record);
     news.records.push_back(record);
   }
-  if (!message.differing.empty()) Send(from, std::move(news), first);
+  if (!message.differing_buckets.empty()) Send(from, std::move(news), first);
 }
 
-MembershipActions Membership::Hear(FleetTime now, PeerAddress from, const PeerMessage& message) {
+MembershipActions Membership::OnMessage(Milliseconds now, PeerAddress from, const GossipMessage& message) {
   Notice(now);
   if (message.records.empty() || message.records.front().name == self_.name) {
     // An echo of this node's own, or another process of its name.
@@ -153,44 +154,45 @@
   for (const MemberRecord& record : message.records) Adopt(now, record);
   Member* member = Find(sender);
   const bool current = member != nullptr && message.records.front().version == member->record.version;
-  if (current && Here(member->record.belief)) {
+  if (current && Here(member->record.state)) {
     Heard(now, *member);
   }
   // Who is gone here hears of it, and can say that it is not.
   const std::string first = member != nullptr ? sender : std::string();
   switch (message.kind) {
-    case MessageKind::kPing: {
-      PeerMessage ack = Compose(MessageKind::kAck, message.number);
-      ack.subject = self_.name;
+    case GossipMessageKind::kPing: {
+      GossipMessage ack = Compose(GossipMessageKind::kAck, message.sequence_number);
+      ack.target = self_.name;
       Send(from, std::move(ack), first);
       break;
     }
-    case MessageKind::kAck:
+    case GossipMessageKind::kAck:
       HearAck(message);
       break;
-    case MessageKind::kAskPing:
+    case GossipMessageKind::kIndirectPing:
       HelpToProbe(now, from, message);
       break;
-    case MessageKind::kNack:
-      if (probe_ && message.number == probe_->number) ++probe_->nacks;
+    case GossipMessageKind::kNack:
+      if (probe_ && message.sequence_number == probe_->number) ++probe_->nacks;
       break;
-    case MessageKind::kNews:
+    case GossipMessageKind::kGossip:
       break;
-    case MessageKind::kCompare:
+    case GossipMessageKind::kSyncRequest:
       AnswerCompare(from, message, first);
       break;
-    case MessageKind::kDiffer:
+    case GossipMessageKind::kSyncResponse:
       AnswerDiffer(from, message, first);
       break;
   }
-  if (message.view != view_ && member != nullptr) {
+  if (message.view_digest != view_ && member != nullptr) {
     if (!differs_) {
       differs_ = from;
       // One that has just come asks on and on; the others once in a while.
-      const FleetTime rest =
-          self_.phase == MemberPhase::kJoining || size() <= 2 ? options_.answer / 4 : options_.compare;
+      const Milliseconds rest = self_.phase == MemberPhase::kJoining || live_members() <= 2
+                                    ? options_.probe_timeout / 4
+                                    : options_.sync_interval;
       next_compare_ = std::min(std::max(next_compare_, now), now + rest);
-      if (message.kind == MessageKind::kDiffer) next_compare_ = now + rest;
+      if (message.kind == GossipMessageKind::kSyncResponse) next_compare_ = now + rest;
     }
   } else if (differs_ == from) {
     differs_.reset();
--- /dev/null
+++ b/src/decide/milliseconds.h
@@ -0,0 +1,14 @@
+// The unit of time of the decisions: fractional milliseconds.
+#ifndef HINGELINK_DECIDE_MILLISECONDS_H_
+#define HINGELINK_DECIDE_MILLISECONDS_H_
+
+#include <chrono>
+
+namespace hingelink::decide {
+
+// A duration, or a time on the node's monotonic clock, whose origin is of no meaning.
+using Milliseconds = std::chrono::duration<double, std::milli>;
+
+}  // namespace hingelink::decide
+
+#endif  // HINGELINK_DECIDE_MILLISECONDS_H_
--- /dev/null
+++ b/src/decide/random_source.h
@@ -0,0 +1,15 @@
+// Where the decisions take their random numbers from, so that a seed reproduces a run.
+#ifndef HINGELINK_DECIDE_RANDOM_SOURCE_H_
+#define HINGELINK_DECIDE_RANDOM_SOURCE_H_
+
+#include <cstdint>
+#include <functional>
+
+namespace hingelink::decide {
+
+// Returns the next random number, uniformly distributed over 64 bits.
+using RandomSource = std::function<std::uint64_t()>;
+
+}  // namespace hingelink::decide
+
+#endif  // HINGELINK_DECIDE_RANDOM_SOURCE_H_
--- a/src/decide/spread.cpp
+++ b/src/decide/spread.cpp
@@ -25,7 +25,7 @@
 // Judged well for so many times its last time aside, a service begins anew with the shortest.
 constexpr double kForgiven = 4;
 constexpr std::size_t kMostQuestions = 32;
-constexpr FleetTime kNeverAsked{-1e9};
+constexpr Milliseconds kNeverAsked{-1e9};
 constexpr double kTryStock = 2;
 constexpr double kProbeStock = 8;
 
@@ -48,7 +48,7 @@
   return std::nullopt;
 }
 
-Spread::Spread(SpreadOptions options, std::string self, std::string zone, Draw draw, SubsetsOf subset)
+Spread::Spread(SpreadOptions options, std::string self, std::string zone, RandomSource draw, SubsetsOf subset)
     : options_(options),
       self_(std::move(self)),
       zone_(std::move(zone)),
@@ -92,7 +92,7 @@
   return std::find(further_.begin(), end, id) != end;
 }
 
-void Spread::SetServices(FleetTime now, const std::vector<SubsetService>& services) {
+void Spread::SetServices(Milliseconds now, const std::vector<SubsetService>& services) {
   for (Service& s : services_) s.told = false;
   for (const SubsetService& record : services) {
     auto [at, fresh] = by_name_.try_emplace(record.name, static_cast<Id>(services_.size()));
@@ -120,7 +120,7 @@
   Rebuild(now);
 }
 
-void Spread::SetNodes(FleetTime now, std::vector<SubsetNode> nodes) {
+void Spread::SetNodes(Milliseconds now, std::vector<SubsetNode> nodes) {
   const bool there =
       std::any_of(nodes.begin(), nodes.end(), [this](const SubsetNode& n) { return n.name == self_; });
   if (!there) nodes.push_back({self_, zone_});
@@ -131,7 +131,7 @@
   Rebuild(now);
 }
 
-void Spread::Rebuild(FleetTime now) {
+void Spread::Rebuild(Milliseconds now) {
   std::vector<SubsetService> records;
   std::vector<Id> ids;
   for (const Id id : all()) {
@@ -164,7 +164,7 @@
   });
 }
 
-void Spread::Use(FleetTime now, Id id, bool extra) {
+void Spread::Use(Milliseconds now, Id id, bool extra) {
   Service& s = services_[id];
   in_use_.push_back(id);
   ++figures_;
@@ -175,7 +175,7 @@
   if (s.up) SetBack(now, s);
 }
 
-void Spread::SetBack(FleetTime now, Service& s) {
+void Spread::SetBack(Milliseconds now, Service& s) {
   s.standing = Standing::kBack;
   s.fault = Fault::kNone;
   s.back = 0;
@@ -189,13 +189,13 @@
   s.questions.clear();
   // As long as those that share it take to come one after the other, at the rate at which it can answer.
   const double each = run_ms_ > 0 ? run_ms_ / s.record.capacity : 0;
-  const FleetTime all =
-      std::min(options_.reaction_most, FleetTime(options_.reaction * each * static_cast<double>(s.sharers)));
+  const Milliseconds all = std::min(options_.reaction_most,
+                                    Milliseconds(options_.reaction * each * static_cast<double>(s.sharers)));
   s.open_at = now + all * Part();
   s.tried = s.open_at;
 }
 
-void Spread::SetUp(FleetTime now, Id id, bool up) {
+void Spread::SetUp(Milliseconds now, Id id, bool up) {
   Service& s = services_.at(id);
   if (s.up == up) return;
   s.up = up;
@@ -208,7 +208,7 @@
 
 // ---- Which may be chosen, and what is believed of it ----
 
-bool Spread::Open(const Service& s, FleetTime now) const {
+bool Spread::Open(const Service& s, Milliseconds now) const {
   switch (s.standing) {
     case Standing::kGood:
       return true;
@@ -221,14 +221,14 @@
 }
 
 // Of its full share, by what it has answered since it is back.
-double Spread::Share(const Service& s, FleetTime now) const {
+double Spread::Share(const Service& s, Milliseconds now) const {
   if (s.standing != Standing::kBack) return 1;
   const double by_answers = (1 + s.back) / (1 + options_.back_answers);
   const double by_time = s.back > 0 ? (now - s.back_at) / options_.back_most : 0;
   return std::clamp(std::max(by_answers, by_time), 0.05, 1.0);
 }
 
-double Spread::MeanFigure(FleetTime now) const {
+double Spread::MeanFigure(Milliseconds now) const {
   if (mean_of_ == figures_ && mean_at_ == now) return mean_;
   double runs = 0, capacity = 0;
   for (const Id id : in_use_) {
@@ -245,7 +245,7 @@
 
 // Runs that it has now. An old figure says little of now: as it ages, the mean of all takes its place, so
 // that nobody runs after what was true once. Own runs since are known.
-double Spread::Believed(const Service& s, FleetTime now) const {
+double Spread::Believed(const Service& s, Milliseconds now) const {
   const double own = static_cast<double>(s.own);
   if (s.figure < 0) return std::max(own, MeanFigure(now) * s.record.capacity + own);
   const double age = std::max(0.0, (now - s.figure_at) / options_.old);
@@ -254,7 +254,7 @@
   return std::max(own, then + s.net - s.net_then);
 }
 
-double Spread::Cost(const Service& s, FleetTime now) const {
+double Spread::Cost(const Service& s, Milliseconds now) const {
   switch (options_.way) {
     case Way::kLeastOwn:
     case Way::kTwoOwn:
@@ -269,7 +269,7 @@
   }
 }
 
-bool Spread::TooOld(const Service& s, FleetTime now) const {
+bool Spread::TooOld(const Service& s, Milliseconds now) const {
   return s.figure < 0 || now - s.figure_at > options_.old * kTooOld;
 }
 
@@ -280,7 +280,7 @@
   return (static_cast<double>(s.own) + 0.5) / s.record.capacity * slow;
 }
 
-Spread::Id Spread::PickOfTwo(FleetTime now, const std::vector<Id>& open, Decision& decision) {
+Spread::Id Spread::PickOfTwo(Milliseconds now, const std::vector<Id>& open, Decision& decision) {
   double all = 0;
   for (const Id id : open) all += services_[id].record.capacity * Share(services_[id], now);
   const auto draw = [&](double whole, Id but) {
@@ -310,7 +310,7 @@
 
 // Each answer is good for some choices and for some time. Hot: more work than most; among the others the one
 // whose runs are shortest.
-Spread::Id Spread::PickByProbes(FleetTime now, const std::vector<Id>& open, Decision& decision) {
+Spread::Id Spread::PickByProbes(Milliseconds now, const std::vector<Id>& open, Decision& decision) {
   std::vector<Id> fresh;
   std::vector<double> work;
   for (const Id id : open) {
@@ -353,7 +353,7 @@
   return best;
 }
 
-Spread::Id Spread::Pick(FleetTime now, const std::vector<Id>& open, Decision& decision) {
+Spread::Id Spread::Pick(Milliseconds now, const std::vector<Id>& open, Decision& decision) {
   if (open.size() == 1) {
     decision.why = Why::kOnly;
     decision.cost = Cost(services_[open.front()], now);
@@ -383,7 +383,7 @@
 }
 
 // One that nobody of this node has tried for long, within the budget.
-Spread::Id Spread::Untried(FleetTime now, const std::vector<Id>& open) {
+Spread::Id Spread::Untried(Milliseconds now, const std::vector<Id>& open) {
   if (tries_ < 1) return kNone;
   Id oldest = kNone;
   for (const Id id : open) {
@@ -394,7 +394,7 @@
   return oldest;
 }
 
-std::optional<Spread::Start> Spread::Choose(FleetTime now, const SpreadRun& run, Id not_at) {
+std::optional<Spread::Start> Spread::Choose(Milliseconds now, const SpreadRun& run, Id not_at) {
   Decision decision;
   decision.at = now;
   std::vector<Id> open, trials, up;
@@ -466,7 +466,7 @@
   return true;
 }
 
-void Spread::Forgotten(FleetTime now, Id id) {
+void Spread::Forgotten(Milliseconds now, Id id) {
   Service& s = services_.at(id);
   if (s.own > 0) --s.own;
   if (own_ > 0) --own_;
@@ -474,7 +474,7 @@
   s.heard = now;
 }
 
-void Spread::Ended(FleetTime now, Id id, const SpreadRun& run, RunEndsAs how, FleetTime took) {
+void Spread::Ended(Milliseconds now, Id id, const SpreadRun& run, RunEndsAs how, Milliseconds took) {
   Forgotten(now, id);
   Service& s = services_.at(id);
   s.answers += 1;
@@ -527,7 +527,7 @@
   return static_cast<double>(aside + 1) <= options_.aside_share * static_cast<double>(up);
 }
 
-void Spread::Judge(FleetTime now, Id id) {
+void Spread::Judge(Milliseconds now, Id id) {
   Service& s = services_[id];
   if (s.standing != Standing::kGood && s.standing != Standing::kBack) return;
   if (s.answers < options_.least_answers / 2) return;
@@ -548,11 +548,11 @@
     PutAside(now, id, Fault::kLatency);
 }
 
-void Spread::PutAside(FleetTime now, Id id, Fault fault) {
+void Spread::PutAside(Milliseconds now, Id id, Fault fault) {
   Service& s = services_[id];
   if (s.standing != Standing::kTrial && !MayPutAside()) return;
   if (s.standing != Standing::kTrial && now - s.good_since > s.aside_for * kForgiven)
-    s.aside_for = FleetTime(0);
+    s.aside_for = Milliseconds(0);
   s.aside_for = std::min(options_.aside_most, s.aside_for.count() > 0 ? s.aside_for * 2 : options_.aside);
   // Nodes that judged alike do not come back alike.
   s.aside_until = now + s.aside_for * (0.75 + 0.5 * Part());
@@ -565,7 +565,7 @@
   next_due_ = std::min(next_due_, s.aside_until);
 }
 
-void Spread::Tick(FleetTime now) {
+void Spread::Tick(Milliseconds now) {
   next_due_ = now + options_.untried / 4;
   for (const Id id : in_use_) {
     Service& s = services_[id];
@@ -578,7 +578,7 @@
       s.errors = 0;
     }
     if (s.standing == Standing::kAside) next_due_ = std::min(next_due_, s.aside_until);
-    const FleetTime patience = std::max(options_.silence, FleetTime(options_.silence_times * run_ms_));
+    const Milliseconds patience = std::max(options_.silence, Milliseconds(options_.silence_times * run_ms_));
     const bool judged =
         s.standing == Standing::kGood || s.standing == Standing::kBack || s.standing == Standing::kTrial;
     if (judged && s.own > 0 && now - s.heard > patience) PutAside(now, id, Fault::kSilence);
@@ -589,7 +589,7 @@
 // ---- Width ----
 
 // A node whose whole subset is busy, or which alone fills its share of it, uses more; later fewer again.
-void Spread::MindWidth(FleetTime now) {
+void Spread::MindWidth(Milliseconds now) {
   if (now - widened_at_ < options_.widen_each || in_use_.empty()) return;
   // Not at each choice: it looks at all in use.
   if (now - width_seen_ < options_.widen_each / 4) return;
@@ -636,14 +636,14 @@
 
 // ---- Figures ----
 
-std::vector<Spread::Id> Spread::ToAsk(FleetTime now) {
+std::vector<Spread::Id> Spread::ToAsk(Milliseconds now) {
   std::vector<Id> ask;
   const bool figures = options_.way >= Way::kTwoAsked;
   const bool works = now - last_start_ < options_.ask_idle;
   for (const Id id : in_use_) {
     Service& s = services_[id];
     if (!s.up) continue;
-    const FleetTime each =
+    const Milliseconds each =
         figures && works && options_.way != Way::kProbes ? options_.ask_each : options_.ask_idle;
     if (now - s.asked_at < each) continue;
     // The first is followed sooner by the second, so that nodes that began together ask at times of their
@@ -668,7 +668,7 @@
   return ask;
 }
 
-void Spread::Told(FleetTime now, Id id, double running, FleetTime asked_at) {
+void Spread::Told(Milliseconds now, Id id, double running, Milliseconds asked_at) {
   Service& s = services_.at(id);
   // Answers may overtake each other on the way through a new link.
   if (s.figure >= 0 && asked_at < s.figure_at) return;
@@ -684,7 +684,7 @@
   if (s.standing == Standing::kGood && s.own == 0) s.heard = now;
 }
 
-Spread::Look Spread::LookAt(FleetTime now, Id id) const {
+Spread::Look Spread::LookAt(Milliseconds now, Id id) const {
   const Service& s = services_.at(id);
   Look look;
   look.name = s.record.name;
@@ -701,8 +701,8 @@
   look.never_ran = s.never_ran;
   look.asides = s.asides;
   look.told = s.figure;
-  look.told_ago = s.figure < 0 ? FleetTime(-1) : now - s.figure_at;
-  look.tried_ago = s.starts == 0 ? FleetTime(-1) : now - s.tried;
+  look.told_ago = s.figure < 0 ? Milliseconds(-1) : now - s.figure_at;
+  look.tried_ago = s.starts == 0 ? Milliseconds(-1) : now - s.tried;
   look.believed = Believed(s, now);
   look.slowness = s.slowness;
   look.run_ms = s.run_ms;
--- a/src/decide/spread.h
+++ b/src/decide/spread.h
@@ -21,7 +21,8 @@
 #include <utility>
 #include <vector>
 
-#include "decide/membership.h"
+#include "decide/milliseconds.h"
+#include "decide/random_source.h"
 #include "decide/subset.h"
 
 namespace hingelink::decide {
@@ -74,26 +75,26 @@
   std::size_t subset = 8;
   std::size_t most_in_use = 64;  // With those by which it is widened.
   // Asked figures. One of `old` counts half, the rest of it is the mean of all.
-  FleetTime old{120};
-  FleetTime ask_each{250};  // Each service in use, while there is work; the answer's own way comes on top.
-  FleetTime ask_idle{2'000};
+  Milliseconds old{120};
+  Milliseconds ask_each{250};  // Each service in use, while there is work; the answer's own way comes on top.
+  Milliseconds ask_idle{2'000};
   // Probes (kProbes).
   double probes_a_start = 2;
   std::size_t probe_uses = 3;
-  FleetTime probe_old{250};
+  Milliseconds probe_old{250};
   double hot_share = 0.75;  // Of the probes, by work; those above are hot.
   // Against herds.
-  double back_answers = 12;    // So many answers until a service that is back has its whole share.
-  FleetTime back_most{4'000};  // And at the latest.
-  double reaction = 1.0;       // Of the time in which those that share it could fill it with one run each.
-  FleetTime reaction_most{2'000};
+  double back_answers = 12;       // So many answers until a service that is back has its whole share.
+  Milliseconds back_most{4'000};  // And at the latest.
+  double reaction = 1.0;          // Of the time in which those that share it could fill it with one run each.
+  Milliseconds reaction_most{2'000};
   // Against idleness.
-  FleetTime untried{2'000};
+  Milliseconds untried{2'000};
   double try_share = 0.05;  // Of the starts.
   double widen_at = 0.9;  // All in use have so many runs a core, or this node alone fills so much of its fair
                           // share of them.
-  FleetTime widen_each{100};
-  FleetTime narrow_after{10'000};
+  Milliseconds widen_each{100};
+  Milliseconds narrow_after{10'000};
   // Repeats of what never ran.
   double repeat_share = 0.1;
   double most_repeats = 10;
@@ -102,10 +103,10 @@
   double error_share = 0.5;
   double latency_times = 3.5;  // The median of the others.
   double least_answers = 8;
-  FleetTime silence{1'500};
+  Milliseconds silence{1'500};
   double silence_times = 12;  // The mean time of a run.
-  FleetTime aside{1'000};
-  FleetTime aside_most{30'000};
+  Milliseconds aside{1'000};
+  Milliseconds aside_most{30'000};
   double trials = 3;
   std::size_t most_recent = 256;
 };
@@ -125,15 +126,15 @@
   using SubsetsOf = std::function<std::vector<std::uint32_t>(
       const std::vector<SubsetNode>& nodes, const std::vector<SubsetService>& services, std::size_t size)>;
 
-  Spread(SpreadOptions options, std::string self, std::string zone, Draw draw, SubsetsOf subset = {});
+  Spread(SpreadOptions options, std::string self, std::string zone, RandomSource draw, SubsetsOf subset = {});
 
   // ---- Who is there ----
   // All services of the pool that this node may use; those that are no longer told are forgotten. New ones
   // are down until told otherwise.
-  void SetServices(FleetTime now, const std::vector<SubsetService>& services);
+  void SetServices(Milliseconds now, const std::vector<SubsetService>& services);
   // All nodes that share them, this one too (it is added where it is missing).
-  void SetNodes(FleetTime now, std::vector<SubsetNode> nodes);
-  void SetUp(FleetTime now, Id service, bool up);
+  void SetNodes(Milliseconds now, std::vector<SubsetNode> nodes);
+  void SetUp(Milliseconds now, Id service, bool up);
   Id Find(const std::string& name) const;
 
   // ---- Runs ----
@@ -143,23 +144,23 @@
   };
   // Where it goes, counted there from now on; nothing where none is up. `not_at` is passed over while there
   // is another (kNone: none).
-  std::optional<Start> Choose(FleetTime now, const SpreadRun& run, Id not_at = kNone);
+  std::optional<Start> Choose(Milliseconds now, const SpreadRun& run, Id not_at = kNone);
   // `took`: as the service tells it, from its start to its end.
-  void Ended(FleetTime now, Id service, const SpreadRun& run, RunEndsAs how, FleetTime took);
+  void Ended(Milliseconds now, Id service, const SpreadRun& run, RunEndsAs how, Milliseconds took);
   // It is no longer waited for there: moved, or its end will not be told.
-  void Forgotten(FleetTime now, Id service);
+  void Forgotten(Milliseconds now, Id service);
   // Whether what never ran may run elsewhere, which uses up some of the budget.
   bool MayRepeat();
 
   // ---- Figures of services ----
   // Who is to be asked now, within the budgets.
-  std::vector<Id> ToAsk(FleetTime now);
+  std::vector<Id> ToAsk(Milliseconds now);
   // `running`: all that it has in hand, of all nodes; asked at, on the caller's clock.
-  void Told(FleetTime now, Id service, double running, FleetTime asked_at);
+  void Told(Milliseconds now, Id service, double running, Milliseconds asked_at);
 
   // What is due: judgements by silence, returns. At least each `untried` / 4 and at NextDue().
-  void Tick(FleetTime now);
-  FleetTime NextDue() const { return next_due_; }
+  void Tick(Milliseconds now);
+  Milliseconds NextDue() const { return next_due_; }
 
   // ---- For operators and advice ----
   struct Look {
@@ -172,20 +173,20 @@
     std::uint64_t own = 0;    // This node's runs there now.
     std::uint64_t starts = 0, errors = 0, never_ran = 0, asides = 0;
     double told = -1;  // Runs there by its last word; below 0: none.
-    FleetTime told_ago{-1}, tried_ago{-1};
+    Milliseconds told_ago{-1}, tried_ago{-1};
     double believed = 0;  // What a choice counts with now.
     double slowness = 1;  // Its times over those of all.
     double run_ms = 0;    // Mean.
-    FleetTime aside_for{0};
+    Milliseconds aside_for{0};
   };
-  Look LookAt(FleetTime now, Id service) const;
+  Look LookAt(Milliseconds now, Id service) const;
   std::vector<Id> all() const;
   const std::vector<Id>& in_use() const { return in_use_; }
   // The next that it would be widened by.
   std::vector<Id> spares(std::size_t most) const;
   bool IsSpare(Id service, std::size_t most) const;
   struct Decision {
-    FleetTime at{0};
+    Milliseconds at{0};
     Id service = kNone, other = kNone;
     Why why = Why::kChosen;
     double cost = 0, other_cost = 0;  // As the way of choosing has them: less is better.
@@ -207,13 +208,13 @@
     std::size_t sharers = 1;
     std::uint64_t own = 0, starts = 0, errors_all = 0, never_ran = 0, asides = 0;
     double figure = -1;
-    FleetTime figure_at{0};                              // When it was asked for: it is no younger.
-    FleetTime asked_at{-1e9};                            // The last question.
-    double net = 0;                                      // Own starts less own ends, of all time ...
-    double net_then = 0;                                 // ... and when the figure was asked for.
-    std::deque<std::pair<FleetTime, double>> questions;  // That are open: when, and `net` then.
-    int uses = 0;                                        // Of this figure, by choices.
-    double run_ms = 0;                                   // Mean of what it answered.
+    Milliseconds figure_at{0};                              // When it was asked for: it is no younger.
+    Milliseconds asked_at{-1e9};                            // The last question.
+    double net = 0;                                         // Own starts less own ends, of all time ...
+    double net_then = 0;                                    // ... and when the figure was asked for.
+    std::deque<std::pair<Milliseconds, double>> questions;  // That are open: when, and `net` then.
+    int uses = 0;                                           // Of this figure, by choices.
+    double run_ms = 0;                                      // Mean of what it answered.
     double slowness = 1;
     double slow_weight = 0;  // Answers behind it.
     double errors = 0;       // Share, lately.
@@ -221,9 +222,9 @@
     Standing standing = Standing::kGood;
     Fault fault = Fault::kNone;
     double back = 0;  // Answers since it is back.
-    FleetTime back_at{0}, open_at{0};
-    FleetTime aside_until{0}, aside_for{0}, good_since{0};
-    FleetTime tried{-1e9}, heard{0};  // Its last answer to a run, or since when one is owed.
+    Milliseconds back_at{0}, open_at{0};
+    Milliseconds aside_until{0}, aside_for{0}, good_since{0};
+    Milliseconds tried{-1e9}, heard{0};  // Its last answer to a run, or since when one is owed.
     std::size_t trial_runs = 0;
   };
   struct Kind {
@@ -231,29 +232,29 @@
     double weight = 0;
   };
 
-  void Rebuild(FleetTime now);
-  void Use(FleetTime now, Id id, bool extra);
-  void SetBack(FleetTime now, Service& s);
-  bool Open(const Service& s, FleetTime now) const;
-  double Share(const Service& s, FleetTime now) const;
-  double Believed(const Service& s, FleetTime now) const;
-  double Cost(const Service& s, FleetTime now) const;
+  void Rebuild(Milliseconds now);
+  void Use(Milliseconds now, Id id, bool extra);
+  void SetBack(Milliseconds now, Service& s);
+  bool Open(const Service& s, Milliseconds now) const;
+  double Share(const Service& s, Milliseconds now) const;
+  double Believed(const Service& s, Milliseconds now) const;
+  double Cost(const Service& s, Milliseconds now) const;
   double CostByOwn(const Service& s) const;
-  bool TooOld(const Service& s, FleetTime now) const;
-  Id Pick(FleetTime now, const std::vector<Id>& open, Decision& decision);
-  Id PickOfTwo(FleetTime now, const std::vector<Id>& open, Decision& decision);
-  Id PickByProbes(FleetTime now, const std::vector<Id>& open, Decision& decision);
-  Id Untried(FleetTime now, const std::vector<Id>& open);
-  void Judge(FleetTime now, Id id);
-  void PutAside(FleetTime now, Id id, Fault fault);
+  bool TooOld(const Service& s, Milliseconds now) const;
+  Id Pick(Milliseconds now, const std::vector<Id>& open, Decision& decision);
+  Id PickOfTwo(Milliseconds now, const std::vector<Id>& open, Decision& decision);
+  Id PickByProbes(Milliseconds now, const std::vector<Id>& open, Decision& decision);
+  Id Untried(Milliseconds now, const std::vector<Id>& open);
+  void Judge(Milliseconds now, Id id);
+  void PutAside(Milliseconds now, Id id, Fault fault);
   bool MayPutAside() const;
-  void MindWidth(FleetTime now);
-  double MeanFigure(FleetTime now) const;
+  void MindWidth(Milliseconds now);
+  double MeanFigure(Milliseconds now) const;
   double Part() { return static_cast<double>(draw_() >> 11) * 0x1.0p-53; }
 
   SpreadOptions options_;
   std::string self_, zone_;
-  Draw draw_;
+  RandomSource draw_;
   SubsetsOf subset_;  // This node's row of it.
   std::vector<Service> services_;
   std::map<std::string, Id> by_name_;
@@ -267,10 +268,10 @@
   // Of MeanFigure(), which each belief asks for: good for one moment and one state of the figures.
   std::uint64_t figures_ = 0;
   mutable std::uint64_t mean_of_ = UINT64_MAX;
-  mutable FleetTime mean_at_{-1};
+  mutable Milliseconds mean_at_{-1};
   mutable double mean_ = 0;
   std::uint64_t own_ = 0;
-  FleetTime last_start_{-1e9}, widened_at_{-1e9}, width_seen_{-1e9}, wide_since_{0}, next_due_{0};
+  Milliseconds last_start_{-1e9}, widened_at_{-1e9}, width_seen_{-1e9}, wide_since_{0}, next_due_{0};
   std::deque<Decision> recent_;
   Counts counts_;
 };
--- a/src/fleet/codec.h
+++ b/src/fleet/codec.h
@@ -1,4 +1,5 @@
-// What the members tell each other as CBOR, and back. Arrays by place; decide::MostBytes() bounds the size.
+// What the members tell each other as CBOR, and back. Arrays by place; decide::MaxEncodedSize() bounds the
+// size.
 #ifndef HINGELINK_FLEET_CODEC_H_
 #define HINGELINK_FLEET_CODEC_H_
 
@@ -6,13 +7,13 @@
 #include <string>
 #include <string_view>
 
-#include "decide/membership.h"
+#include "decide/membership/membership.h"
 
 namespace hingelink::fleet {
 
-std::string Encode(const decide::PeerMessage& message);
+std::string Encode(const decide::GossipMessage& message);
 // Nothing where the bytes are no such message, or one out of bounds.
-std::optional<decide::PeerMessage> Decode(std::string_view bytes);
+std::optional<decide::GossipMessage> Decode(std::string_view bytes);
 
 }  // namespace hingelink::fleet
 
--- a/src/fleet/fleet.cpp
+++ b/src/fleet/fleet.cpp
@@ -21,14 +21,14 @@
 namespace {
 
 using namespace std::chrono_literals;
-using decide::Belief;
-using decide::FleetTime;
 using decide::MemberPhase;
 using decide::MemberRecord;
+using decide::MemberState;
+using decide::Milliseconds;
 using decide::PeerAddress;
 
 // Alone for so long, a node takes itself for the first one.
-constexpr FleetTime kFirstAfter{1'500};
+constexpr Milliseconds kFirstAfter{1'500};
 // Between two tries to listen where another process of this node still does.
 constexpr auto kOpenEach = 100ms;
 constexpr auto kLeastWait = 1ms;
@@ -45,21 +45,34 @@
 
 // So that every start of a name has a greater life than the one before; two in one millisecond differ by
 // chance.
-std::uint64_t LifeNow(const decide::Draw& draw) {
+std::uint64_t LifeNow(const decide::RandomSource& draw) {
   const auto unix_ms = std::chrono::duration_cast<std::chrono::milliseconds>(
       std::chrono::system_clock::now().time_since_epoch());
   return static_cast<std::uint64_t>(unix_ms.count()) * 1024 + draw() % 1024;
 }
 
-void Log(const decide::FleetWord& word) {
-  static constexpr const char* kLoud[] = {"cut-off", "member-gone", "name-taken", "thawed", "deaf"};
-  const bool loud = std::find(std::begin(kLoud), std::end(kLoud), word.code) != std::end(kLoud);
-  const log::Field name{"member", word.name};
-  const log::Field figure{"figure", std::llround(word.figure)};
-  if (loud) {
-    log::Warn("fleet-" + word.code, {name, figure});
+// Whether the event is logged as a warning.
+bool NeedsAttention(decide::MembershipEventKind kind) {
+  switch (kind) {
+    case decide::MembershipEventKind::kRemovalsHeld:
+    case decide::MembershipEventKind::kMemberDead:
+    case decide::MembershipEventKind::kNameConflict:
+    case decide::MembershipEventKind::kPaused:
+    case decide::MembershipEventKind::kIsolated:
+      return true;
+    default:
+      return false;
+  }
+}
+
+void Log(const decide::MembershipEvent& word) {
+  const std::string code = std::string("fleet-") + decide::MembershipEventName(word.kind);
+  const log::Field member{"member", word.member};
+  const log::Field figure{"figure", std::llround(word.value)};
+  if (NeedsAttention(word.kind)) {
+    log::Warn(code, {member, figure});
   } else {
-    log::Info("fleet-" + word.code, {name, figure});
+    log::Info(code, {member, figure});
   }
 }
 
@@ -91,10 +104,10 @@
     : node_(node),
       reread_(reread),
       config_(reread()),
-      keys_(net::ReadPeerKeys(config_.keys)),
+      keys_(net::ReadGossipKeys(config_.keys)),
       timer_(node.base(), [this] { Tick(); }),
       open_(node.base(), [this] { Open(); }) {
-  if (node.name().size() > decide::kMostNameBytes)
+  if (node.name().size() > decide::kMaxNameBytes)
     throw std::runtime_error("name: longer than 64 bytes, which is the most that peers take");
   net::ParseAddress(config_.listen);
   if (!config_.advertise.empty()) net::ParseAddress(config_.advertise);
@@ -107,7 +120,7 @@
 void Fleet::Open() {
   if (link_ || handed_over_) return;
   try {
-    net::PeerLink::Options options;
+    net::GossipTransport::Options options;
     options.listen = net::ParseAddress(config_.listen);
     options.keys = keys_;
     link_.emplace(node_.base(), std::move(options),
@@ -127,8 +140,8 @@
     self.zone = config_.zone;
     self.weight = config_.weight;
     auto draw = std::make_shared<pcg64>(pcg_extras::seed_seq_from<std::random_device>{});
-    const decide::Draw next = [draw] { return (*draw)(); };
-    self.version.life = LifeNow(next);
+    const decide::RandomSource next = [draw] { return (*draw)(); };
+    self.version.process_epoch = LifeNow(next);
     std::vector<PeerAddress> seeds;
     for (const std::string& seed : config_.seeds) {
       const PeerAddress at = FromSocket(net::ParseAddress(seed));
@@ -144,9 +157,9 @@
   const auto message = Decode(body);
   // It is under a key: another version of this program, then.
   if (!message || !members_) return;
-  const FleetTime now = Now();
-  Carry(members_->Hear(now, FromSocket(from), *message));
-  riders_.Deliver(now, *message);
+  const Milliseconds now = Now();
+  Carry(members_->OnMessage(now, FromSocket(from), *message));
+  topics_.Dispatch(now, *message);
   timer_.After(std::max<net::Steady::duration>(
       std::chrono::duration_cast<net::Steady::duration>(members_->NextDue() - Now()), kLeastWait));
 }
@@ -163,18 +176,18 @@
   MemberPhase phase = members_->self().phase;
   if (node_.leaving()) {
     phase = MemberPhase::kDraining;
-  } else if (phase != MemberPhase::kJoining || members_->size() > 1 || Now() > kFirstAfter) {
-    phase = node_.ready() ? MemberPhase::kServing : MemberPhase::kWarming;
+  } else if (phase != MemberPhase::kJoining || members_->live_members() > 1 || Now() > kFirstAfter) {
+    phase = node_.ready() ? MemberPhase::kServing : MemberPhase::kWarmingUp;
   }
   if (phase != members_->self().phase) Carry(members_->SetPhase(Now(), phase));
 }
 
 void Fleet::Carry(decide::MembershipActions actions) {
-  for (const decide::FleetWord& word : actions.words) Log(word);
+  for (const decide::MembershipEvent& word : actions.events) Log(word);
   if (!link_) return;
-  const FleetTime now = Now();
-  for (decide::SendMessage& send : actions.sends) {
-    riders_.Load(now, send.to, send.message, decide::MembershipOptions{}.most_bytes);
+  const Milliseconds now = Now();
+  for (decide::OutgoingMessage& send : actions.messages) {
+    topics_.AppendPayloads(now, send.to, send.message, decide::MembershipOptions{}.max_message_bytes);
     link_->Send(ToSocket(send.to), Encode(send.message));
   }
 }
@@ -197,7 +210,7 @@
     case Turn::kReloaded:
       try {
         const FleetConfig fresh = reread_();
-        keys_ = net::ReadPeerKeys(fresh.keys);
+        keys_ = net::ReadGossipKeys(fresh.keys);
         if (link_) link_->SetKeys(keys_);
         std::vector<PeerAddress> seeds;
         for (const std::string& seed : fresh.seeds) seeds.push_back(FromSocket(net::ParseAddress(seed)));
@@ -213,33 +226,33 @@
   }
 }
 
-void Fleet::Finish() {
+void Fleet::AnnounceLeave() {
   if (!members_ || !link_) return;
   Carry(members_->SetPhase(Now(), MemberPhase::kLeft));
 }
 
-Fleet::Seen Fleet::Look() const {
-  Seen seen;
-  seen.linked = link_.has_value();
-  if (link_) seen.link = link_->counts();
+Fleet::Snapshot Fleet::TakeSnapshot() const {
+  Snapshot snapshot;
+  snapshot.is_transport_open = link_.has_value();
+  if (link_) snapshot.transport = link_->counters();
   if (!members_) {
-    seen.self.name = node_.name();
-    return seen;
+    snapshot.self.name = node_.name();
+    return snapshot;
   }
-  seen.self = members_->self();
-  seen.others = members_->Others(Now());
-  std::sort(seen.others.begin(), seen.others.end(),
+  snapshot.self = members_->self();
+  snapshot.members = members_->Members(Now());
+  std::sort(snapshot.members.begin(), snapshot.members.end(),
             [](const auto& a, const auto& b) { return a.record.name < b.record.name; });
-  seen.health = members_->health();
-  seen.cut_off = members_->cut_off();
-  seen.counts = members_->counts();
-  return seen;
+  snapshot.local_health = members_->local_health();
+  snapshot.holds_removals = members_->holds_removals();
+  snapshot.counters = members_->counters();
+  return snapshot;
 }
 
 std::string Fleet::Figures() const {
   using prometheus::ClientMetric;
   using prometheus::MetricType;
-  const Seen seen = Look();
+  const Snapshot snapshot = TakeSnapshot();
   std::vector<prometheus::MetricFamily> families;
   const auto add = [&families](const char* name, MetricType type, const char* help,
                                std::vector<std::pair<std::string, double>> values, const char* label) {
@@ -253,34 +266,39 @@
     families.push_back(std::move(family));
   };
   double by_state[3] = {1, 0, 0}, quiet = 0;
-  for (const auto& other : seen.others) {
-    ++by_state[static_cast<std::size_t>(other.record.belief)];
-    if (other.record.belief != Belief::kGone) quiet = std::max(quiet, other.heard.count() / 1000);
+  for (const auto& other : snapshot.members) {
+    ++by_state[static_cast<std::size_t>(other.record.state)];
+    if (other.record.state != MemberState::kDead)
+      quiet = std::max(quiet, other.last_heard_ago.count() / 1000);
   }
   const auto number = [](std::uint64_t value) { return static_cast<double>(value); };
   add("members", MetricType::Gauge, "Members by what this node holds of them, itself among the alive.",
       {{"alive", by_state[0]}, {"suspect", by_state[1]}, {"gone", by_state[2]}}, "state");
   add("cut_off", MetricType::Gauge, "1 while this node holds its view, as too many are silent.",
-      {{"", seen.cut_off ? 1 : 0}}, nullptr);
-  add("health", MetricType::Gauge, "0: well; up to 8: slow to accuse others.", {{"", seen.health}}, nullptr);
+      {{"", snapshot.holds_removals ? 1 : 0}}, nullptr);
+  add("health", MetricType::Gauge, "0: well; up to 8: slow to accuse others.", {{"", snapshot.local_health}},
+      nullptr);
   add("quiet_seconds", MetricType::Gauge, "Since the member that was quiet longest was heard itself.",
       {{"", quiet}}, nullptr);
   add("suspicions_total", MetricType::Counter, "Suspicions by what became of them, and of this node.",
-      {{"raised", number(seen.counts.suspicions)},
-       {"withdrawn", number(seen.counts.withdrawn)},
-       {"gone", number(seen.counts.gone)},
-       {"of-this-node", number(seen.counts.refuted)}},
+      {{"raised", number(snapshot.counters.suspicions)},
+       {"withdrawn", number(snapshot.counters.withdrawn_suspicions)},
+       {"gone", number(snapshot.counters.removed)},
+       {"of-this-node", number(snapshot.counters.refutations)}},
       "outcome");
   add("messages_total", MetricType::Counter, "Datagrams between nodes.",
-      {{"sent", number(seen.link.sent)}, {"received", number(seen.link.received)}}, "direction");
+      {{"sent", number(snapshot.transport.sent)}, {"received", number(snapshot.transport.received)}},
+      "direction");
   add("bytes_total", MetricType::Counter, "Bytes of datagrams between nodes, without those of UDP and IP.",
-      {{"sent", number(seen.link.sent_bytes)}, {"received", number(seen.link.received_bytes)}}, "direction");
+      {{"sent", number(snapshot.transport.sent_bytes)},
+       {"received", number(snapshot.transport.received_bytes)}},
+      "direction");
   add("dropped_total", MetricType::Counter, "Datagrams that were not taken or not sent, by reason.",
-      {{"not-ours", number(seen.link.not_ours)},
-       {"wrong-key", number(seen.link.wrong_key)},
-       {"again", number(seen.link.again)},
-       {"echo", number(seen.link.echo)},
-       {"unsent", number(seen.link.unsent)}},
+      {{"not-ours", number(snapshot.transport.malformed)},
+       {"wrong-key", number(snapshot.transport.unauthenticated)},
+       {"again", number(snapshot.transport.replayed)},
+       {"echo", number(snapshot.transport.reflected)},
+       {"unsent", number(snapshot.transport.unsent)}},
       "reason");
   return prometheus::TextSerializer().Serialize(families);
 }
--- a/src/fleet/fleet.h
+++ b/src/fleet/fleet.h
@@ -7,9 +7,9 @@
 #include <string>
 #include <vector>
 
-#include "decide/membership.h"
-#include "decide/rider.h"
-#include "net/peers.h"
+#include "decide/membership/gossip_topic.h"
+#include "decide/membership/membership.h"
+#include "net/gossip_transport.h"
 #include "node/joined.h"
 #include "node/node.h"
 
@@ -31,19 +31,20 @@
   ~Fleet() override;
 
   // What rides along with the members' messages. To be called before the node runs.
-  void Add(decide::Rider& rider) { riders_.Add(rider); }
+  void RegisterTopic(decide::GossipTopic& topic) { topics_.Register(topic); }
   // Behind the node's Run(): tells the others that it has left.
-  void Finish();
+  void AnnounceLeave();
 
-  struct Seen {
+  struct Snapshot {
     decide::MemberRecord self;
-    std::vector<decide::Membership::Look> others;  // By name.
-    int health = 0;
-    bool cut_off = false, linked = false;
-    decide::MembershipCounts counts;
-    net::PeerLink::Counts link;
+    std::vector<decide::MemberView> members;  // By name.
+    int local_health = 0;
+    bool holds_removals = false;
+    bool is_transport_open = false;
+    decide::MembershipCounters counters;
+    net::GossipTransport::Counters transport;
   };
-  Seen Look() const;
+  Snapshot TakeSnapshot() const;
 
   // ---- node::Joined ----
   void Turned(Turn turn) override;
@@ -55,15 +56,15 @@
   void Tick();
   void Carry(decide::MembershipActions actions);
   void SetPhase();
-  decide::FleetTime Now() const { return net::Steady::now() - began_; }
+  decide::Milliseconds Now() const { return net::Steady::now() - began_; }
 
   node::Node& node_;
   std::function<FleetConfig()> reread_;
   FleetConfig config_;
-  std::vector<net::PeerKey> keys_;
+  std::vector<net::GossipKey> keys_;
   net::Steady::time_point began_ = net::Steady::now();
-  decide::Riders riders_;
-  std::optional<net::PeerLink> link_;
+  decide::GossipTopics topics_;
+  std::optional<net::GossipTransport> link_;
   std::optional<decide::Membership> members_;
   net::Timer timer_;
   net::Timer open_;
--- a/src/lab/sim/crowd.cpp
+++ b/src/lab/sim/crowd.cpp
@@ -14,7 +14,7 @@
 namespace hingelink::lab {
 namespace {
 
-using decide::FleetTime;
+using decide::Milliseconds;
 using decide::Spread;
 using decide::SpreadRun;
 
@@ -142,7 +142,7 @@
   static double Part(pcg64& draw) { return static_cast<double>(draw() >> 11) * 0x1.0p-53; }
   Millis Way() { return options_.delay * (1 + Part(network_)); }
   // Each node's own clock: nothing may follow from what it shows.
-  FleetTime Clock(std::size_t n) const { return now_ + Millis(1e6 + 777.0 * static_cast<double>(n)); }
+  Milliseconds Clock(std::size_t n) const { return now_ + Millis(1e6 + 777.0 * static_cast<double>(n)); }
 
   double RateAt(Millis at) const {
     const double mean = options_.work.count() * 1.0;
--- a/src/lab/sim/network.h
+++ b/src/lab/sim/network.h
@@ -13,7 +13,7 @@
 #include <string>
 #include <vector>
 
-#include "decide/membership.h"
+#include "decide/membership/membership.h"
 #include "lab/scenario/judge.h"
 #include "lab/scenario/scenario.h"
 
@@ -47,11 +47,12 @@
 
 struct SimOptions {
   decide::MembershipOptions membership;
-  double bytes_per_second = 64'000;  // Of each node's link (net/peers.h); two seconds of it may be saved up.
+  double bytes_per_second =
+      64'000;  // Of each node's link (net/gossip_transport.h); two seconds of it may be saved up.
   // Given each message before it is sent, to plant a mistake in it.
-  std::function<void(std::size_t node, decide::PeerMessage&)> tamper;
+  std::function<void(std::size_t node, decide::GossipMessage&)> tamper;
   // Told of each word that a node would log.
-  std::function<void(Millis at, std::size_t node, const decide::FleetWord&)> words;
+  std::function<void(Millis at, std::size_t node, const decide::MembershipEvent&)> words;
 };
 
 // Throws nothing but what memory does.
--- a/src/net/pool_group.cpp
+++ b/src/net/pool_group.cpp
@@ -9,14 +9,14 @@
 namespace {
 
 using namespace std::chrono_literals;
-using decide::FleetTime;
+using decide::Milliseconds;
 using decide::RunEndsAs;
 using decide::Spread;
 using decide::SpreadRun;
 
 constexpr auto kTickEach = 25ms;
 // Gauges of services are asked for more seldom than those of one pool of its own.
-constexpr FleetTime kGaugesGood{1'000};
+constexpr Milliseconds kGaugesGood{1'000};
 // Links beyond those of the services in use, so that there is something to widen to.
 constexpr std::size_t kSpare = 2;
 constexpr int kPlaceBits = 48;
@@ -220,7 +220,7 @@
 void PoolGroup::Unknown(Id id, std::uint64_t req) {
   const auto it = sent_.find(req);
   if (it == sent_.end() || it->second.service != id) return events_.spawn_unknown(req);
-  spread_.Ended(Now(), id, it->second.run, RunEndsAs::kNeverRan, FleetTime(0));
+  spread_.Ended(Now(), id, it->second.run, RunEndsAs::kNeverRan, Milliseconds(0));
   const bool only_there = it->second.before == Spread::kNone;
   if (it->second.tries == 1 && only_there && spread_.MayRepeat()) return Again(req, it->second, true);
   Drop(it);
@@ -272,7 +272,7 @@
 void PoolGroup::MixGauges() {
   gauges_.clear();
   double cores = 0;
-  const FleetTime now = Now();
+  const Milliseconds now = Now();
   for (const Id id : spread_.in_use()) {
     const Service& s = services_[id];
     if (!s.up || s.gauges.empty() || now - s.gauges_at > kGaugesGood) continue;
@@ -286,7 +286,7 @@
 
 void PoolGroup::Tick() {
   timer_.After(kTickEach);
-  const FleetTime now = Now();
+  const Milliseconds now = Now();
   spread_.Tick(now);
   for (const Id id : spread_.in_use()) Connect(id);
   std::size_t spare = 0;
@@ -315,15 +315,15 @@
 
 // What waits at services that are away: it leaves if it may run twice, and ends where they stay away.
 void PoolGroup::SeeAway() {
-  const FleetTime now = Now();
+  const Milliseconds now = Now();
   std::vector<std::uint64_t> leave, lost;
   for (const auto& [req, sent] : sent_) {
     const Service& s = services_[sent.service];
     if (s.up) continue;
-    const FleetTime away = now - s.down_since;
-    if (away > FleetTime(options_.lost_after)) {
+    const Milliseconds away = now - s.down_since;
+    if (away > Milliseconds(options_.lost_after)) {
       lost.push_back(req);
-    } else if (sent.run.safe && sent.tries == 1 && away > FleetTime(options_.leave_after)) {
+    } else if (sent.run.safe && sent.tries == 1 && away > Milliseconds(options_.leave_after)) {
       leave.push_back(req);
     }
   }
--- a/src/net/pool_group.h
+++ b/src/net/pool_group.h
@@ -38,7 +38,7 @@
   std::chrono::milliseconds leave_after{400};
   // What is still owed by one that is away for so long has failed. Longer than any request waits.
   std::chrono::milliseconds lost_after{30'000};
-  decide::Draw draw;
+  decide::RandomSource draw;
 };
 
 class PoolGroup : public PoolSide {
@@ -66,7 +66,7 @@
   const std::vector<double>& gauges() const override { return gauges_; }
 
   const decide::Spread& spread() const { return spread_; }
-  decide::FleetTime Now() const { return Steady::now() - began_; }
+  decide::Milliseconds Now() const { return Steady::now() - began_; }
   std::size_t links() const;
   std::size_t in_hand() const { return sent_.size(); }
 
@@ -77,10 +77,10 @@
     bool told = true;  // In the list.
     std::unique_ptr<PoolLink> link;
     bool up = false;
-    decide::FleetTime down_since{0};
-    std::optional<decide::FleetTime> asked;
+    decide::Milliseconds down_since{0};
+    std::optional<decide::Milliseconds> asked;
     std::vector<double> gauges;
-    decide::FleetTime gauges_at{0};
+    decide::Milliseconds gauges_at{0};
     std::size_t owed = 0;  // Runs.
   };
   struct Sent {
