--- a/src/cli/lab_crowd.cpp
+++ b/src/cli/lab_crowd.cpp
@@ -49,16 +49,16 @@
           options.load = load;
           options.figures_age = lab::Millis(age);
           options.length = lab::Millis(command.seconds * 1000);
-          options.spread.subset = command.subset;
+          options.spread.subset_size = command.subset;
           options = lab::CrowdCase(name, options);
           options.yardstick = way == "yardstick";
           if (!options.yardstick) {
-            const auto known = decide::WayOf(way);
+            const auto known = decide::ParsePolicy(way);
             if (!known)
               throw std::runtime_error("--way: found \"" + way +
                                        "\"; wanted random, round-robin, "
                                        "least-own, two-own, two-asked, probes, weighted or yardstick");
-            options.spread.way = *known;
+            options.spread.policy = *known;
           }
           lines.push_back({name, way, load, age, options, {}});
         }
--- a/src/cli/lab_rig.cpp
+++ b/src/cli/lab_rig.cpp
@@ -2,7 +2,7 @@
 
 #include "cli/sample_config.h"
 #include "control/client.h"
-#include "decide/subset.h"
+#include "decide/load_balancing/subsetting.h"
 #include "net/peers.h"
 
 namespace hingelink::cli {
@@ -15,13 +15,13 @@
   rig.services_of = [](const lab::Scenario& scenario, std::size_t size) {
     const lab::Fleet& fleet = scenario.fleet;
     std::vector<decide::SubsetNode> nodes;
-    std::vector<decide::SubsetService> services;
+    std::vector<decide::SubsetEndpoint> services;
     for (std::size_t i = 0; i < fleet.nodes; ++i)
       nodes.push_back({"n" + std::to_string(i), fleet.zones[i % fleet.zones.size()]});
     for (std::size_t s = 0; s < fleet.services; ++s)
       services.push_back(
           {"s" + std::to_string(s), fleet.zones[s % fleet.zones.size()], static_cast<double>(fleet.cores)});
-    return decide::Subsets(nodes, services, size);
+    return decide::AssignSubsets(nodes, services, size);
   };
   rig.classes = SampleLoad();
   rig.capacity = SampleCapacity;
--- a/src/cli/serve.cpp
+++ b/src/cli/serve.cpp
@@ -8,7 +8,7 @@
 #include "cli/control_of_node.h"
 #include "cli/held_signals.h"
 #include "cli/topology.h"
-#include "decide/cores.h"
+#include "decide/loops/core_pinning.h"
 #include "log/log.h"
 #include "node/config.h"
 #include "node/node.h"
@@ -62,8 +62,8 @@
                     services ? services->Maker() : node::Node::PoolMaker());
     held_signals.Release();
     if (options.pin) {
-      const decide::PinPlan plan = decide::PlanPins(AllowedUnits(), options.threads);
-      log::Info("pin", {{"", plan.why}});
+      const decide::CorePinningPlan plan = decide::PlanCorePinning(AllowedUnits(), options.threads);
+      log::Info("pin", {{"", plan.description}});
       node.Bind(plan.units);
     }
     std::unique_ptr<StateOfNode> state;
--- a/src/cli/services.cpp
+++ b/src/cli/services.cpp
@@ -17,7 +17,7 @@
 
 using namespace std::chrono_literals;
 using control::Json;
-using decide::Spread;
+using decide::LoadBalancer;
 
 // Between two looks at who else is here.
 constexpr auto kNodesEach = 1s;
@@ -38,8 +38,8 @@
   if (!faults.empty()) throw std::runtime_error(faults);
   net::PoolGroupOptions options;
   options.zone = json.value("zone", "");
-  options.spread.subset = json.value("subset", options.spread.subset);
-  options.spread.way = *decide::WayOf(json.value("way", decide::WayName(options.spread.way)));
+  options.spread.subset_size = json.value("subset", options.spread.subset_size);
+  options.spread.policy = *decide::ParsePolicy(json.value("way", decide::PolicyName(options.spread.policy)));
   std::set<std::string> names, addresses;
   std::size_t place = 0;
   for (const auto& one : json["services"]) {
@@ -73,8 +73,8 @@
       group_ = group.get();
       self_ = name;
       log::Info("services", {{"told", options_.services.size()},
-                             {"in_use", group_->spread().in_use().size()},
-                             {"way", decide::WayName(options_.spread.way)}});
+                             {"in_use", group_->spread().active_endpoints().size()},
+                             {"way", decide::PolicyName(options_.spread.policy)}});
       return group;
     };
   }
@@ -131,59 +131,66 @@
 }
 
 std::string SharedServices::Spread() const {
-  const decide::Spread& spread = group_->spread();
+  const decide::LoadBalancer& spread = group_->spread();
   const decide::FleetTime now = group_->Now();
   Json json = {{"self", self_},
-               {"way", decide::WayName(options_.spread.way)},
-               {"nodes", spread.nodes()},
-               {"in_use", spread.in_use().size()},
+               {"way", decide::PolicyName(options_.spread.policy)},
+               {"nodes", spread.node_count()},
+               {"in_use", spread.active_endpoints().size()},
                {"links", group_->links()},
                {"in_hand", group_->in_hand()}};
   json["services"] = Json::array();
-  for (const Spread::Id id : spread.all()) {
-    const Spread::Look look = spread.LookAt(now, id);
+  for (const decide::EndpointId id : spread.endpoints()) {
+    const decide::EndpointSnapshot look = spread.Snapshot(now, id);
     Json one = {{"name", look.name},
                 {"zone", look.zone},
                 {"cores", look.capacity},
-                {"state", decide::StandingName(look.standing)},
-                {"fault", decide::FaultName(look.fault)},
-                {"in_use", look.in_use},
-                {"extra", look.extra},
-                {"sharers", look.sharers},
-                {"own", look.own},
-                {"starts", look.starts},
+                {"state", decide::EndpointStateName(look.state)},
+                {"fault", decide::EjectionCauseName(look.ejection_cause)},
+                {"in_use", look.is_active},
+                {"extra", look.is_expansion},
+                {"sharers", look.sharing_nodes},
+                {"own", look.local_in_flight},
+                {"starts", look.requests},
                 {"errors", look.errors},
-                {"never_ran", look.never_ran},
-                {"asides", look.asides},
-                {"believed", look.believed},
-                {"slowness", look.slowness},
-                {"run_ms", look.run_ms}};
-    if (look.told >= 0) {
-      one["told"] = look.told;
-      one["told_ago_ms"] = look.told_ago.count();
+                {"never_ran", look.not_executed},
+                {"asides", look.ejections},
+                {"believed", look.estimated_load},
+                {"slowness", look.latency_ratio},
+                {"run_ms", look.mean_latency_ms}};
+    if (look.reported_load >= 0) {
+      one["told"] = look.reported_load;
+      one["told_ago_ms"] = look.report_age.count();
     }
-    if (look.tried_ago.count() >= 0) one["tried_ago_ms"] = look.tried_ago.count();
-    if (look.standing == decide::Standing::kAside) one["aside_for_ms"] = look.aside_for.count();
+    if (look.last_request_age.count() >= 0) one["tried_ago_ms"] = look.last_request_age.count();
+    if (look.state == decide::EndpointState::kEjected) one["aside_for_ms"] = look.ejection_time_left.count();
     json["services"].push_back(std::move(one));
   }
   json["recent"] = Json::array();
-  for (const Spread::Decision& decision : spread.recent()) {
+  for (const decide::ChoiceRecord& decision : spread.recent_choices()) {
     Json one = {{"ago_ms", (now - decision.at).count()},
-                {"to", spread.LookAt(now, decision.service).name},
-                {"why", decide::WhyName(decision.why)},
+                {"to", spread.Snapshot(now, decision.endpoint).name},
+                {"why", decide::ChoiceReasonName(decision.reason)},
                 {"cost", decision.cost}};
-    if (decision.other != Spread::kNone) {
-      one["beside"] = spread.LookAt(now, decision.other).name;
-      one["beside_cost"] = decision.other_cost;
+    if (decision.alternative != decide::kNoEndpoint) {
+      one["beside"] = spread.Snapshot(now, decision.alternative).name;
+      one["beside_cost"] = decision.alternative_cost;
     }
     json["recent"].push_back(std::move(one));
   }
-  const Spread::Counts& c = spread.counts();
-  json["counts"] = {
-      {"starts", c.starts},   {"repeats", c.repeats},     {"repeats_refused", c.repeats_refused},
-      {"untried", c.untried}, {"trials", c.trials},       {"asides", c.asides},
-      {"returns", c.returns}, {"widened", c.widened},     {"narrowed", c.narrowed},
-      {"asked", c.asked},     {"all_aside", c.all_aside}, {"none_up", c.none_up}};
+  const decide::LoadBalancerCounters& c = spread.counters();
+  json["counts"] = {{"starts", c.requests},
+                    {"repeats", c.retries},
+                    {"repeats_refused", c.retries_denied},
+                    {"untried", c.unprobed_choices},
+                    {"trials", c.half_open_probes},
+                    {"asides", c.ejections},
+                    {"returns", c.recoveries},
+                    {"widened", c.expansions},
+                    {"narrowed", c.contractions},
+                    {"asked", c.polls},
+                    {"all_aside", c.all_ejected_choices},
+                    {"none_up", c.no_endpoint}};
   return json.dump();
 }
 
--- a/src/cli/topology.h
+++ b/src/cli/topology.h
@@ -4,7 +4,7 @@
 
 #include <vector>
 
-#include "decide/cores.h"
+#include "decide/loops/core_pinning.h"
 
 namespace hingelink::cli {
 
--- a/src/decide/placement.cpp
+++ b/src/decide/connections/connection_balancer.cpp
@@ -1,4 +1,4 @@
-#include "decide/placement.h"
+#include "decide/connections/connection_balancer.h"
 
 #include <algorithm>
 #include <cmath>
@@ -13,9 +13,10 @@
 
 }  // namespace
 
-Placement::Placement(const PlacementOptions& options) : options_(options), loops_(options.loops) {}
+ConnectionBalancer::ConnectionBalancer(const ConnectionBalancerOptions& options)
+    : options_(options), loops_(options.loops) {}
 
-LoopIndex Placement::LeastLoaded() const {
+LoopIndex ConnectionBalancer::LeastLoaded() const {
   LoopIndex least = loops_.size();
   for (LoopIndex i = 0; i < loops_.size(); ++i) {
     if (!loops_[i].hung && (least == loops_.size() || load(i) < load(least))) least = i;
@@ -23,7 +24,7 @@
   return least;
 }
 
-LoopIndex Placement::Place(const std::vector<std::size_t>& connections) {
+LoopIndex ConnectionBalancer::ChooseLoop(const std::vector<std::size_t>& connections) {
   // What one more is expected to bring. Loads that differ by less are the same, and the count decides.
   const double one = std::max(kUnknownLoad, mean_load_);
   LoopIndex best = loops_.size();
@@ -46,12 +47,12 @@
   return best;
 }
 
-bool Placement::Uneven(double busiest, LoopIndex least) const {
+bool ConnectionBalancer::Uneven(double busiest, LoopIndex least) const {
   const double gap = busiest - load(least);
-  return gap > options_.gap_of_core && gap > options_.gap_of_busiest * busiest;
+  return gap > options_.min_gap_cores && gap > options_.min_gap_fraction * busiest;
 }
 
-std::vector<Move> Placement::Report(const LoopReport& report, Time now) {
+std::vector<Move> ConnectionBalancer::OnReport(const LoopReport& report, Time now) {
   LoopState& from = loops_[report.loop];
   const double busy = std::clamp(report.busy, 0.0, 1.0);
   from.load = from.known ? (1 - kFresh) * from.load + kFresh * busy : busy;
@@ -59,7 +60,7 @@
   from.expected = 0;
   std::erase_if(resting_, [now](const auto& entry) { return entry.second <= now; });
   std::size_t working = 0;
-  for (const auto& heavy : report.heaviest) working += heavy.work > 0 ? 1 : 0;
+  for (const auto& heavy : report.heaviest_connections) working += heavy.work > 0 ? 1 : 0;
   if (working > 0) mean_load_ = (1 - kFresh) * mean_load_ + kFresh * busy / static_cast<double>(working);
 
   const LoopIndex to = LeastLoaded();
@@ -72,30 +73,30 @@
     from.uneven = 0;
     return {};
   }
-  if (++from.uneven < options_.reports || report.work == 0) return {};
+  if (++from.uneven < options_.required_reports || report.work == 0) return {};
 
   std::vector<Move> moves;
   const double each = busy / static_cast<double>(report.work);
   double gap = load(report.loop) - load(to);
-  for (const auto& heavy : report.heaviest) {
-    if (moves.size() >= options_.most_moves || heavy.work == 0) break;
+  for (const auto& heavy : report.heaviest_connections) {
+    if (moves.size() >= options_.max_moves_per_report || heavy.work == 0) break;
     const double load = each * static_cast<double>(heavy.work);
     // Past half of the gap it would only change which of the two is the busy one.
     if (load > gap / 2 || resting_.count(heavy.id) != 0) continue;
     moves.push_back({heavy.id, report.loop, to});
-    resting_[heavy.id] = now + options_.rest;
+    resting_[heavy.id] = now + options_.cooldown;
     gap -= 2 * load;
     from.load -= load;
     loops_[to].load += load;
-    if (gap <= options_.gap_of_core / 2) break;
+    if (gap <= options_.min_gap_cores / 2) break;
   }
   from.uneven = 0;
   return moves;
 }
 
-void Placement::Settled(ConnectionId id, Time now) { resting_[id] = now + options_.rest; }
+void ConnectionBalancer::OnMoveFinished(ConnectionId id, Time now) { resting_[id] = now + options_.cooldown; }
 
-void Placement::SetHung(LoopIndex loop, bool hung) {
+void ConnectionBalancer::SetStalled(LoopIndex loop, bool hung) {
   loops_[loop].hung = hung;
   loops_[loop].uneven = 0;
 }
--- a/src/decide/placement.h
+++ b/src/decide/connections/connection_balancer.h
@@ -1,7 +1,7 @@
 // Which loop takes a new connection, and which connection goes to another loop. By load, not by count.
-// No I/O and no clock: the caller tells what each loop reports, and when.
-#ifndef HINGELINK_DECIDE_PLACEMENT_H_
-#define HINGELINK_DECIDE_PLACEMENT_H_
+// No I/O and no clock: the caller tells what each loop required_reports, and when.
+#ifndef HINGELINK_DECIDE_CONNECTIONS_CONNECTION_BALANCER_H_
+#define HINGELINK_DECIDE_CONNECTIONS_CONNECTION_BALANCER_H_
 
 #include <chrono>
 #include <cstddef>
@@ -9,21 +9,21 @@
 #include <unordered_map>
 #include <vector>
 
-#include "decide/connection_book.h"
+#include "decide/connections/connection_locations.h"
 
 namespace hingelink::decide {
 
-struct PlacementOptions {
+struct ConnectionBalancerOptions {
   std::size_t loops = 1;
   // A move needs the busiest loop to be so much busier than the least busy one, both as a share of the
   // busiest one's load and as a share of a core...
-  double gap_of_busiest = 0.25;
-  double gap_of_core = 0.10;
-  // ... at so many reports of the busiest loop in a row.
-  int reports = 2;
+  double min_gap_fraction = 0.25;
+  double min_gap_cores = 0.10;
+  // ... at so many required_reports of the busiest loop in a row.
+  int required_reports = 2;
   // A connection that has moved, or was asked to and stayed, is let be for so long.
-  std::chrono::milliseconds rest{2000};
-  std::size_t most_moves = 16;  // Asked at one time.
+  std::chrono::milliseconds cooldown{2000};
+  std::size_t max_moves_per_report = 16;  // Asked at one time.
 };
 
 // What a loop tells of the time since its last report.
@@ -31,11 +31,11 @@
   LoopIndex loop = 0;
   double busy = 0;         // Share of a core its thread used, 0 to 1.
   std::uint64_t work = 0;  // Frames read and written on all of its connections.
-  struct Heavy {
+  struct ConnectionWork {
     ConnectionId id = 0;
     std::uint64_t work = 0;
   };
-  std::vector<Heavy> heaviest;  // Those with most work, most first. May be cut short.
+  std::vector<ConnectionWork> heaviest_connections;  // Those with most work, most first. May be cut short.
 };
 
 struct Move {
@@ -45,21 +45,21 @@
   bool operator==(const Move&) const = default;
 };
 
-class Placement {
+class ConnectionBalancer {
  public:
   using Time = std::chrono::milliseconds;  // Since any moment, the same for all calls.
 
-  explicit Placement(const PlacementOptions& options);
+  explicit ConnectionBalancer(const ConnectionBalancerOptions& options);
 
   // The loop for a new connection. `connections` gives how many each loop has, itself not among them.
-  LoopIndex Place(const std::vector<std::size_t>& connections);
+  LoopIndex ChooseLoop(const std::vector<std::size_t>& connections);
 
   // Takes a report and gives the moves to ask for.
-  std::vector<Move> Report(const LoopReport& report, Time now);
+  std::vector<Move> OnReport(const LoopReport& report, Time now);
   // A move that was asked for has been carried out, or turned down: the connection rests from now on.
-  void Settled(ConnectionId id, Time now);
+  void OnMoveFinished(ConnectionId id, Time now);
   // A loop that does not answer gets no connections until it does, and none is asked of it.
-  void SetHung(LoopIndex loop, bool hung);
+  void SetStalled(LoopIndex loop, bool hung);
 
   // The load of a loop as it is believed now, in shares of a core.
   double load(LoopIndex loop) const { return loops_[loop].load + loops_[loop].expected; }
@@ -77,7 +77,7 @@
   // Whether a loop of this load is so much busier than `least` that a move is worth its while.
   bool Uneven(double busiest, LoopIndex least) const;
 
-  PlacementOptions options_;
+  ConnectionBalancerOptions options_;
   std::vector<LoopState> loops_;
   double mean_load_ = 0;                            // Of one connection, over all that worked.
   std::unordered_map<ConnectionId, Time> resting_;  // Until when.
@@ -85,4 +85,4 @@
 
 }  // namespace hingelink::decide
 
-#endif  // HINGELINK_DECIDE_PLACEMENT_H_
+#endif  // HINGELINK_DECIDE_CONNECTIONS_CONNECTION_BALANCER_H_
--- a/src/decide/connection_book.h
+++ b/src/decide/connections/connection_locations.h
@@ -5,8 +5,8 @@
 // reach a loop that has let it go: the queue to a loop keeps its order, so what was sent before the wish is
 // delivered before it is carried out. The loop's word ends the wait: let go (the next loop adopts it, then
 // gets what waited), kept, or ended.
-#ifndef HINGELINK_DECIDE_CONNECTION_BOOK_H_
-#define HINGELINK_DECIDE_CONNECTION_BOOK_H_
+#ifndef HINGELINK_DECIDE_CONNECTIONS_CONNECTION_LOCATIONS_H_
+#define HINGELINK_DECIDE_CONNECTIONS_CONNECTION_LOCATIONS_H_
 
 #include <cstddef>
 #include <cstdint>
@@ -22,22 +22,22 @@
 
 // `Answer` is whatever is to be delivered; it waits unchanged.
 template <class Answer>
-class ConnectionBook {
+class ConnectionLocations {
  public:
   // The loop that a connection begins on is a part of its name, so that only those that moved need a place
   // here.
   static constexpr int kLoopShift = 56;
 
-  explicit ConnectionBook(std::size_t loops) : counts_(loops) {}
+  explicit ConnectionLocations(std::size_t loops) : counts_(loops) {}
 
   // A name for a new connection on `loop`. Never given twice.
-  ConnectionId Begin(LoopIndex loop) {
+  ConnectionId Add(LoopIndex loop) {
     ++counts_[loop];
     return static_cast<ConnectionId>(loop) << kLoopShift | ++last_;
   }
 
   // A loop tells of its end. False where the loop is not the one that has it.
-  bool End(ConnectionId id, LoopIndex at) {
+  bool Remove(ConnectionId id, LoopIndex at) {
     const auto moved = moved_.find(id);
     if (At(id, moved) != at) return false;
     --counts_[at];
@@ -50,7 +50,7 @@
   }
 
   // Asks for a move. Gives the loop to tell; nothing where it is on its way already, or there.
-  std::optional<LoopIndex> Ask(ConnectionId id, LoopIndex to) {
+  std::optional<LoopIndex> BeginMove(ConnectionId id, LoopIndex to) {
     auto moved = moved_.find(id);
     const LoopIndex at = At(id, moved);
     if (at == to || (moved != moved_.end() && moved->second.to)) return std::nullopt;
@@ -60,13 +60,13 @@
     return at;
   }
 
-  struct Settled {
-    LoopIndex at = 0;
-    std::vector<Answer> waited;  // In the order in which they were given.
+  struct FinishedMove {
+    LoopIndex loop = 0;
+    std::vector<Answer> held_answers;  // In the order in which they were given.
   };
   // The loop asked has let it go (`left`) or keeps it. Nothing where no such move was asked of that loop.
   // Where it has left, the caller has it adopted at `at` before anything of `waited` is sent there.
-  std::optional<Settled> Settle(ConnectionId id, LoopIndex from, bool left) {
+  std::optional<FinishedMove> FinishMove(ConnectionId id, LoopIndex from, bool left) {
     const auto moved = moved_.find(id);
     if (moved == moved_.end() || !moved->second.to || moved->second.at != from) return std::nullopt;
     Place& place = moved->second;
@@ -77,9 +77,9 @@
       ++counts_[to];
       place.at = to;
     }
-    Settled settled{place.at, std::exchange(place.waiting, {})};
+    FinishedMove finished{place.at, std::exchange(place.waiting, {})};
     if (place.at == Birth(id)) moved_.erase(moved);
-    return settled;
+    return finished;
   }
 
   // The loop to send an answer to, or nothing: it was put among those that wait.
@@ -93,15 +93,15 @@
   }
 
   // Whether answers may wait. Guards against a process that ends with some of them here.
-  bool moving() const { return moving_ > 0; }
-  std::size_t on(LoopIndex loop) const { return counts_[loop]; }
+  bool has_pending_moves() const { return moving_ > 0; }
+  std::size_t count(LoopIndex loop) const { return counts_[loop]; }
   std::size_t size() const {
     std::size_t sum = 0;
     for (const std::size_t count : counts_) sum += count;
     return sum;
   }
   // Connections that are not where they began, which take room here.
-  std::size_t away() const { return moved_.size(); }
+  std::size_t moved_count() const { return moved_.size(); }
 
  private:
   struct Place {
@@ -124,4 +124,4 @@
 
 }  // namespace hingelink::decide
 
-#endif  // HINGELINK_DECIDE_CONNECTION_BOOK_H_
+#endif  // HINGELINK_DECIDE_CONNECTIONS_CONNECTION_LOCATIONS_H_
--- a/src/decide/spread.cpp
+++ b/src/decide/load_balancing/load_balancer.cpp
@@ -1,4 +1,4 @@
-#include "decide/spread.h"
+#include "decide/load_balancing/load_balancer.h"
 
 #include <algorithm>
 #include <cmath>
@@ -7,8 +7,8 @@
 namespace hingelink::decide {
 namespace {
 
-constexpr const char* kWayNames[kWays] = {"random",    "round-robin", "least-own", "two-own",
-                                          "two-asked", "probes",      "weighted"};
+constexpr const char* kWayNames[kPolicies] = {"random",    "round-robin", "least-own", "two-own",
+                                              "two-asked", "probes",      "weighted"};
 constexpr const char* kWhyNames[] = {"chosen", "only", "untried", "trial", "all-aside", "repeat"};
 constexpr const char* kStandingNames[] = {"good", "back", "aside", "trial", "down"};
 constexpr const char* kFaultNames[] = {"none", "errors", "latency", "silence"};
@@ -37,27 +37,30 @@
 
 }  // namespace
 
-const char* WayName(Way way) { return kWayNames[static_cast<std::size_t>(way)]; }
-const char* WhyName(Why why) { return kWhyNames[static_cast<std::size_t>(why)]; }
-const char* StandingName(Standing standing) { return kStandingNames[static_cast<std::size_t>(standing)]; }
-const char* FaultName(Fault fault) { return kFaultNames[static_cast<std::size_t>(fault)]; }
-std::optional<Way> WayOf(const std::string& name) {
-  for (std::size_t i = 0; i < kWays; ++i) {
-    if (name == kWayNames[i]) return static_cast<Way>(i);
+const char* PolicyName(Policy way) { return kWayNames[static_cast<std::size_t>(way)]; }
+const char* ChoiceReasonName(ChoiceReason why) { return kWhyNames[static_cast<std::size_t>(why)]; }
+const char* EndpointStateName(EndpointState standing) {
+  return kStandingNames[static_cast<std::size_t>(standing)];
+}
+const char* EjectionCauseName(EjectionCause fault) { return kFaultNames[static_cast<std::size_t>(fault)]; }
+std::optional<Policy> ParsePolicy(const std::string& name) {
+  for (std::size_t i = 0; i < kPolicies; ++i) {
+    if (name == kWayNames[i]) return static_cast<Policy>(i);
   }
   return std::nullopt;
 }
 
-Spread::Spread(SpreadOptions options, std::string self, std::string zone, Draw draw, SubsetsOf subset)
+LoadBalancer::LoadBalancer(LoadBalancerOptions options, std::string self, std::string zone, Draw draw,
+                           SubsetFunction subset)
     : options_(options),
       self_(std::move(self)),
       zone_(std::move(zone)),
       draw_(std::move(draw)),
       subset_(std::move(subset)) {
   if (!subset_) {
-    subset_ = [this](const std::vector<SubsetNode>& nodes, const std::vector<SubsetService>& services,
+    subset_ = [this](const std::vector<SubsetNode>& nodes, const std::vector<SubsetEndpoint>& services,
                      std::size_t size) {
-      const auto subsets = Subsets(nodes, services, size);
+      const auto subsets = AssignSubsets(nodes, services, size);
       for (std::size_t n = 0; n < nodes.size(); ++n) {
         if (nodes[n].name == self_) return subsets[n];
       }
@@ -65,50 +68,50 @@
     };
   }
   nodes_ = {{self_, zone_}};
-  repeats_ = options_.most_repeats / 2;
+  repeats_ = options_.max_retry_budget / 2;
 }
 
 // ---- Who is there ----
 
-Spread::Id Spread::Find(const std::string& name) const {
+EndpointId LoadBalancer::FindEndpoint(const std::string& name) const {
   const auto at = by_name_.find(name);
-  return at == by_name_.end() ? kNone : at->second;
+  return at == by_name_.end() ? kNoEndpoint : at->second;
 }
 
-std::vector<Spread::Id> Spread::all() const {
-  std::vector<Id> ids;
+std::vector<EndpointId> LoadBalancer::endpoints() const {
+  std::vector<EndpointId> ids;
   for (const auto& [name, id] : by_name_) {
     if (services_[id].told) ids.push_back(id);
   }
   return ids;
 }
 
-std::vector<Spread::Id> Spread::spares(std::size_t most) const {
+std::vector<EndpointId> LoadBalancer::StandbyEndpoints(std::size_t most) const {
   return {further_.begin(), further_.begin() + static_cast<std::ptrdiff_t>(std::min(most, further_.size()))};
 }
 
-bool Spread::IsSpare(Id id, std::size_t most) const {
+bool LoadBalancer::IsStandby(EndpointId id, std::size_t most) const {
   const auto end = further_.begin() + static_cast<std::ptrdiff_t>(std::min(most, further_.size()));
   return std::find(further_.begin(), end, id) != end;
 }
 
-void Spread::SetServices(FleetTime now, const std::vector<SubsetService>& services) {
+void LoadBalancer::SetEndpoints(FleetTime now, const std::vector<SubsetEndpoint>& services) {
   for (Service& s : services_) s.told = false;
-  for (const SubsetService& record : services) {
-    auto [at, fresh] = by_name_.try_emplace(record.name, static_cast<Id>(services_.size()));
+  for (const SubsetEndpoint& record : services) {
+    auto [at, fresh] = by_name_.try_emplace(record.name, static_cast<EndpointId>(services_.size()));
     if (fresh) {
       // The place of one that was forgotten is used again, once nothing of it is owed.
       const auto free = std::find_if(services_.begin(), services_.end(),
                                      [](const Service& s) { return s.record.name.empty() && s.own == 0; });
-      at->second = static_cast<Id>(free - services_.begin());
+      at->second = static_cast<EndpointId>(free - services_.begin());
       if (free == services_.end()) services_.emplace_back();
       services_[at->second] = Service();
-      services_[at->second].standing = Standing::kDown;
+      services_[at->second].standing = EndpointState::kDisconnected;
     }
     services_[at->second].record = record;
     services_[at->second].told = true;
   }
-  for (Id id = 0; id < services_.size(); ++id) {
+  for (EndpointId id = 0; id < services_.size(); ++id) {
     Service& s = services_[id];
     if (s.told || s.record.name.empty()) continue;
     s.in_use = s.extra = false;
@@ -120,7 +123,7 @@
   Rebuild(now);
 }
 
-void Spread::SetNodes(FleetTime now, std::vector<SubsetNode> nodes) {
+void LoadBalancer::SetNodes(FleetTime now, std::vector<SubsetNode> nodes) {
   const bool there =
       std::any_of(nodes.begin(), nodes.end(), [this](const SubsetNode& n) { return n.name == self_; });
   if (!there) nodes.push_back({self_, zone_});
@@ -131,16 +134,16 @@
   Rebuild(now);
 }
 
-void Spread::Rebuild(FleetTime now) {
-  std::vector<SubsetService> records;
-  std::vector<Id> ids;
-  for (const Id id : all()) {
+void LoadBalancer::Rebuild(FleetTime now) {
+  std::vector<SubsetEndpoint> records;
+  std::vector<EndpointId> ids;
+  for (const EndpointId id : endpoints()) {
     records.push_back(services_[id].record);
     ids.push_back(id);
   }
-  const std::vector<std::size_t> places = PlacesOf(nodes_.size(), records, options_.subset);
+  const std::vector<std::size_t> places = SlotsPerEndpoint(nodes_.size(), records, options_.subset_size);
   std::vector<bool> wanted(services_.size(), false);
-  for (const std::uint32_t s : subset_(nodes_, records, options_.subset)) wanted[ids[s]] = true;
+  for (const std::uint32_t s : subset_(nodes_, records, options_.subset_size)) wanted[ids[s]] = true;
   in_use_.clear();
   further_.clear();
   for (std::size_t i = 0; i < ids.size(); ++i) {
@@ -157,14 +160,14 @@
     }
   }
   // Those of this zone first: who widens is short here.
-  std::sort(further_.begin(), further_.end(), [this](Id a, Id b) {
+  std::sort(further_.begin(), further_.end(), [this](EndpointId a, EndpointId b) {
     const bool home_a = services_[a].record.zone == zone_, home_b = services_[b].record.zone == zone_;
     if (home_a != home_b) return home_a;
-    return Affinity(self_, services_[a].record.name) > Affinity(self_, services_[b].record.name);
+    return RendezvousHash(self_, services_[a].record.name) > RendezvousHash(self_, services_[b].record.name);
   });
 }
 
-void Spread::Use(FleetTime now, Id id, bool extra) {
+void LoadBalancer::Use(FleetTime now, EndpointId id, bool extra) {
   Service& s = services_[id];
   in_use_.push_back(id);
   ++figures_;
@@ -175,9 +178,9 @@
   if (s.up) SetBack(now, s);
 }
 
-void Spread::SetBack(FleetTime now, Service& s) {
-  s.standing = Standing::kBack;
-  s.fault = Fault::kNone;
+void LoadBalancer::SetBack(FleetTime now, Service& s) {
+  s.standing = EndpointState::kRecovering;
+  s.fault = EjectionCause::kNone;
   s.back = 0;
   s.back_at = now;
   s.answers = 0;
@@ -190,17 +193,18 @@
   // As long as those that share it take to come one after the other, at the rate at which it can answer.
   const double each = run_ms_ > 0 ? run_ms_ / s.record.capacity : 0;
   const FleetTime all =
-      std::min(options_.reaction_most, FleetTime(options_.reaction * each * static_cast<double>(s.sharers)));
+      std::min(options_.max_reaction_delay,
+               FleetTime(options_.reaction_delay_factor * each * static_cast<double>(s.sharers)));
   s.open_at = now + all * Part();
   s.tried = s.open_at;
 }
 
-void Spread::SetUp(FleetTime now, Id id, bool up) {
+void LoadBalancer::SetConnected(FleetTime now, EndpointId id, bool up) {
   Service& s = services_.at(id);
   if (s.up == up) return;
   s.up = up;
   if (!up) {
-    s.standing = Standing::kDown;
+    s.standing = EndpointState::kDisconnected;
     return;
   }
   SetBack(now, s);
@@ -208,11 +212,11 @@
 
 // ---- Which may be chosen, and what is believed of it ----
 
-bool Spread::Open(const Service& s, FleetTime now) const {
+bool LoadBalancer::Open(const Service& s, FleetTime now) const {
   switch (s.standing) {
-    case Standing::kGood:
+    case EndpointState::kHealthy:
       return true;
-    case Standing::kBack:
+    case EndpointState::kRecovering:
       // More at a time only as it answers: a link that is up says nothing of what stands behind it.
       return now >= s.open_at && static_cast<double>(s.own) < 1 + s.back / 2;
     default:
@@ -221,19 +225,19 @@
 }
 
 // Of its full share, by what it has answered since it is back.
-double Spread::Share(const Service& s, FleetTime now) const {
-  if (s.standing != Standing::kBack) return 1;
-  const double by_answers = (1 + s.back) / (1 + options_.back_answers);
-  const double by_time = s.back > 0 ? (now - s.back_at) / options_.back_most : 0;
+double LoadBalancer::Share(const Service& s, FleetTime now) const {
+  if (s.standing != EndpointState::kRecovering) return 1;
+  const double by_answers = (1 + s.back) / (1 + options_.slow_start_responses);
+  const double by_time = s.back > 0 ? (now - s.back_at) / options_.max_slow_start : 0;
   return std::clamp(std::max(by_answers, by_time), 0.05, 1.0);
 }
 
-double Spread::MeanFigure(FleetTime now) const {
+double LoadBalancer::MeanFigure(FleetTime now) const {
   if (mean_of_ == figures_ && mean_at_ == now) return mean_;
   double runs = 0, capacity = 0;
-  for (const Id id : in_use_) {
+  for (const EndpointId id : in_use_) {
     const Service& s = services_[id];
-    if (s.figure < 0 || now - s.figure_at > options_.old * kMostAge) continue;
+    if (s.figure < 0 || now - s.figure_at > options_.load_report_half_life * kMostAge) continue;
     runs += s.figure;
     capacity += s.record.capacity;
   }
@@ -245,21 +249,21 @@
 
 // Runs that it has now. An old figure says little of now: as it ages, the mean of all takes its place, so
 // that nobody runs after what was true once. Own runs since are known.
-double Spread::Believed(const Service& s, FleetTime now) const {
+double LoadBalancer::Believed(const Service& s, FleetTime now) const {
   const double own = static_cast<double>(s.own);
   if (s.figure < 0) return std::max(own, MeanFigure(now) * s.record.capacity + own);
-  const double age = std::max(0.0, (now - s.figure_at) / options_.old);
+  const double age = std::max(0.0, (now - s.figure_at) / options_.load_report_half_life);
   const double weight = std::exp2(-age);
   const double then = weight * s.figure + (1 - weight) * MeanFigure(now) * s.record.capacity;
   return std::max(own, then + s.net - s.net_then);
 }
 
-double Spread::Cost(const Service& s, FleetTime now) const {
-  switch (options_.way) {
-    case Way::kLeastOwn:
-    case Way::kTwoOwn:
+double LoadBalancer::Cost(const Service& s, FleetTime now) const {
+  switch (options_.policy) {
+    case Policy::kLeastLocalLoad:
+    case Policy::kTwoChoicesLocalLoad:
       return static_cast<double>(s.own);
-    case Way::kTwoAsked:
+    case Policy::kTwoChoicesReportedLoad:
       return Believed(s, now);
     default: {
       // What a run more is expected to take: below one run a core it has a core to itself.
@@ -269,24 +273,25 @@
   }
 }
 
-bool Spread::TooOld(const Service& s, FleetTime now) const {
-  return s.figure < 0 || now - s.figure_at > options_.old * kTooOld;
+bool LoadBalancer::TooOld(const Service& s, FleetTime now) const {
+  return s.figure < 0 || now - s.figure_at > options_.load_report_half_life * kTooOld;
 }
 
 // Where all that was asked is too old to tell two services apart: this node's own runs, and a speed that
 // differs by more than runs do by chance.
-double Spread::CostByOwn(const Service& s) const {
+double LoadBalancer::CostByOwn(const Service& s) const {
   const double slow = s.slowness > kSlower || s.slowness < 1 / kSlower ? s.slowness : 1;
   return (static_cast<double>(s.own) + 0.5) / s.record.capacity * slow;
 }
 
-Spread::Id Spread::PickOfTwo(FleetTime now, const std::vector<Id>& open, Decision& decision) {
+EndpointId LoadBalancer::PickOfTwo(FleetTime now, const std::vector<EndpointId>& open,
+                                   ChoiceRecord& decision) {
   double all = 0;
-  for (const Id id : open) all += services_[id].record.capacity * Share(services_[id], now);
-  const auto draw = [&](double whole, Id but) {
+  for (const EndpointId id : open) all += services_[id].record.capacity * Share(services_[id], now);
+  const auto draw = [&](double whole, EndpointId but) {
     double at = Part() * whole;
-    Id last = kNone;
-    for (const Id id : open) {
+    EndpointId last = kNoEndpoint;
+    for (const EndpointId id : open) {
       if (id == but) continue;
       last = id;
       at -= services_[id].record.capacity * Share(services_[id], now);
@@ -294,29 +299,30 @@
     }
     return last;
   };
-  const Id one = draw(all, kNone);
-  const Id two = draw(all - services_[one].record.capacity * Share(services_[one], now), one);
-  const bool by_own = options_.way >= Way::kTwoAsked && TooOld(services_[one], now) &&
-                      (two == kNone || TooOld(services_[two], now));
+  const EndpointId one = draw(all, kNoEndpoint);
+  const EndpointId two = draw(all - services_[one].record.capacity * Share(services_[one], now), one);
+  const bool by_own = options_.policy >= Policy::kTwoChoicesReportedLoad && TooOld(services_[one], now) &&
+                      (two == kNoEndpoint || TooOld(services_[two], now));
   decision.cost = by_own ? CostByOwn(services_[one]) : Cost(services_[one], now);
-  if (two == kNone) return one;
-  decision.other_cost = by_own ? CostByOwn(services_[two]) : Cost(services_[two], now);
-  decision.other = two;
-  if (decision.other_cost >= decision.cost) return one;
-  std::swap(decision.cost, decision.other_cost);
-  decision.other = one;
+  if (two == kNoEndpoint) return one;
+  decision.alternative_cost = by_own ? CostByOwn(services_[two]) : Cost(services_[two], now);
+  decision.alternative = two;
+  if (decision.alternative_cost >= decision.cost) return one;
+  std::swap(decision.cost, decision.alternative_cost);
+  decision.alternative = one;
   return two;
 }
 
 // Each answer is good for some choices and for some time. Hot: more work than most; among the others the one
 // whose runs are shortest.
-Spread::Id Spread::PickByProbes(FleetTime now, const std::vector<Id>& open, Decision& decision) {
-  std::vector<Id> fresh;
+EndpointId LoadBalancer::PickByProbes(FleetTime now, const std::vector<EndpointId>& open,
+                                      ChoiceRecord& decision) {
+  std::vector<EndpointId> fresh;
   std::vector<double> work;
-  for (const Id id : open) {
+  for (const EndpointId id : open) {
     const Service& s = services_[id];
-    if (s.figure < 0 || now - s.figure_at > options_.probe_old ||
-        s.uses >= static_cast<int>(options_.probe_uses)) {
+    if (s.figure < 0 || now - s.figure_at > options_.max_probe_age ||
+        s.uses >= static_cast<int>(options_.max_probe_uses)) {
       continue;
     }
     fresh.push_back(id);
@@ -327,25 +333,25 @@
   const auto at = sorted.begin() +
                   static_cast<std::ptrdiff_t>(std::min(
                       sorted.size() - 1,
-                      static_cast<std::size_t>(options_.hot_share * static_cast<double>(sorted.size()))));
+                      static_cast<std::size_t>(options_.hot_quantile * static_cast<double>(sorted.size()))));
   std::nth_element(sorted.begin(), at, sorted.end());
   const double hot = *at;
-  Id best = kNone;
+  EndpointId best = kNoEndpoint;
   for (std::size_t i = 0; i < fresh.size(); ++i) {
     const Service& s = services_[fresh[i]];
     const bool is_hot = work[i] > hot;
     const double cost =
         (is_hot ? 1e6 + work[i] : s.slowness * std::max(1.0, work[i] + 1 / s.record.capacity)) /
         Share(s, now);
-    if (best != kNone && cost >= decision.cost) {
-      if (decision.other == kNone || cost < decision.other_cost) {
-        decision.other = fresh[i];
-        decision.other_cost = cost;
+    if (best != kNoEndpoint && cost >= decision.cost) {
+      if (decision.alternative == kNoEndpoint || cost < decision.alternative_cost) {
+        decision.alternative = fresh[i];
+        decision.alternative_cost = cost;
       }
       continue;
     }
-    decision.other = best;
-    decision.other_cost = decision.cost;
+    decision.alternative = best;
+    decision.alternative_cost = decision.cost;
     best = fresh[i];
     decision.cost = cost;
   }
@@ -353,29 +359,29 @@
   return best;
 }
 
-Spread::Id Spread::Pick(FleetTime now, const std::vector<Id>& open, Decision& decision) {
+EndpointId LoadBalancer::Pick(FleetTime now, const std::vector<EndpointId>& open, ChoiceRecord& decision) {
   if (open.size() == 1) {
-    decision.why = Why::kOnly;
+    decision.reason = ChoiceReason::kOnlyEndpoint;
     decision.cost = Cost(services_[open.front()], now);
     return open.front();
   }
-  switch (options_.way) {
-    case Way::kRandom:
+  switch (options_.policy) {
+    case Policy::kRandom:
       return open[draw_() % open.size()];
-    case Way::kRoundRobin:
+    case Policy::kRoundRobin:
       return open[next_in_turn_++ % open.size()];
-    case Way::kLeastOwn: {
+    case Policy::kLeastLocalLoad: {
       // From a random one on: nodes with little to do would all use the first.
       const std::size_t from = draw_() % open.size();
-      Id best = open[from];
+      EndpointId best = open[from];
       for (std::size_t i = 1; i < open.size(); ++i) {
-        const Id id = open[(from + i) % open.size()];
+        const EndpointId id = open[(from + i) % open.size()];
         if (services_[id].own < services_[best].own) best = id;
       }
       decision.cost = static_cast<double>(services_[best].own);
       return best;
     }
-    case Way::kProbes:
+    case Policy::kProbePool:
       return PickByProbes(now, open, decision);
     default:
       return PickOfTwo(now, open, decision);
@@ -383,67 +389,68 @@
 }
 
 // One that nobody of this node has tried for long, within the budget.
-Spread::Id Spread::Untried(FleetTime now, const std::vector<Id>& open) {
-  if (tries_ < 1) return kNone;
-  Id oldest = kNone;
-  for (const Id id : open) {
-    if (now - services_[id].tried < options_.untried) continue;
-    if (oldest == kNone || services_[id].tried < services_[oldest].tried) oldest = id;
-  }
-  if (oldest != kNone) tries_ -= 1;
+EndpointId LoadBalancer::Untried(FleetTime now, const std::vector<EndpointId>& open) {
+  if (tries_ < 1) return kNoEndpoint;
+  EndpointId oldest = kNoEndpoint;
+  for (const EndpointId id : open) {
+    if (now - services_[id].tried < options_.max_unprobed_time) continue;
+    if (oldest == kNoEndpoint || services_[id].tried < services_[oldest].tried) oldest = id;
+  }
+  if (oldest != kNoEndpoint) tries_ -= 1;
   return oldest;
 }
 
-std::optional<Spread::Start> Spread::Choose(FleetTime now, const SpreadRun& run, Id not_at) {
-  Decision decision;
+std::optional<Choice> LoadBalancer::ChooseEndpoint(FleetTime now, const RequestTraits& run,
+                                                   EndpointId not_at) {
+  ChoiceRecord decision;
   decision.at = now;
-  std::vector<Id> open, trials, up;
-  for (const Id id : in_use_) {
+  std::vector<EndpointId> open, trials, up;
+  for (const EndpointId id : in_use_) {
     const Service& s = services_[id];
     if (!s.up || id == not_at) continue;
     up.push_back(id);
     if (Open(s, now)) open.push_back(id);
-    if (s.standing == Standing::kTrial && s.own == 0 && run.safe) trials.push_back(id);
+    if (s.standing == EndpointState::kHalfOpen && s.own == 0 && run.is_idempotent) trials.push_back(id);
   }
   if (up.empty()) {
     // Nothing of the subset carries commands: any that does, and the same one where there is no other.
-    for (const Id id : further_) {
+    for (const EndpointId id : further_) {
       if (services_[id].up && id != not_at) up.push_back(id);
     }
-    if (up.empty() && not_at != kNone && services_[not_at].up) up.push_back(not_at);
+    if (up.empty() && not_at != kNoEndpoint && services_[not_at].up) up.push_back(not_at);
   }
   if (up.empty()) {
-    ++counts_.none_up;
+    ++counts_.no_endpoint;
     return std::nullopt;
   }
-  if (not_at == kNone) {
-    repeats_ = std::min(repeats_ + options_.repeat_share, options_.most_repeats);
-    tries_ = std::min(tries_ + options_.try_share, kTryStock);
-    probes_ = std::min(probes_ + options_.probes_a_start, kProbeStock);
+  if (not_at == kNoEndpoint) {
+    repeats_ = std::min(repeats_ + options_.retry_budget_fraction, options_.max_retry_budget);
+    tries_ = std::min(tries_ + options_.unprobed_request_fraction, kTryStock);
+    probes_ = std::min(probes_ + options_.probes_per_request, kProbeStock);
   }
-  Id chosen = kNone;
-  if (!trials.empty() && not_at == kNone) {
+  EndpointId chosen = kNoEndpoint;
+  if (!trials.empty() && not_at == kNoEndpoint) {
     chosen = trials[draw_() % trials.size()];
-    decision.why = Why::kTrial;
-    ++counts_.trials;
+    decision.reason = ChoiceReason::kHalfOpenProbe;
+    ++counts_.half_open_probes;
   } else if (!open.empty()) {
-    if (run.safe && not_at == kNone && (chosen = Untried(now, open)) != kNone) {
-      decision.why = Why::kUntried;
-      ++counts_.untried;
+    if (run.is_idempotent && not_at == kNoEndpoint && (chosen = Untried(now, open)) != kNoEndpoint) {
+      decision.reason = ChoiceReason::kUnprobed;
+      ++counts_.unprobed_choices;
     } else {
       chosen = Pick(now, open, decision);
     }
   } else {
     // Guards against a node that serves nobody because it likes nobody: as if all were well.
     chosen = Pick(now, up, decision);
-    if (up.size() > 1) decision.why = Why::kAllAside;
-    ++counts_.all_aside;
+    if (up.size() > 1) decision.reason = ChoiceReason::kAllEjected;
+    ++counts_.all_ejected_choices;
   }
-  if (not_at != kNone) decision.why = Why::kRepeat;
+  if (not_at != kNoEndpoint) decision.reason = ChoiceReason::kRetry;
   Service& s = services_[chosen];
-  decision.service = chosen;
+  decision.endpoint = chosen;
   recent_.push_back(decision);
-  if (recent_.size() > options_.most_recent) recent_.pop_front();
+  if (recent_.size() > options_.max_recent_choices) recent_.pop_front();
   if (s.own == 0) s.heard = now;
   ++s.own;
   ++own_;
@@ -451,22 +458,22 @@
   s.net += 1;
   s.tried = now;
   last_start_ = now;
-  ++counts_.starts;
+  ++counts_.requests;
   MindWidth(now);
-  return Start{chosen, decision.why};
+  return Choice{chosen, decision.reason};
 }
 
-bool Spread::MayRepeat() {
+bool LoadBalancer::TryConsumeRetry() {
   if (repeats_ < 1) {
-    ++counts_.repeats_refused;
+    ++counts_.retries_denied;
     return false;
   }
   repeats_ -= 1;
-  ++counts_.repeats;
+  ++counts_.retries;
   return true;
 }
 
-void Spread::Forgotten(FleetTime now, Id id) {
+void LoadBalancer::OnRequestAbandoned(FleetTime now, EndpointId id) {
   Service& s = services_.at(id);
   if (s.own > 0) --s.own;
   if (own_ > 0) --own_;
@@ -474,19 +481,20 @@
   s.heard = now;
 }
 
-void Spread::Ended(FleetTime now, Id id, const SpreadRun& run, RunEndsAs how, FleetTime took) {
-  Forgotten(now, id);
+void LoadBalancer::OnRequestFinished(FleetTime now, EndpointId id, const RequestTraits& run,
+                                     RequestOutcome how, FleetTime took) {
+  OnRequestAbandoned(now, id);
   Service& s = services_.at(id);
   s.answers += 1;
-  if (how == RunEndsAs::kNeverRan) ++s.never_ran;
+  if (how == RequestOutcome::kNotExecuted) ++s.never_ran;
   // A refusal is no fault of its own, but it is no work either: it must not look like a service that is
   // quick.
-  const bool bad = how != RunEndsAs::kWell;
-  if (how == RunEndsAs::kError) ++s.errors_all;
+  const bool bad = how != RequestOutcome::kSuccess;
+  if (how == RequestOutcome::kError) ++s.errors_all;
   s.errors += kNew * ((bad ? 1 : 0) - s.errors);
-  if (how == RunEndsAs::kWell) {
+  if (how == RequestOutcome::kSuccess) {
     const double ms = std::max(0.01, took.count());
-    Kind& kind = kinds_[run.kind];
+    Kind& kind = kinds_[run.request_kind];
     if (kind.weight == 0) {
       kind.mean = ms;
       kind.weight = 1;
@@ -498,16 +506,17 @@
     s.slowness += (ms / kind.mean - s.slowness) / std::max(2.0, s.slow_weight);
     s.back += 1;
   }
-  if (s.standing == Standing::kBack) {
-    if (s.back >= options_.back_answers || (s.back > 0 && now - s.back_at > options_.back_most)) {
-      s.standing = Standing::kGood;
+  if (s.standing == EndpointState::kRecovering) {
+    if (s.back >= options_.slow_start_responses ||
+        (s.back > 0 && now - s.back_at > options_.max_slow_start)) {
+      s.standing = EndpointState::kHealthy;
       s.good_since = now;
     }
-  } else if (s.standing == Standing::kTrial) {
+  } else if (s.standing == EndpointState::kHalfOpen) {
     if (bad) {
-      PutAside(now, id, Fault::kErrors);
-    } else if (++s.trial_runs >= static_cast<std::size_t>(options_.trials)) {
-      ++counts_.returns;
+      PutAside(now, id, EjectionCause::kErrorRate);
+    } else if (++s.trial_runs >= static_cast<std::size_t>(options_.half_open_successes)) {
+      ++counts_.recoveries;
       SetBack(now, s);
     }
     return;
@@ -517,71 +526,75 @@
 
 // ---- Judgement ----
 
-bool Spread::MayPutAside() const {
+bool LoadBalancer::MayPutAside() const {
   std::size_t up = 0, aside = 0;
-  for (const Id id : in_use_) {
+  for (const EndpointId id : in_use_) {
     const Service& s = services_[id];
     up += s.up ? 1 : 0;
-    aside += s.up && (s.standing == Standing::kAside || s.standing == Standing::kTrial) ? 1 : 0;
+    aside +=
+        s.up && (s.standing == EndpointState::kEjected || s.standing == EndpointState::kHalfOpen) ? 1 : 0;
   }
-  return static_cast<double>(aside + 1) <= options_.aside_share * static_cast<double>(up);
+  return static_cast<double>(aside + 1) <= options_.max_ejected_fraction * static_cast<double>(up);
 }
 
-void Spread::Judge(FleetTime now, Id id) {
+void LoadBalancer::Judge(FleetTime now, EndpointId id) {
   Service& s = services_[id];
-  if (s.standing != Standing::kGood && s.standing != Standing::kBack) return;
-  if (s.answers < options_.least_answers / 2) return;
+  if (s.standing != EndpointState::kHealthy && s.standing != EndpointState::kRecovering) return;
+  if (s.answers < options_.min_responses / 2) return;
   std::vector<double> errors, slowness;
-  for (const Id other : in_use_) {
+  for (const EndpointId other : in_use_) {
     const Service& o = services_[other];
-    if (other == id || !o.up || o.standing == Standing::kAside || o.answers < 1) continue;
+    if (other == id || !o.up || o.standing == EndpointState::kEjected || o.answers < 1) continue;
     errors.push_back(o.errors);
     slowness.push_back(o.slowness);
   }
   if (errors.empty()) return;
   // What fails everywhere is the requests' fault or that of something below all: nobody stands out by it.
-  if (s.errors > options_.error_share * (1 - std::pow(1 - kNew, s.answers)) &&
+  if (s.errors > options_.ejection_error_rate * (1 - std::pow(1 - kNew, s.answers)) &&
       s.errors > 3 * Median(errors) + 0.1) {
-    return PutAside(now, id, Fault::kErrors);
+    return PutAside(now, id, EjectionCause::kErrorRate);
   }
-  if (s.slow_weight >= options_.least_answers && s.slowness > options_.latency_times * Median(slowness))
-    PutAside(now, id, Fault::kLatency);
+  if (s.slow_weight >= options_.min_responses &&
+      s.slowness > options_.ejection_latency_factor * Median(slowness))
+    PutAside(now, id, EjectionCause::kLatency);
 }
 
-void Spread::PutAside(FleetTime now, Id id, Fault fault) {
+void LoadBalancer::PutAside(FleetTime now, EndpointId id, EjectionCause fault) {
   Service& s = services_[id];
-  if (s.standing != Standing::kTrial && !MayPutAside()) return;
-  if (s.standing != Standing::kTrial && now - s.good_since > s.aside_for * kForgiven)
+  if (s.standing != EndpointState::kHalfOpen && !MayPutAside()) return;
+  if (s.standing != EndpointState::kHalfOpen && now - s.good_since > s.aside_for * kForgiven)
     s.aside_for = FleetTime(0);
-  s.aside_for = std::min(options_.aside_most, s.aside_for.count() > 0 ? s.aside_for * 2 : options_.aside);
+  s.aside_for = std::min(options_.max_ejection_time,
+                         s.aside_for.count() > 0 ? s.aside_for * 2 : options_.base_ejection_time);
   // Nodes that judged alike do not come back alike.
   s.aside_until = now + s.aside_for * (0.75 + 0.5 * Part());
-  s.standing = Standing::kAside;
+  s.standing = EndpointState::kEjected;
   s.fault = fault;
   s.trial_runs = 0;
   s.answers = 0;
   ++s.asides;
-  ++counts_.asides;
+  ++counts_.ejections;
   next_due_ = std::min(next_due_, s.aside_until);
 }
 
-void Spread::Tick(FleetTime now) {
-  next_due_ = now + options_.untried / 4;
-  for (const Id id : in_use_) {
+void LoadBalancer::Tick(FleetTime now) {
+  next_due_ = now + options_.max_unprobed_time / 4;
+  for (const EndpointId id : in_use_) {
     Service& s = services_[id];
     if (!s.up) continue;
-    if (s.standing == Standing::kAside && now >= s.aside_until) {
-      s.standing = Standing::kTrial;
+    if (s.standing == EndpointState::kEjected && now >= s.aside_until) {
+      s.standing = EndpointState::kHalfOpen;
       s.trial_runs = 0;
       s.slow_weight = 0;
       s.slowness = 1;
       s.errors = 0;
     }
-    if (s.standing == Standing::kAside) next_due_ = std::min(next_due_, s.aside_until);
-    const FleetTime patience = std::max(options_.silence, FleetTime(options_.silence_times * run_ms_));
-    const bool judged =
-        s.standing == Standing::kGood || s.standing == Standing::kBack || s.standing == Standing::kTrial;
-    if (judged && s.own > 0 && now - s.heard > patience) PutAside(now, id, Fault::kSilence);
+    if (s.standing == EndpointState::kEjected) next_due_ = std::min(next_due_, s.aside_until);
+    const FleetTime patience =
+        std::max(options_.min_unresponsive_time, FleetTime(options_.unresponsive_latency_factor * run_ms_));
+    const bool judged = s.standing == EndpointState::kHealthy || s.standing == EndpointState::kRecovering ||
+                        s.standing == EndpointState::kHalfOpen;
+    if (judged && s.own > 0 && now - s.heard > patience) PutAside(now, id, EjectionCause::kUnresponsive);
   }
   MindWidth(now);
 }
@@ -589,14 +602,14 @@
 // ---- Width ----
 
 // A node whose whole subset is busy, or which alone fills its share of it, uses more; later fewer again.
-void Spread::MindWidth(FleetTime now) {
-  if (now - widened_at_ < options_.widen_each || in_use_.empty()) return;
+void LoadBalancer::MindWidth(FleetTime now) {
+  if (now - widened_at_ < options_.expansion_interval || in_use_.empty()) return;
   // Not at each choice: it looks at all in use.
-  if (now - width_seen_ < options_.widen_each / 4) return;
+  if (now - width_seen_ < options_.expansion_interval / 4) return;
   width_seen_ = now;
   double least = 1e9, fair = 0;
   std::size_t extras = 0;
-  for (const Id id : in_use_) {
+  for (const EndpointId id : in_use_) {
     const Service& s = services_[id];
     extras += s.extra ? 1 : 0;
     if (!s.up) continue;
@@ -605,19 +618,19 @@
   }
   const double own = static_cast<double>(own_);
   // Of few runs at a time nothing follows: they come in bunches.
-  const bool much = own > 4 && own > options_.widen_at * 2 * fair;
-  if (least > 2 * options_.widen_at || much) {
+  const bool much = own > 4 && own > options_.expansion_threshold * 2 * fair;
+  if (least > 2 * options_.expansion_threshold || much) {
     wide_since_ = now;
     widened_at_ = now;
-    if (in_use_.size() >= options_.most_in_use) return;
+    if (in_use_.size() >= options_.max_active_endpoints) return;
     const auto next =
-        std::find_if(further_.begin(), further_.end(), [this](Id id) { return services_[id].up; });
+        std::find_if(further_.begin(), further_.end(), [this](EndpointId id) { return services_[id].up; });
     if (next == further_.end()) return;
-    const Id id = *next;
+    const EndpointId id = *next;
     further_.erase(next);
-    ++counts_.widened;
+    ++counts_.expansions;
     Use(now, id, true);
-  } else if (extras > 0 && now - wide_since_ > options_.narrow_after) {
+  } else if (extras > 0 && now - wide_since_ > options_.contraction_delay) {
     widened_at_ = now;
     for (std::size_t i = in_use_.size(); i-- > 0;) {
       Service& s = services_[in_use_[i]];
@@ -626,9 +639,9 @@
       further_.insert(further_.begin(), in_use_[i]);
       in_use_.erase(in_use_.begin() + static_cast<std::ptrdiff_t>(i));
       ++figures_;
-      ++counts_.narrowed;
+      ++counts_.contractions;
       // One at a time, and slower than it grew.
-      wide_since_ = now - options_.narrow_after * 0.9;
+      wide_since_ = now - options_.contraction_delay * 0.9;
       break;
     }
   }
@@ -636,39 +649,40 @@
 
 // ---- Figures ----
 
-std::vector<Spread::Id> Spread::ToAsk(FleetTime now) {
-  std::vector<Id> ask;
-  const bool figures = options_.way >= Way::kTwoAsked;
-  const bool works = now - last_start_ < options_.ask_idle;
-  for (const Id id : in_use_) {
+std::vector<EndpointId> LoadBalancer::EndpointsToPoll(FleetTime now) {
+  std::vector<EndpointId> ask;
+  const bool figures = options_.policy >= Policy::kTwoChoicesReportedLoad;
+  const bool works = now - last_start_ < options_.idle_poll_interval;
+  for (const EndpointId id : in_use_) {
     Service& s = services_[id];
     if (!s.up) continue;
-    const FleetTime each =
-        figures && works && options_.way != Way::kProbes ? options_.ask_each : options_.ask_idle;
+    const FleetTime each = figures && works && options_.policy != Policy::kProbePool
+                               ? options_.poll_interval
+                               : options_.idle_poll_interval;
     if (now - s.asked_at < each) continue;
     // The first is followed sooner by the second, so that nodes that began together ask at times of their
     // own.
     s.asked_at = s.asked_at == kNeverAsked ? now - each * Part() : now;
     ask.push_back(id);
   }
-  if (options_.way == Way::kProbes) {
+  if (options_.policy == Policy::kProbePool) {
     for (; probes_ >= 1 && !in_use_.empty(); probes_ -= 1) {
-      const Id id = in_use_[draw_() % in_use_.size()];
+      const EndpointId id = in_use_[draw_() % in_use_.size()];
       if (!services_[id].up || std::find(ask.begin(), ask.end(), id) != ask.end()) continue;
       services_[id].asked_at = now;
       ask.push_back(id);
     }
   }
-  for (const Id id : ask) {
+  for (const EndpointId id : ask) {
     Service& s = services_[id];
     s.questions.emplace_back(now, s.net);
     if (s.questions.size() > kMostQuestions) s.questions.pop_front();
   }
-  counts_.asked += ask.size();
+  counts_.polls += ask.size();
   return ask;
 }
 
-void Spread::Told(FleetTime now, Id id, double running, FleetTime asked_at) {
+void LoadBalancer::OnLoadReport(FleetTime now, EndpointId id, double running, FleetTime asked_at) {
   Service& s = services_.at(id);
   // Answers may overtake each other on the way through a new link.
   if (s.figure >= 0 && asked_at < s.figure_at) return;
@@ -681,32 +695,32 @@
     s.questions.pop_front();
   }
   s.uses = 0;
-  if (s.standing == Standing::kGood && s.own == 0) s.heard = now;
+  if (s.standing == EndpointState::kHealthy && s.own == 0) s.heard = now;
 }
 
-Spread::Look Spread::LookAt(FleetTime now, Id id) const {
+EndpointSnapshot LoadBalancer::Snapshot(FleetTime now, EndpointId id) const {
   const Service& s = services_.at(id);
-  Look look;
+  EndpointSnapshot look;
   look.name = s.record.name;
   look.zone = s.record.zone;
   look.capacity = s.record.capacity;
-  look.standing = s.standing;
-  look.fault = s.fault;
-  look.in_use = s.in_use;
-  look.extra = s.extra;
-  look.sharers = s.sharers;
-  look.own = s.own;
-  look.starts = s.starts;
+  look.state = s.standing;
+  look.ejection_cause = s.fault;
+  look.is_active = s.in_use;
+  look.is_expansion = s.extra;
+  look.sharing_nodes = s.sharers;
+  look.local_in_flight = s.own;
+  look.requests = s.starts;
   look.errors = s.errors_all;
-  look.never_ran = s.never_ran;
-  look.asides = s.asides;
-  look.told = s.figure;
-  look.told_ago = s.figure < 0 ? FleetTime(-1) : now - s.figure_at;
-  look.tried_ago = s.starts == 0 ? FleetTime(-1) : now - s.tried;
-  look.believed = Believed(s, now);
-  look.slowness = s.slowness;
-  look.run_ms = s.run_ms;
-  if (s.standing == Standing::kAside) look.aside_for = s.aside_until - now;
+  look.not_executed = s.never_ran;
+  look.ejections = s.asides;
+  look.reported_load = s.figure;
+  look.report_age = s.figure < 0 ? FleetTime(-1) : now - s.figure_at;
+  look.last_request_age = s.starts == 0 ? FleetTime(-1) : now - s.tried;
+  look.estimated_load = Believed(s, now);
+  look.latency_ratio = s.slowness;
+  look.mean_latency_ms = s.run_ms;
+  if (s.standing == EndpointState::kEjected) look.ejection_time_left = s.aside_until - now;
   return look;
 }
 
--- a/src/decide/subset.cpp
+++ b/src/decide/load_balancing/subsetting.cpp
@@ -1,4 +1,4 @@
-#include "decide/subset.h"
+#include "decide/load_balancing/subsetting.h"
 
 #define XXH_INLINE_ALL
 #include <xxhash.h>
@@ -18,14 +18,14 @@
 
 class Matching {
  public:
-  Matching(const std::vector<SubsetNode>& nodes, const std::vector<SubsetService>& services,
+  Matching(const std::vector<SubsetNode>& nodes, const std::vector<SubsetEndpoint>& services,
            const std::vector<std::size_t>& places)
       : nodes_(nodes), services_(services), left_(places), of_(nodes.size()) {
     std::vector<std::uint64_t> seeds;
     affinity_.resize(nodes.size() * services.size());
     for (std::size_t n = 0; n < nodes.size(); ++n) {
       for (std::size_t s = 0; s < services.size(); ++s)
-        affinity_[n * services.size() + s] = Affinity(nodes[n].name, services[s].name);
+        affinity_[n * services.size() + s] = RendezvousHash(nodes[n].name, services[s].name);
     }
   }
 
@@ -120,7 +120,7 @@
   }
 
   const std::vector<SubsetNode>& nodes_;
-  const std::vector<SubsetService>& services_;
+  const std::vector<SubsetEndpoint>& services_;
   std::vector<std::size_t> left_;
   std::vector<std::vector<std::uint32_t>> of_;
   std::vector<std::uint64_t> affinity_;
@@ -128,12 +128,12 @@
 
 }  // namespace
 
-std::uint64_t Affinity(std::string_view node, std::string_view service) {
+std::uint64_t RendezvousHash(std::string_view node, std::string_view service) {
   return XXH3_64bits_withSeed(node.data(), node.size(), XXH3_64bits(service.data(), service.size()));
 }
 
-std::vector<std::size_t> PlacesOf(std::size_t nodes, const std::vector<SubsetService>& services,
-                                  std::size_t size) {
+std::vector<std::size_t> SlotsPerEndpoint(std::size_t nodes, const std::vector<SubsetEndpoint>& services,
+                                          std::size_t size) {
   std::vector<std::size_t> places(services.size(), 0);
   size = std::min(size, services.size());
   std::size_t left = nodes * size;
@@ -170,11 +170,11 @@
   return places;
 }
 
-std::vector<std::vector<std::uint32_t>> Subsets(const std::vector<SubsetNode>& nodes,
-                                                const std::vector<SubsetService>& services,
-                                                std::size_t size) {
+std::vector<std::vector<std::uint32_t>> AssignSubsets(const std::vector<SubsetNode>& nodes,
+                                                      const std::vector<SubsetEndpoint>& services,
+                                                      std::size_t size) {
   size = std::min(size, services.size());
-  Matching matching(nodes, services, PlacesOf(nodes.size(), services, size));
+  Matching matching(nodes, services, SlotsPerEndpoint(nodes.size(), services, size));
   std::map<std::string_view, std::pair<std::vector<std::uint32_t>, std::vector<std::uint32_t>>> zones;
   for (std::uint32_t n = 0; n < nodes.size(); ++n) zones[nodes[n].zone].first.push_back(n);
   for (std::uint32_t s = 0; s < services.size(); ++s) zones[services[s].zone].second.push_back(s);
@@ -189,7 +189,7 @@
     if (wants.front() < most) {
       std::vector<std::pair<std::uint64_t, std::size_t>> order;
       for (std::size_t i = 0; i < of_nodes.size(); ++i)
-        order.emplace_back(Affinity(nodes[of_nodes[i]].name, "odd"), i);
+        order.emplace_back(RendezvousHash(nodes[of_nodes[i]].name, "odd"), i);
       std::sort(order.begin(), order.end());
       for (std::size_t i = 0; i < places % of_nodes.size(); ++i) ++wants[order[i].second];
     }
--- a/src/decide/cores.cpp
+++ b/src/decide/loops/core_pinning.cpp
@@ -1,4 +1,4 @@
-#include "decide/cores.h"
+#include "decide/loops/core_pinning.h"
 
 #include <algorithm>
 #include <map>
@@ -44,28 +44,28 @@
 
 }  // namespace
 
-PinPlan PlanPins(const std::vector<ProcessingUnit>& allowed, std::size_t threads) {
-  PinPlan plan;
+CorePinningPlan PlanCorePinning(const std::vector<ProcessingUnit>& allowed, std::size_t threads) {
+  CorePinningPlan plan;
   const std::vector<Core> cores = CoresOf(allowed);
   if (threads < 2) {
-    plan.why = "one thread is not bound: nothing shares its work";
+    plan.description = "one thread is not bound: nothing shares its work";
     return plan;
   }
   // Bound to one core they could only wait for each other where the scheduler may still find room elsewhere.
   if (cores.size() < 2) {
-    plan.why = "not bound: " + Plural(cores.size(), "core") + " for " + Plural(threads, "thread");
+    plan.description = "not bound: " + Plural(cores.size(), "core") + " for " + Plural(threads, "thread");
     return plan;
   }
   plan.units.push_back(cores[0].units);
   for (std::size_t loop = 0; loop + 1 < threads; ++loop) {
     plan.units.push_back(cores[1 + loop % (cores.size() - 1)].units);
   }
-  plan.why = Plural(threads, "thread") + " on " + Plural(std::min(threads, cores.size()), "core");
-  if (threads > cores.size()) plan.why += ": loops share cores; fewer threads serve as much";
+  plan.description = Plural(threads, "thread") + " on " + Plural(std::min(threads, cores.size()), "core");
+  if (threads > cores.size()) plan.description += ": loops share cores; fewer threads serve as much";
   const std::size_t used = std::min(threads, cores.size());
   const bool far = std::any_of(cores.begin(), cores.begin() + static_cast<std::ptrdiff_t>(used),
                                [&cores](const Core& core) { return core.numa_node != cores[0].numa_node; });
-  if (far) plan.why += "; some are far from the deciding thread's memory";
+  if (far) plan.description += "; some are far from the deciding thread's memory";
   return plan;
 }
 
--- a/src/decide/cores.h
+++ b/src/decide/loops/core_pinning.h
@@ -1,6 +1,6 @@
 // Which cores each thread of a node runs on. No I/O: the caller reads the topology and binds the threads.
-#ifndef HINGELINK_DECIDE_CORES_H_
-#define HINGELINK_DECIDE_CORES_H_
+#ifndef HINGELINK_DECIDE_LOOPS_CORE_PINNING_H_
+#define HINGELINK_DECIDE_LOOPS_CORE_PINNING_H_
 
 #include <cstddef>
 #include <string>
@@ -15,18 +15,18 @@
   unsigned numa_node = 0;  // Whose memory is near.
 };
 
-struct PinPlan {
+struct CorePinningPlan {
   // For each thread, the deciding one first, the units it may run on. Empty where nothing is to be bound.
   std::vector<std::vector<unsigned>> units;
   // One line for the operator: what was done, and what it lacks.
-  std::string why;
+  std::string description;
 };
 
 // `allowed`: the units that the process may use. The deciding thread gets a core for itself before any loop
 // does, as it is the first to be full; loops get cores near it, and share what is left where there are too
 // few. A thread is bound to all units of its core.
-PinPlan PlanPins(const std::vector<ProcessingUnit>& allowed, std::size_t threads);
+CorePinningPlan PlanCorePinning(const std::vector<ProcessingUnit>& allowed, std::size_t threads);
 
 }  // namespace hingelink::decide
 
-#endif  // HINGELINK_DECIDE_CORES_H_
+#endif  // HINGELINK_DECIDE_LOOPS_CORE_PINNING_H_
--- a/src/decide/watchdog.h
+++ b/src/decide/loops/loop_watchdog.h
@@ -1,7 +1,7 @@
 // Which loops hang. By looks and by beats, not by the clock: a pause of the whole machine is one look for
 // all. No I/O.
-#ifndef HINGELINK_DECIDE_WATCHDOG_H_
-#define HINGELINK_DECIDE_WATCHDOG_H_
+#ifndef HINGELINK_DECIDE_LOOPS_LOOP_WATCHDOG_H_
+#define HINGELINK_DECIDE_LOOPS_LOOP_WATCHDOG_H_
 
 #include <cstddef>
 #include <cstdint>
@@ -9,26 +9,26 @@
 
 namespace hingelink::decide {
 
-class Watchdog {
+class LoopWatchdog {
  public:
   // A loop hangs after so many looks in a row without a beat.
-  Watchdog(std::size_t loops, int looks) : looks_(looks), loops_(loops) {}
+  LoopWatchdog(std::size_t loops, int looks) : looks_(looks), loops_(loops) {}
 
-  enum class Change { kNone, kHangs, kGoesOn };
-  Change Look(std::size_t loop, std::uint64_t beats) {
+  enum class Transition { kNone, kStalled, kRecovered };
+  Transition Observe(std::size_t loop, std::uint64_t beats) {
     State& state = loops_[loop];
     if (beats != state.beats) {
       state.beats = beats;
       state.still = 0;
-      if (!state.hangs) return Change::kNone;
+      if (!state.hangs) return Transition::kNone;
       state.hangs = false;
-      return Change::kGoesOn;
+      return Transition::kRecovered;
     }
-    if (state.hangs || ++state.still < looks_) return Change::kNone;
+    if (state.hangs || ++state.still < looks_) return Transition::kNone;
     state.hangs = true;
-    return Change::kHangs;
+    return Transition::kStalled;
   }
-  bool hangs(std::size_t loop) const { return loops_[loop].hangs; }
+  bool is_stalled(std::size_t loop) const { return loops_[loop].hangs; }
 
  private:
   struct State {
@@ -42,4 +42,4 @@
 
 }  // namespace hingelink::decide
 
-#endif  // HINGELINK_DECIDE_WATCHDOG_H_
+#endif  // HINGELINK_DECIDE_LOOPS_LOOP_WATCHDOG_H_
--- a/src/lab/sim/crowd.cpp
+++ b/src/lab/sim/crowd.cpp
@@ -15,8 +15,8 @@
 namespace {
 
 using decide::FleetTime;
-using decide::Spread;
-using decide::SpreadRun;
+using decide::LoadBalancer;
+using decide::RequestTraits;
 
 constexpr Millis kWindow{100}, kSample{20}, kTick{250};
 constexpr std::size_t kWindowsOfSecond = 10;
@@ -42,7 +42,7 @@
       records_.push_back({"s" + std::to_string(s), Zone(s), static_cast<double>(options.cores)});
     }
     for (std::size_t n = 0; n < nodes_.size(); ++n) members_.push_back({"n" + std::to_string(n), Zone(n)});
-    subsets_ = decide::Subsets(members_, records_, options.spread.subset);
+    subsets_ = decide::AssignSubsets(members_, records_, options.spread.subset_size);
     std::sort(members_.begin(), members_.end(), [](const auto& a, const auto& b) { return a.name < b.name; });
   }
 
@@ -97,9 +97,9 @@
   struct Request {
     std::size_t node = 0, service = 0;
     std::uint64_t life = 0;  // Of the node.
-    SpreadRun what;
+    RequestTraits what;
     Millis work{0}, arrived{0}, began{0};
-    decide::RunEndsAs end = decide::RunEndsAs::kWell;
+    decide::RequestOutcome end = decide::RequestOutcome::kSuccess;
     Millis took{0};
     bool answered = false;  // To whom it came from.
     int tries = 0, ran = 0;
@@ -115,10 +115,10 @@
     Millis watched_until{-1};
   };
   struct Node {
-    std::unique_ptr<Spread> spread;
-    std::vector<Spread::Id> ids;        // By service.
-    std::vector<std::size_t> services;  // By id.
-    std::vector<Millis> touched;        // By service: tried or asked last.
+    std::unique_ptr<LoadBalancer> spread;
+    std::vector<decide::EndpointId> ids;  // By service.
+    std::vector<std::size_t> services;    // By id.
+    std::vector<Millis> touched;          // By service: tried or asked last.
     std::uint64_t life = 0;
     bool up = false;
   };
@@ -163,7 +163,7 @@
     Node& node = nodes_[n];
     ++node.life;
     node.up = true;
-    node.spread = std::make_unique<Spread>(
+    node.spread = std::make_unique<LoadBalancer>(
         options_.spread, "n" + std::to_string(n), Zone(n), [this] { return choices_(); },
         [this, n](const auto&, const auto& services, std::size_t) {
           // Services come by name; the rows were computed once, for all.
@@ -179,11 +179,11 @@
     node.services.assign(services_.size(), 0);
     node.touched.assign(services_.size(), now_);
     node.spread->SetNodes(Clock(n), members_);
-    node.spread->SetServices(Clock(n), records_);
+    node.spread->SetEndpoints(Clock(n), records_);
     for (std::size_t s = 0; s < services_.size(); ++s) {
-      node.ids.push_back(node.spread->Find(records_[s].name));
+      node.ids.push_back(node.spread->FindEndpoint(records_[s].name));
       node.services[node.ids.back()] = s;
-      node.spread->SetUp(Clock(n), node.ids.back(), !services_[s].lost);
+      node.spread->SetConnected(Clock(n), node.ids.back(), !services_[s].lost);
     }
     Push({.at = now_ + kTick * Part(network_), .what = What::kTick, .node = n, .mark = node.life});
   }
@@ -259,8 +259,8 @@
         if (!node.up || node.life != event.mark) break;
         node.touched[event.run] = now_;
         // It knows when it asked, and so how old the answer may be.
-        node.spread->Told(Clock(event.node), node.ids[event.run], event.figure,
-                          event.asked + (Clock(event.node) - now_));
+        node.spread->OnLoadReport(Clock(event.node), node.ids[event.run], event.figure,
+                                  event.asked + (Clock(event.node) - now_));
         break;
       }
       case What::kTick:
@@ -299,10 +299,10 @@
     run.node = n;
     run.arrived = now_;
     const bool is_long = Part(arrivals_) < 0.2;
-    run.what.kind = is_long ? 1 : 0;
+    run.what.request_kind = is_long ? 1 : 0;
     // 0.8 * 0.75 + 0.2 * 2 = 1.
     run.work = options_.work * (is_long ? 2.0 : 0.75) * -std::log(1 - Part(arrivals_));
-    run.what.safe = Part(arrivals_) >= kWriteShare;
+    run.what.is_idempotent = Part(arrivals_) >= kWriteShare;
     runs_.push_back(run);
     if (now_ >= options_.warm) {
       ++result_.requests;
@@ -311,7 +311,7 @@
       ++by_second_[second].first;
     }
     Push({.at = now_ + options_.deadline, .what = What::kDue, .run = runs_.size() - 1});
-    Send(runs_.size() - 1, Spread::kNone);
+    Send(runs_.size() - 1, decide::kNoEndpoint);
   }
 
   void Count(const Request& run, std::uint64_t CrowdResult::*count) {
@@ -323,7 +323,7 @@
     }
   }
 
-  void Send(std::size_t r, Spread::Id not_at) {
+  void Send(std::size_t r, decide::EndpointId not_at) {
     Request& run = runs_[r];
     Node& node = nodes_[run.node];
     run.life = node.life;
@@ -331,18 +331,20 @@
     if (options_.yardstick) {
       run.service = Yardstick();
     } else {
-      const auto start = node.spread->Choose(Clock(run.node), run.what, not_at);
+      const auto start = node.spread->ChooseEndpoint(Clock(run.node), run.what, not_at);
       if (!start) {
         run.answered = true;
         Count(run, &CrowdResult::refused);
         return;
       }
-      run.service = node.services[start->service];
+      run.service = node.services[start->endpoint];
       node.touched[run.service] = now_;
-      const Spread::Look look = node.spread->LookAt(Clock(run.node), start->service);
+      const decide::EndpointSnapshot look = node.spread->Snapshot(Clock(run.node), start->endpoint);
       if (services_[run.service].lost && AnyUp(node)) ++result_.outside;
-      if (look.standing == decide::Standing::kAside && start->why != decide::Why::kAllAside &&
-          start->why != decide::Why::kRepeat && start->why != decide::Why::kOnly)
+      if (look.state == decide::EndpointState::kEjected &&
+          start->reason != decide::ChoiceReason::kAllEjected &&
+          start->reason != decide::ChoiceReason::kRetry &&
+          start->reason != decide::ChoiceReason::kOnlyEndpoint)
         ++result_.outside;
     }
     ++services_[run.service].sent;
@@ -351,8 +353,8 @@
   }
 
   bool AnyUp(const Node& node) const {
-    return std::any_of(node.spread->in_use().begin(), node.spread->in_use().end(),
-                       [&](Spread::Id id) { return !services_[node.services[id]].lost; });
+    return std::any_of(node.spread->active_endpoints().begin(), node.spread->active_endpoints().end(),
+                       [&](decide::EndpointId id) { return !services_[node.services[id]].lost; });
   }
 
   std::size_t Yardstick() {
@@ -372,7 +374,7 @@
     return best;
   }
 
-  void Back(std::size_t r, decide::RunEndsAs end, Millis took) {
+  void Back(std::size_t r, decide::RequestOutcome end, Millis took) {
     runs_[r].end = end;
     runs_[r].took = took;
     Push({.at = now_ + Way(), .what = What::kAnswer, .run = r});
@@ -382,14 +384,14 @@
     Request& run = runs_[r];
     Service& s = services_[run.service];
     --s.coming;
-    if (s.lost) return Back(r, decide::RunEndsAs::kNeverRan, Millis(0));
+    if (s.lost) return Back(r, decide::RequestOutcome::kNotExecuted, Millis(0));
     if (s.hole) {
       ++run.ran;
-      return Back(r, decide::RunEndsAs::kError, Millis(0.2));
+      return Back(r, decide::RequestOutcome::kError, Millis(0.2));
     }
     if (static_cast<double>(s.cores->running()) >= options_.refuses_at * options_.cores)
-      return Back(r, decide::RunEndsAs::kNeverRan, Millis(0));
-    if (++run.ran > 1 && !run.what.safe) ++result_.writes_twice;
+      return Back(r, decide::RequestOutcome::kNotExecuted, Millis(0));
+    if (++run.ran > 1 && !run.what.is_idempotent) ++result_.writes_twice;
     run.began = now_;
     s.cores->Start(r, run.work, now_ - born_of(run.service));
     Arm(run.service);
@@ -410,7 +412,7 @@
 
   void EndRuns(std::size_t s) {
     for (const std::uint64_t r : services_[s].cores->TakeEnded(now_ - born_of(s)))
-      Back(r, decide::RunEndsAs::kWell, now_ - runs_[r].began);
+      Back(r, decide::RequestOutcome::kSuccess, now_ - runs_[r].began);
     Arm(s);
   }
 
@@ -419,50 +421,52 @@
     Node& node = nodes_[run.node];
     const bool same = node.up && node.life == run.life;
     if (same && !options_.yardstick)
-      node.spread->Ended(Clock(run.node), node.ids[run.service], run.what, run.end, run.took);
+      node.spread->OnRequestFinished(Clock(run.node), node.ids[run.service], run.what, run.end, run.took);
     if (run.answered) return;
     if (!same) {
       run.answered = true;
       Count(run, &CrowdResult::failed);
       return;
     }
-    const bool may_again = run.end == decide::RunEndsAs::kNeverRan ||
-                           (options_.plants_repeats && run.end == decide::RunEndsAs::kError);
-    if (may_again && run.tries == 1 && !options_.yardstick && node.spread->MayRepeat()) {
+    const bool may_again = run.end == decide::RequestOutcome::kNotExecuted ||
+                           (options_.plants_repeats && run.end == decide::RequestOutcome::kError);
+    if (may_again && run.tries == 1 && !options_.yardstick && node.spread->TryConsumeRetry()) {
       ++result_.repeats;
       return Send(r, node.ids[run.service]);
     }
     run.answered = true;
-    Count(run, run.end == decide::RunEndsAs::kWell    ? &CrowdResult::good
-               : run.end == decide::RunEndsAs::kError ? &CrowdResult::failed
-                                                      : &CrowdResult::refused);
+    Count(run, run.end == decide::RequestOutcome::kSuccess ? &CrowdResult::good
+               : run.end == decide::RequestOutcome::kError ? &CrowdResult::failed
+                                                           : &CrowdResult::refused);
   }
 
   void Tick(std::size_t n, std::uint64_t life) {
     Node& node = nodes_[n];
     if (!node.up || node.life != life || options_.yardstick) return;
     node.spread->Tick(Clock(n));
-    for (const Spread::Id id : node.spread->ToAsk(Clock(n))) {
+    for (const decide::EndpointId id : node.spread->EndpointsToPoll(Clock(n))) {
       const std::size_t s = node.services[id];
       Push({.at = now_ + Way(), .what = What::kAsked, .run = s, .node = n, .mark = node.life, .asked = now_});
     }
     double aside = 0, up = 0;
-    for (const Spread::Id id : node.spread->in_use()) {
+    for (const decide::EndpointId id : node.spread->active_endpoints()) {
       const std::size_t s = node.services[id];
-      const Spread::Look look = node.spread->LookAt(Clock(n), id);
-      if (look.standing == decide::Standing::kDown) {
+      const decide::EndpointSnapshot look = node.spread->Snapshot(Clock(n), id);
+      if (look.state == decide::EndpointState::kDisconnected) {
         node.touched[s] = now_;
         continue;
       }
       up += 1;
-      aside += look.standing == decide::Standing::kAside || look.standing == decide::Standing::kTrial ? 1 : 0;
+      aside += look.state == decide::EndpointState::kEjected || look.state == decide::EndpointState::kHalfOpen
+                   ? 1
+                   : 0;
       if (Hangs(s)) node.touched[s] = now_;
       result_.untried_ms =
           std::max(result_.untried_ms, (now_ - node.touched[s] - options_.figures_age).count());
     }
     // Who has just come into use counts from then on.
     for (std::size_t s = 0; s < services_.size(); ++s) {
-      if (!node.spread->LookAt(Clock(n), node.ids[s]).in_use) node.touched[s] = now_;
+      if (!node.spread->Snapshot(Clock(n), node.ids[s]).is_active) node.touched[s] = now_;
     }
     if (up > 0) result_.aside_most = std::max(result_.aside_most, aside / up);
     Push({.at = now_ + kTick / 4, .what = What::kTick, .node = n, .mark = life});
@@ -489,7 +493,7 @@
               Request& run = runs_[r];
               if (run.service == s && !run.answered && run.ran > 0 &&
                   service.cores->Cancel(r, now_ - born_of(s)))
-                Back(r, decide::RunEndsAs::kError, now_ - run.began);
+                Back(r, decide::RequestOutcome::kError, now_ - run.began);
             }
           } else {
             born_.resize(services_.size(), Millis(0));
@@ -499,7 +503,7 @@
           ++service.timer;
           for (std::size_t n = 0; n < nodes_.size(); ++n) {
             // Each hears of it when its own link breaks or is bound.
-            if (nodes_[n].up) nodes_[n].spread->SetUp(Clock(n), nodes_[n].ids[s], !on);
+            if (nodes_[n].up) nodes_[n].spread->SetConnected(Clock(n), nodes_[n].ids[s], !on);
           }
           break;
         case CrowdDo::kReplaced:
@@ -576,9 +580,9 @@
           requests == 0 ? 1 : static_cast<double>(good) / static_cast<double>(requests));
     for (const Node& node : nodes_) {
       if (!node.spread) continue;
-      result_.asked += node.spread->counts().asked;
-      result_.asides += node.spread->counts().asides;
-      result_.widened += node.spread->counts().widened;
+      result_.asked += node.spread->counters().polls;
+      result_.asides += node.spread->counters().ejections;
+      result_.widened += node.spread->counters().expansions;
     }
   }
 
@@ -589,7 +593,7 @@
   std::uint64_t last_event_ = 0;
   std::vector<Service> services_;
   std::vector<Node> nodes_;
-  std::vector<decide::SubsetService> records_;
+  std::vector<decide::SubsetEndpoint> records_;
   std::vector<decide::SubsetNode> members_;
   std::vector<std::vector<std::uint32_t>> subsets_;
   double capacity_ = 0;  // Cores of speed 1.
@@ -683,7 +687,7 @@
   } else if (name == "one-heavy-node") {
     o.first_node = 100;
   } else if (name == "one-left") {
-    o.spread.subset = 1;
+    o.spread.subset_size = 1;
   } else if (name == "all-aside") {
     // All fail for a while: whatever is held of them, they are used.
     o.faults.push_back({Millis(5'000), Millis(2'000), CrowdDo::kBlackHole, first(o.services), 1});
--- a/src/lab/sim/crowd.h
+++ b/src/lab/sim/crowd.h
@@ -9,7 +9,7 @@
 #include <string>
 #include <vector>
 
-#include "decide/spread.h"
+#include "decide/load_balancing/load_balancer.h"
 #include "lab/scenario/scenario.h"
 
 namespace hingelink::lab {
@@ -33,7 +33,7 @@
   std::uint64_t seed = 1;
   std::size_t nodes = 300, services = 100, zones = 1;
   int cores = 2;  // Of each service.
-  decide::SpreadOptions spread;
+  decide::LoadBalancerOptions spread;
   bool yardstick = false;  // Chooses by the true state of all services at every moment, instead.
   double load = 0.8;       // Of what all services can do.
   Millis length{12'000}, warm{3'000};
--- a/src/net/connection_set.cpp
+++ b/src/net/connection_set.cpp
@@ -103,9 +103,9 @@
   }
 }
 
-std::optional<decide::Usefulness> ConnectionSet::LeastUseful() const {
+std::optional<decide::ConnectionValue> ConnectionSet::LeastUseful() const {
   constexpr int kOfNoUse = -1;  // Less than any connection that stands.
-  if (lingering_.size() > 0) return decide::Usefulness{kOfNoUse, std::chrono::nanoseconds(0)};
+  if (lingering_.size() > 0) return decide::ConnectionValue{kOfNoUse, std::chrono::nanoseconds(0)};
   const auto least = FindLeastUseful();
   return least == connections_.end() ? std::nullopt : std::optional(least->second->usefulness());
 }
--- a/src/net/connection_set.h
+++ b/src/net/connection_set.h
@@ -12,7 +12,7 @@
 #include <vector>
 
 #include "core/front.h"
-#include "decide/door.h"
+#include "decide/connections/connection_admission.h"
 #include "net/event.h"
 #include "net/lingering_closer.h"
 #include "proto/frames.h"
@@ -73,7 +73,7 @@
   // From now on, until TakeBack(): ends connections that have been asked for no more and are quiet.
   void CloseQuiet();
   // The least useful connection with which nothing is lost, if there is one.
-  std::optional<decide::Usefulness> LeastUseful() const;
+  std::optional<decide::ConnectionValue> LeastUseful() const;
   // Ends it. False where there is none.
   bool MakeRoom();
   // Reads on where `may_read` said no.
--- a/src/net/gateway/connection.cpp
+++ b/src/net/gateway/connection.cpp
@@ -158,7 +158,7 @@
   if (!moving.unsent.empty()) Write(moving.unsent);
 }
 
-decide::Usefulness ConnectionSet::Connection::usefulness() const {
+decide::ConnectionValue ConnectionSet::Connection::usefulness() const {
   return {static_cast<int>(use_), std::chrono::nanoseconds(last_used_.time_since_epoch())};
 }
 
--- a/src/net/gateway/connection.h
+++ b/src/net/gateway/connection.h
@@ -40,7 +40,7 @@
   // part of a frame: it can be closed without loss.
   bool Resting() const;
   // Least first: what is to be ended first to make room.
-  decide::Usefulness usefulness() const;
+  decide::ConnectionValue usefulness() const;
   // Whether it may be ended to make room: it rests, or has stood in its first frame for a while. Guards
   // against half frames that take all descriptors.
   bool Spare() const;
--- a/src/net/loop.cpp
+++ b/src/net/loop.cpp
@@ -245,7 +245,7 @@
   last_cpu_ns_ = cpu;
   last_report_ = now;
   message.report.work = set_.TakeWork(kHeaviest, [&message](std::uint64_t id, std::uint64_t work) {
-    message.report.heaviest.push_back({id, work});
+    message.report.heaviest_connections.push_back({id, work});
   });
   message.looks = set_.LookAt(kHeaviest);
   told_.Put(std::move(message));
--- a/src/net/loop.h
+++ b/src/net/loop.h
@@ -17,7 +17,7 @@
 #include <vector>
 
 #include "core/front.h"
-#include "decide/placement.h"
+#include "decide/connections/connection_balancer.h"
 #include "net/channel.h"
 #include "net/connection_set.h"
 #include "net/event.h"
@@ -49,7 +49,7 @@
   std::unique_ptr<ConnectionSet::Moving> moving;  // Null where it stays.
 };
 struct RoomOffer {
-  std::optional<decide::Usefulness> least;
+  std::optional<decide::ConnectionValue> least;
 };
 // What came of kMakeRoom; an EndedConnection has come before where it is true.
 struct RoomMade {
--- a/src/net/loop_group.cpp
+++ b/src/net/loop_group.cpp
@@ -36,14 +36,14 @@
       room_(base,
             [this] {
               room_.After(kRoomLooksEach);
-              if (door_.listener_rests()) CarryOut(door_.Again(Counts()));
+              if (door_.listener_paused()) CarryOut(door_.RetryPending(Counts()));
             }),
       book_(options_.loops),
       placement_([this] {
         options_.placement.loops = options_.loops;
         return options_.placement;
       }()),
-      door_({.loops = options_.loops, .most_connections = options_.most_connections}),
+      door_({.loops = options_.loops, .max_connections = options_.most_connections}),
       watchdog_(options_.loops, kHungLooks) {
   if (!wake_) throw std::runtime_error("libevent: no event");
   event_add(wake_.get(), nullptr);
@@ -59,31 +59,31 @@
 
 std::vector<std::size_t> LoopGroup::Counts() const {
   std::vector<std::size_t> counts;
-  for (std::size_t i = 0; i < members_.size(); ++i) counts.push_back(book_.on(i));
+  for (std::size_t i = 0; i < members_.size(); ++i) counts.push_back(book_.count(i));
   return counts;
 }
 
 void LoopGroup::Accept(evutil_socket_t fd) {
   at_the_door_.push_back({Descriptor(fd), Steady::now()});
-  CarryOut(door_.Accepted(Counts()));
+  CarryOut(door_.OnAccepted(Counts()));
 }
 
-void LoopGroup::CarryOut(const decide::Door::Steps& steps) {
-  for (const decide::Door::Step& step : steps) {
-    if (std::holds_alternative<decide::Door::LetIn>(step)) {
-      const std::size_t loop = placement_.Place(Counts());
-      Send(loop, TakeConnection{book_.Begin(loop), std::move(at_the_door_.front().socket),
+void LoopGroup::CarryOut(const decide::ConnectionAdmission::Actions& steps) {
+  for (const decide::ConnectionAdmission::Action& step : steps) {
+    if (std::holds_alternative<decide::ConnectionAdmission::Admit>(step)) {
+      const std::size_t loop = placement_.ChooseLoop(Counts());
+      Send(loop, TakeConnection{book_.Add(loop), std::move(at_the_door_.front().socket),
                                 at_the_door_.front().accepted});
       at_the_door_.pop_front();
-    } else if (std::holds_alternative<decide::Door::TurnAway>(step)) {
+    } else if (std::holds_alternative<decide::ConnectionAdmission::Reject>(step)) {
       at_the_door_.pop_front();
       log::PeerEvent("connection-end",
                      {{"id", 0}, {"reason", ReasonCode(EndReason::kAtLimit)}, {"requests", 0}, {"open", 0}});
-    } else if (const auto* ask = std::get_if<decide::Door::AskForOffer>(&step)) {
+    } else if (const auto* ask = std::get_if<decide::ConnectionAdmission::RequestCandidate>(&step)) {
       Send(ask->loop, LoopOrder::kOfferRoom);
-    } else if (const auto* room = std::get_if<decide::Door::MakeRoom>(&step)) {
+    } else if (const auto* room = std::get_if<decide::ConnectionAdmission::Evict>(&step)) {
       Send(room->loop, LoopOrder::kMakeRoom);
-    } else if (std::holds_alternative<decide::Door::PauseListener>(step)) {
+    } else if (std::holds_alternative<decide::ConnectionAdmission::PauseListener>(step)) {
       listener_.Pause();
     } else if (!paused_) {
       listener_.Resume();
@@ -126,39 +126,39 @@
         } else if constexpr (std::is_same_v<M, DeepCheck>) {
           events_.check(m.from);
         } else if constexpr (std::is_same_v<M, EndedConnection>) {
-          if (book_.End(m.id, at)) CarryOut(door_.Ended(Counts()));
+          if (book_.Remove(m.id, at)) CarryOut(door_.OnClosed(Counts()));
         } else if constexpr (std::is_same_v<M, ReleasedConnection>) {
           SettleMove(at, m);
         } else if constexpr (std::is_same_v<M, RoomOffer>) {
-          CarryOut(door_.Offered(at, m.least, Counts()));
+          CarryOut(door_.OnCandidate(at, m.least, Counts()));
         } else if constexpr (std::is_same_v<M, RoomMade>) {
-          CarryOut(door_.RoomMade(at, m.made, Counts()));
+          CarryOut(door_.OnEvicted(at, m.made, Counts()));
         } else if constexpr (std::is_same_v<M, StoppedReading>) {
           members_[at].stopped_reading = true;
         } else {
           members_[at].busy = m.report.busy;
           members_[at].looks = std::move(m.looks);
           if (stopping_) return;
-          for (const decide::Move& move : placement_.Report(m.report, Now())) Move(move);
+          for (const decide::Move& move : placement_.OnReport(m.report, Now())) Move(move);
         }
       },
       message);
 }
 
 void LoopGroup::Move(const decide::Move& move) {
-  if (const auto from = book_.Ask(move.id, move.to)) Send(*from, ReleaseConnection{move.id});
+  if (const auto from = book_.BeginMove(move.id, move.to)) Send(*from, ReleaseConnection{move.id});
 }
 
 void LoopGroup::SettleMove(std::size_t from, ReleasedConnection& released) {
-  auto settled = book_.Settle(released.id, from, released.moving != nullptr);
+  auto settled = book_.FinishMove(released.id, from, released.moving != nullptr);
   if (!settled) return;
   if (released.moving) {
-    for (auto& open : released.moving->open) open.counts = options_.counts(open.kind, settled->at);
-    ++members_[settled->at].taken;
-    Send(settled->at, AdoptConnection{std::move(released.moving)});
+    for (auto& open : released.moving->open) open.counts = options_.counts(open.kind, settled->loop);
+    ++members_[settled->loop].taken;
+    Send(settled->loop, AdoptConnection{std::move(released.moving)});
   }
-  placement_.Settled(released.id, Now());
-  for (GiveAnswer& answer : settled->waited) Send(settled->at, std::move(answer));
+  placement_.OnMoveFinished(released.id, Now());
+  for (GiveAnswer& answer : settled->held_answers) Send(settled->loop, std::move(answer));
 }
 
 void LoopGroup::Deliver(core::ReplyTo to, const core::FinalAnswer& answer) {
@@ -197,7 +197,7 @@
   } else {
     room_.Stop();
   }
-  CarryOut(door_.SetMost(most, shared, Counts()));
+  CarryOut(door_.SetMaxConnections(most, shared, Counts()));
 }
 
 void LoopGroup::PauseListening() {
@@ -208,7 +208,7 @@
 void LoopGroup::ResumeListening() {
   paused_ = false;
   Order(LoopOrder::kTakeBack);
-  if (!door_.listener_rests()) listener_.Resume();
+  if (!door_.listener_paused()) listener_.Resume();
 }
 
 void LoopGroup::ClassesChanged() {
@@ -252,15 +252,15 @@
         log::Warn("loop-stack", {{"loop", i + 1}, {"frames", stack}});
       }
     }
-    const auto change = watchdog_.Look(i, members_[i].loop->beats());
-    if (change == decide::Watchdog::Change::kNone) continue;
-    const bool hangs = change == decide::Watchdog::Change::kHangs;
+    const auto change = watchdog_.Observe(i, members_[i].loop->beats());
+    if (change == decide::LoopWatchdog::Transition::kNone) continue;
+    const bool hangs = change == decide::LoopWatchdog::Transition::kStalled;
     members_[i].hung = hangs;
     if (hangs) members_[i].loop->AskForStack();
-    placement_.SetHung(i, hangs);
-    CarryOut(door_.SetHung(i, hangs, Counts()));
+    placement_.SetStalled(i, hangs);
+    CarryOut(door_.SetStalled(i, hangs, Counts()));
     log::Warn(hangs ? "loop-hangs" : "loop-goes-on",
-              {{"loop", i + 1}, {"connections", book_.on(i)}, {"reading", members_[i].loop->reading()}});
+              {{"loop", i + 1}, {"connections", book_.count(i)}, {"reading", members_[i].loop->reading()}});
   }
 }
 
@@ -276,7 +276,7 @@
 }
 
 bool LoopGroup::AllSent() const {
-  if (book_.moving()) return false;
+  if (book_.has_pending_moves()) return false;
   return std::all_of(members_.begin(), members_.end(), [this](const Member& member) {
     if (stopping_ && !member.stopped_reading) return false;
     return member.loop->told().empty() && member.loop->sent_through() == member.loop->orders().put();
@@ -287,7 +287,7 @@
   std::vector<LoopLook> looks;
   for (std::size_t i = 0; i < members_.size(); ++i) {
     const Member& member = members_[i];
-    looks.push_back({.connections = book_.on(i),
+    looks.push_back({.connections = book_.count(i),
                      .told_waiting = member.loop->told().depth(),
                      .orders_waiting = member.loop->orders().depth(),
                      .busy = member.busy,
--- a/src/net/loop_group.h
+++ b/src/net/loop_group.h
@@ -9,10 +9,10 @@
 #include <optional>
 #include <vector>
 
-#include "decide/connection_book.h"
-#include "decide/door.h"
-#include "decide/placement.h"
-#include "decide/watchdog.h"
+#include "decide/connections/connection_admission.h"
+#include "decide/connections/connection_balancer.h"
+#include "decide/connections/connection_locations.h"
+#include "decide/loops/loop_watchdog.h"
 #include "net/gateway_side.h"
 #include "net/listener.h"
 #include "net/loop.h"
@@ -24,7 +24,7 @@
   struct Options {
     std::size_t loops = 1;
     std::size_t most_connections = 1;
-    decide::PlacementOptions placement;  // But for its `loops`.
+    decide::ConnectionBalancerOptions placement;  // But for its `loops`.
     // The counts of a loop for all classes there are, and for one that may have been dropped since (or null).
     std::function<ClassTablePtr(std::size_t loop)> classes;
     std::function<core::ClassCountsPtr(std::string_view kind, std::size_t loop)> counts;
@@ -54,7 +54,7 @@
 
   evutil_socket_t listener() const override { return listener_.fd(); }
   std::uint16_t port() const override { return listener_.port(); }
-  std::size_t connections() const override { return book_.size() + door_.waiting(); }
+  std::size_t connections() const override { return book_.size() + door_.pending(); }
   std::vector<ConnectionSet::Look> LookAt(std::size_t most) const override;
   bool AllSent() const override;
 
@@ -77,7 +77,7 @@
   };
 
   void Accept(evutil_socket_t fd);
-  void CarryOut(const decide::Door::Steps& steps);
+  void CarryOut(const decide::ConnectionAdmission::Actions& steps);
   void Look();
   void Hear(std::size_t at, FromLoop& message);
   void SettleMove(std::size_t from, ReleasedConnection& released);
@@ -94,10 +94,10 @@
   Listener listener_;
   Timer watch_;
   Timer room_;  // Runs beside another process.
-  decide::ConnectionBook<GiveAnswer> book_;
-  decide::Placement placement_;
-  decide::Door door_;
-  decide::Watchdog watchdog_;
+  decide::ConnectionLocations<GiveAnswer> book_;
+  decide::ConnectionBalancer placement_;
+  decide::ConnectionAdmission door_;
+  decide::LoopWatchdog watchdog_;
   struct Newcomer {
     Descriptor socket;
     Steady::time_point accepted;
--- a/src/net/pool_group.cpp
+++ b/src/net/pool_group.cpp
@@ -10,9 +10,9 @@
 
 using namespace std::chrono_literals;
 using decide::FleetTime;
-using decide::RunEndsAs;
-using decide::Spread;
-using decide::SpreadRun;
+using decide::LoadBalancer;
+using decide::RequestOutcome;
+using decide::RequestTraits;
 
 constexpr auto kTickEach = 25ms;
 // Gauges of services are asked for more seldom than those of one pool of its own.
@@ -21,12 +21,12 @@
 constexpr std::size_t kSpare = 2;
 constexpr int kPlaceBits = 48;
 
-PoolSide::Mark MarkOf(Spread::Id id, PoolSide::Mark mark) {
+PoolSide::Mark MarkOf(decide::EndpointId id, PoolSide::Mark mark) {
   return (static_cast<PoolSide::Mark>(id) << kPlaceBits) | mark;
 }
 
-std::vector<decide::SubsetService> Records(const std::vector<ServiceAt>& services) {
-  std::vector<decide::SubsetService> records;
+std::vector<decide::SubsetEndpoint> Records(const std::vector<ServiceAt>& services) {
+  std::vector<decide::SubsetEndpoint> records;
   for (const ServiceAt& s : services) records.push_back({s.name, s.zone, s.cores});
   return records;
 }
@@ -53,9 +53,9 @@
 
 void PoolGroup::SetServices(std::vector<ServiceAt> services) {
   for (auto& [id, service] : services_) service.told = false;
-  spread_.SetServices(Now(), Records(services));
+  spread_.SetEndpoints(Now(), Records(services));
   for (const ServiceAt& at : services) {
-    if (const auto known = services_.find(spread_.Find(at.name)); known != services_.end()) {
+    if (const auto known = services_.find(spread_.FindEndpoint(at.name)); known != services_.end()) {
       known->second.told = known->second.at.name == at.name;
     }
   }
@@ -67,7 +67,7 @@
     return true;
   });
   for (ServiceAt& at : services) {
-    const Id id = spread_.Find(at.name);
+    const Id id = spread_.FindEndpoint(at.name);
     Service& service = services_[id];
     if (service.link && service.at.address != at.address) {
       // The same one elsewhere: guards against a write that is sent anew to what may have run it.
@@ -116,7 +116,7 @@
   service.asked.reset();
   service.gauges.clear();
   if (!up) service.down_since = Now();
-  spread_.SetUp(Now(), id, up);
+  spread_.SetConnected(Now(), id, up);
   MixGauges();
 }
 
@@ -125,7 +125,7 @@
   settling_ = id;
   // Spawns of this service that it may not have read, and those that were never sent anywhere.
   events_.settled();
-  settling_ = Spread::kNone;
+  settling_ = decide::kNoEndpoint;
 }
 
 bool PoolGroup::Processed(Mark mark) const {
@@ -145,11 +145,11 @@
 PoolSide::Mark PoolGroup::Spawn(std::uint64_t req, std::string_view kind, std::string_view body) {
   auto it = sent_.find(req);
   if (it == sent_.end()) {
-    const SpreadRun run{KindOf(kind), asks_.safe(kind)};
-    const auto start = spread_.Choose(Now(), run);
+    const RequestTraits run{KindOf(kind), asks_.safe(kind)};
+    const auto start = spread_.ChooseEndpoint(Now(), run);
     if (!start) return kNeverSent;
-    it = sent_.emplace(req, Sent{start->service, run}).first;
-    ++services_[start->service].owed;
+    it = sent_.emplace(req, Sent{start->endpoint, run}).first;
+    ++services_[start->endpoint].owed;
   }
   // Sent again to where it was sent: the pool tells then how it ended, and starts nothing twice.
   Service& service = services_[it->second.service];
@@ -170,13 +170,14 @@
   if (it == sent_.end()) return;
   const Sent& sent = it->second;
   if (sent.service == id) {
-    const RunEndsAs how = run.end == proto::RunEnd::kComplete ? RunEndsAs::kWell : RunEndsAs::kError;
-    spread_.Ended(Now(), id, sent.run, how, run.elapsed);
+    const RequestOutcome how =
+        run.end == proto::RunEnd::kComplete ? RequestOutcome::kSuccess : RequestOutcome::kError;
+    spread_.OnRequestFinished(Now(), id, sent.run, how, run.elapsed);
   } else if (run.end != proto::RunEnd::kComplete) {
     // Where it was before it was moved: that it failed there decides nothing.
     return;
   } else {
-    spread_.Forgotten(Now(), sent.service);
+    spread_.OnRequestAbandoned(Now(), sent.service);
   }
   Drop(it);
   events_.finished(run);
@@ -220,9 +221,9 @@
 void PoolGroup::Unknown(Id id, std::uint64_t req) {
   const auto it = sent_.find(req);
   if (it == sent_.end() || it->second.service != id) return events_.spawn_unknown(req);
-  spread_.Ended(Now(), id, it->second.run, RunEndsAs::kNeverRan, FleetTime(0));
-  const bool only_there = it->second.before == Spread::kNone;
-  if (it->second.tries == 1 && only_there && spread_.MayRepeat()) return Again(req, it->second, true);
+  spread_.OnRequestFinished(Now(), id, it->second.run, RequestOutcome::kNotExecuted, FleetTime(0));
+  const bool only_there = it->second.before == decide::kNoEndpoint;
+  if (it->second.tries == 1 && only_there && spread_.TryConsumeRetry()) return Again(req, it->second, true);
   Drop(it);
   events_.spawn_unknown(req);
 }
@@ -236,21 +237,21 @@
 // Somewhere else, once. The table sends it: it has the body.
 void PoolGroup::Again(std::uint64_t req, Sent& sent, bool never_ran) {
   const Id from = sent.service;
-  const auto start = spread_.Choose(Now(), sent.run, from);
-  bool sent_on = start && start->service != from;
+  const auto start = spread_.ChooseEndpoint(Now(), sent.run, from);
+  bool sent_on = start && start->endpoint != from;
   if (sent_on) {
-    MoveTo(sent, start->service);
+    MoveTo(sent, start->endpoint);
     sent_on = asks_.again(req);
     if (!sent_on) MoveTo(sent, from);
   }
   if (sent_on) {
     ++sent.tries;
     if (never_ran) return;
-    spread_.Forgotten(Now(), from);
+    spread_.OnRequestAbandoned(Now(), from);
     sent.before = from;
     return;
   }
-  if (start) spread_.Forgotten(Now(), start->service);
+  if (start) spread_.OnRequestAbandoned(Now(), start->endpoint);
   // Guards against a run that the module counts for ever: what never ran ends here, though nobody waits; what
   // may have run is owed where it is.
   if (!never_ran) return;
@@ -264,7 +265,7 @@
   service.gauges_at = Now();
   const std::size_t at = asks_.gauge_at("runnable");
   if (service.asked && at < service.gauges.size())
-    spread_.Told(Now(), id, service.gauges[at], *service.asked);
+    spread_.OnLoadReport(Now(), id, service.gauges[at], *service.asked);
   service.asked.reset();
   MixGauges();
 }
@@ -273,7 +274,7 @@
   gauges_.clear();
   double cores = 0;
   const FleetTime now = Now();
-  for (const Id id : spread_.in_use()) {
+  for (const Id id : spread_.active_endpoints()) {
     const Service& s = services_[id];
     if (!s.up || s.gauges.empty() || now - s.gauges_at > kGaugesGood) continue;
     if (gauges_.empty()) gauges_.resize(s.gauges.size());
@@ -288,23 +289,23 @@
   timer_.After(kTickEach);
   const FleetTime now = Now();
   spread_.Tick(now);
-  for (const Id id : spread_.in_use()) Connect(id);
+  for (const Id id : spread_.active_endpoints()) Connect(id);
   std::size_t spare = 0;
-  for (const Id id : spread_.spares(kSpare)) {
+  for (const Id id : spread_.StandbyEndpoints(kSpare)) {
     Connect(id);
     ++spare;
   }
   for (auto it = services_.begin(); it != services_.end();) {
     Service& s = it->second;
     const bool wanted =
-        s.told && (spread_.LookAt(now, it->first).in_use || spread_.IsSpare(it->first, kSpare));
+        s.told && (spread_.Snapshot(now, it->first).is_active || spread_.IsStandby(it->first, kSpare));
     if (!wanted && s.owed == 0 && s.link) {
       if (s.up) SetUp(it->first, false);
       s.link.reset();
     }
     it = !s.told && !s.link ? services_.erase(it) : std::next(it);
   }
-  for (const Id id : spread_.ToAsk(now)) {
+  for (const Id id : spread_.EndpointsToPoll(now)) {
     Service& s = services_[id];
     if (!s.up || s.asked) continue;
     s.asked = now;
@@ -323,7 +324,7 @@
     const FleetTime away = now - s.down_since;
     if (away > FleetTime(options_.lost_after)) {
       lost.push_back(req);
-    } else if (sent.run.safe && sent.tries == 1 && away > FleetTime(options_.leave_after)) {
+    } else if (sent.run.is_idempotent && sent.tries == 1 && away > FleetTime(options_.leave_after)) {
       leave.push_back(req);
     }
   }
@@ -331,7 +332,7 @@
   std::sort(leave.begin(), leave.end());
   std::sort(lost.begin(), lost.end());
   for (const std::uint64_t req : leave) {
-    if (up_ == 0 || !spread_.MayRepeat()) break;
+    if (up_ == 0 || !spread_.TryConsumeRetry()) break;
     Again(req, sent_.at(req), false);
   }
   for (const std::uint64_t req : lost) {
--- a/src/net/pool_group.h
+++ b/src/net/pool_group.h
@@ -17,7 +17,7 @@
 #include <unordered_map>
 #include <vector>
 
-#include "decide/spread.h"
+#include "decide/load_balancing/load_balancer.h"
 #include "net/pool_link.h"
 #include "net/pool_side.h"
 
@@ -32,7 +32,7 @@
 
 struct PoolGroupOptions {
   std::vector<ServiceAt> services;
-  decide::SpreadOptions spread;
+  decide::LoadBalancerOptions spread;
   std::string self, zone;  // This node.
   // Safe runs leave a service that is away for so long.
   std::chrono::milliseconds leave_after{400};
@@ -65,13 +65,13 @@
   // Means of the services in use, by their cores.
   const std::vector<double>& gauges() const override { return gauges_; }
 
-  const decide::Spread& spread() const { return spread_; }
+  const decide::LoadBalancer& spread() const { return spread_; }
   decide::FleetTime Now() const { return Steady::now() - began_; }
   std::size_t links() const;
   std::size_t in_hand() const { return sent_.size(); }
 
  private:
-  using Id = decide::Spread::Id;
+  using Id = decide::EndpointId;
   struct Service {
     ServiceAt at;
     bool told = true;  // In the list.
@@ -84,10 +84,10 @@
     std::size_t owed = 0;  // Runs.
   };
   struct Sent {
-    Id service = decide::Spread::kNone;
-    decide::SpreadRun run;
+    Id service = decide::kNoEndpoint;
+    decide::RequestTraits run;
     int tries = 1;
-    Id before = decide::Spread::kNone;  // Where it may have run first, and may still end.
+    Id before = decide::kNoEndpoint;  // Where it may have run first, and may still end.
   };
 
   void Tick();
@@ -111,11 +111,11 @@
   PoolEvents events_;
   PoolAsks asks_;
   Steady::time_point began_ = Steady::now();
-  decide::Spread spread_;
+  decide::LoadBalancer spread_;
   std::map<Id, Service> services_;
   std::unordered_map<std::uint64_t, Sent> sent_;
   std::map<std::string, std::uint32_t, std::less<>> kinds_;
-  Id settling_ = decide::Spread::kNone;
+  Id settling_ = decide::kNoEndpoint;
   bool bound_ = false;
   std::size_t up_ = 0;
   std::vector<double> gauges_;
--- a/src/net/store/store_client.cpp
+++ b/src/net/store/store_client.cpp
@@ -63,7 +63,7 @@
   call.on = on;
   // What is left of the wait: a call that waited for this connection has less of it.
   on->Write(req, Millis(call.until - Steady::now()), call.body);
-  on->ListenFor(silence_.Patience());
+  on->ListenFor(silence_.timeout());
   call.body.clear();
 }
 
@@ -78,14 +78,14 @@
 }
 
 StoreConnection* StoreClient::ConnectionFor(std::uint64_t req) {
-  std::vector<decide::StorePlace> places;
+  std::vector<decide::ConnectionCandidate> places;
   for (const ConnectionPtr& connection : open_)
     places.push_back({connection->calls(), connection->GaveUp(req)});
-  const std::size_t at = decide::ChooseStorePlace(places, !waiting_ && backoff_.good());
-  if (at != decide::kNoPlace) return open_[at].get();
+  const std::size_t at = decide::SelectConnection(places, !waiting_ && backoff_.healthy());
+  if (at != decide::kNewConnection) return open_[at].get();
   if (waiting_) return nullptr;
   // Each that stands is barred for this request.
-  if (open_.size() >= decide::kStoreConnections) Retire(*open_.front(), Millis(0));
+  if (open_.size() >= decide::kMaxUpstreamConnections) Retire(*open_.front(), Millis(0));
   ++counts_.connects;
   open_.push_back(std::make_unique<StoreConnection>(base_, address_, events_, replies_));
   if (open_.back()->good()) return open_.back().get();
@@ -155,7 +155,7 @@
 // The next try after a while; one wait for all connections that fail together.
 void StoreClient::Failed() {
   if (std::exchange(waiting_, true)) return;
-  reconnect_.After(std::chrono::duration_cast<Steady::duration>(backoff_.Failed()));
+  reconnect_.After(std::chrono::duration_cast<Steady::duration>(backoff_.OnFailure()));
 }
 
 std::pair<bool, std::vector<std::uint64_t>> StoreClient::TakeOut(StoreConnection& connection) {
@@ -225,13 +225,13 @@
 // Guards against a connection whose other end is gone without a word: no call would ever end well again.
 void StoreClient::Look(StoreConnection& connection) {
   if (connection.calls() == 0) return;
-  using Verdict = decide::StoreSilence::Verdict;
-  const Millis patience = silence_.Patience();
+  using Verdict = decide::UnresponsiveConnectionDetector::Verdict;
+  const Millis patience = silence_.timeout();
   const Verdict verdict =
-      silence_.See(Steady::now() - connection.heard(), connection.left_after(),
-                   !connection.retiring() && retiring_.size() < kRetiringMost, connection.overtaken());
-  if (verdict == Verdict::kEnd) return Lost(connection);
-  if (verdict == Verdict::kLeave) {
+      silence_.Evaluate(Steady::now() - connection.heard(), connection.left_after(),
+                        !connection.retiring() && retiring_.size() < kRetiringMost, connection.overtaken());
+  if (verdict == Verdict::kClose) return Lost(connection);
+  if (verdict == Verdict::kStopUsing) {
     ++counts_.silent;
     log::Warn("store-silent", {{"calls", connection.calls()}});
     Retire(connection, patience);
@@ -250,10 +250,10 @@
   const auto it = calls_.find(reply.req);
   // Of a call that was given up, or was made anew since.
   if (it == calls_.end() || it->second.on != &connection) return;
-  backoff_.Good();
+  backoff_.OnSuccess();
   if (reply.kind != proto::ReplyKind::kBusy && reply.kind != proto::ReplyKind::kVoid) {
     ++replies_;
-    silence_.Replied(Steady::now() - it->second.since);
+    silence_.OnReply(Steady::now() - it->second.since);
   }
   if (std::exchange(failing_, false)) log::Info("store-answers-again");
   connection.Over(reply.req, false);
--- a/src/net/store/store_client.h
+++ b/src/net/store/store_client.h
@@ -6,13 +6,13 @@
 // off) prove nothing. Every call ends once, or is dropped by Drop(), or replaced by a second call for its
 // request.
 //
-// Which connection a call goes over is decide::ChooseStorePlace's; when a silent one is left, and when its
-// calls are broken off, decide::StoreSilence's; when to try again at a store that fails, StoreReconnect's:
-// until then calls wait, and a try that is refused ends all that wait.
+// Which connection a call goes over is decide::SelectConnection's; when a silent one is left, and when its
+// calls are broken off, decide::UnresponsiveConnectionDetector's; when to try again at a store that fails,
+// ReconnectBackoff's: until then calls wait, and a try that is refused ends all that wait.
 //
 // Bounds: calls are as many as the module lets out. Unsent bytes of a connection above kUnsentMost: a new
-// call ends at once as never written. Connections: decide::kStoreConnections, and kRetiringMost retiring
-// ones.
+// call ends at once as never written. Connections: decide::kMaxUpstreamConnections, and kRetiringMost
+// retiring ones.
 #ifndef HINGELINK_NET_STORE_STORE_CLIENT_H_
 #define HINGELINK_NET_STORE_STORE_CLIENT_H_
 
@@ -27,9 +27,9 @@
 #include <utility>
 #include <vector>
 
-#include "decide/store/place.h"
-#include "decide/store/reconnect.h"
-#include "decide/store/silence.h"
+#include "decide/upstream/connection_selection.h"
+#include "decide/upstream/reconnect_backoff.h"
+#include "decide/upstream/unresponsive_connection.h"
 #include "hingelink/server_policy.h"
 #include "net/event.h"
 #include "net/store/store_connection.h"
@@ -46,7 +46,7 @@
     std::uint64_t calls = 0, ok = 0, busy = 0, errors = 0, late = 0, refused = 0, broken = 0, dropped = 0;
     std::uint64_t connects = 0, silent = 0;  // The latter: connections that were left as silent.
   };
-  static constexpr std::size_t kRetiringMost = decide::kStoreConnections;
+  static constexpr std::size_t kRetiringMost = decide::kMaxUpstreamConnections;
 
   StoreClient(event_base* base, const sockaddr_in& store, std::uint64_t seed, Ended ended);
   ~StoreClient();
@@ -103,8 +103,8 @@
   sockaddr_in address_;
   Ended ended_;
   std::mt19937_64 draw_;
-  decide::StoreReconnect backoff_;
-  decide::StoreSilence silence_;
+  decide::ReconnectBackoff backoff_;
+  decide::UnresponsiveConnectionDetector silence_;
   std::uint64_t replies_ = 0;  // But for those that turned a call away, which come at once.
   Calls calls_;
   std::set<std::pair<Steady::time_point, std::uint64_t>> due_;
--- a/src/node/checks/deep_checks.cpp
+++ b/src/node/checks/deep_checks.cpp
@@ -12,18 +12,18 @@
 }  // namespace
 
 DeepChecks::DeepChecks(event_base* base, Ends ends)
-    : ends_(std::move(ends)), due_(base, [this] { CarryOut(decide_.Due(Now())); }) {}
+    : ends_(std::move(ends)), due_(base, [this] { CarryOut(decide_.ExpireWaiting(Now())); }) {}
 
-void DeepChecks::Ask(core::ReplyTo from) { CarryOut(decide_.Ask(from, Now())); }
+void DeepChecks::Ask(core::ReplyTo from) { CarryOut(decide_.OnCheck(from, Now())); }
 
-void DeepChecks::Verified(std::uint64_t tag, bool good) { CarryOut(decide_.Verified(tag, good)); }
+void DeepChecks::Verified(std::uint64_t tag, bool good) { CarryOut(decide_.OnVerified(tag, good)); }
 
-void DeepChecks::Rebound() { CarryOut(decide_.Rebound()); }
+void DeepChecks::Rebound() { CarryOut(decide_.OnReconnected()); }
 
-void DeepChecks::CarryOut(const Decide::Steps& steps) {
-  if (steps.verify && !ends_.verify(*steps.verify)) decide_.NotSent();
+void DeepChecks::CarryOut(const Decide::Actions& steps) {
+  if (steps.verify && !ends_.verify(*steps.verify)) decide_.OnSendFailed();
   for (const auto& [to, good] : steps.answers) ends_.answer(to, good);
-  if (const auto next = decide_.next()) {
+  if (const auto next = decide_.next_deadline()) {
     due_.After(*next - Now());
   } else {
     due_.Stop();
--- a/src/node/checks/deep_checks.h
+++ b/src/node/checks/deep_checks.h
@@ -6,7 +6,7 @@
 #include <functional>
 
 #include "core/front.h"
-#include "decide/checks.h"
+#include "decide/health/deep_health_checks.h"
 #include "net/event.h"
 
 namespace hingelink::node {
@@ -20,16 +20,16 @@
   DeepChecks(event_base* base, Ends ends);
 
   void Ask(core::ReplyTo from);
-  void Left(core::ReplyTo from) { decide_.Left(from); }
+  void Left(core::ReplyTo from) { decide_.OnCallerDisconnected(from); }
   void Verified(std::uint64_t tag, bool good);
   // The pool's link has settled.
   void Rebound();
 
-  std::size_t asking() const { return decide_.asking(); }
+  std::size_t asking() const { return decide_.waiting(); }
 
  private:
-  using Decide = decide::DeepChecks<core::ReplyTo>;
-  void CarryOut(const Decide::Steps& steps);
+  using Decide = decide::DeepHealthChecks<core::ReplyTo>;
+  void CarryOut(const Decide::Actions& steps);
 
   Ends ends_;
   Decide decide_;
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -88,7 +88,7 @@
   // connections.
   std::size_t reserved() const {
     const std::size_t store =
-        config_.store.empty() ? 0 : decide::kStoreConnections + net::StoreClient::kRetiringMost;
+        config_.store.empty() ? 0 : decide::kMaxUpstreamConnections + net::StoreClient::kRetiringMost;
     return kReserved + 3 * loops() + store;
   }
   std::size_t loops() const { return threads_ - 1; }  // Those that carry connections, beside this one.
--- a/tests/cli/topology_test.cpp
+++ b/tests/cli/topology_test.cpp
@@ -23,7 +23,7 @@
   const auto part = AllowedUnits();
   ASSERT_EQ(part.size(), 1u);
   EXPECT_EQ(part[0].os_index, last);
-  EXPECT_TRUE(decide::PlanPins(part, 4).units.empty());
+  EXPECT_TRUE(decide::PlanCorePinning(part, 4).units.empty());
 }
 
 TEST(Topology, AThreadThatCannotBeBoundIsTold) {
--- a/tests/decide/loops_test.cpp
+++ b/tests/decide/loops_test.cpp
@@ -9,11 +9,11 @@
 #include <set>
 #include <variant>
 
-#include "decide/connection_book.h"
-#include "decide/cores.h"
-#include "decide/door.h"
-#include "decide/placement.h"
-#include "decide/watchdog.h"
+#include "decide/connections/connection_admission.h"
+#include "decide/connections/connection_balancer.h"
+#include "decide/connections/connection_locations.h"
+#include "decide/loops/core_pinning.h"
+#include "decide/loops/loop_watchdog.h"
 
 namespace hingelink::decide {
 namespace {
@@ -35,7 +35,7 @@
   explicit Loops(std::size_t count) : book_(count), loops_(count) {}
 
   void Begin(LoopIndex loop) {
-    const ConnectionId id = book_.Begin(loop);
+    const ConnectionId id = book_.Add(loop);
     loops_[loop].orders.push_back(Take{id, {}});
   }
   // The gateway sends a request, or takes one back, on some connection that stands on the loop.
@@ -68,7 +68,7 @@
     // By what the node knows, which may be old: any connection it has heard of.
     if (known_.empty()) return;
     const ConnectionId id = *std::next(known_.begin(), static_cast<std::ptrdiff_t>(draw % known_.size()));
-    if (const auto from = book_.Ask(id, to)) loops_[*from].orders.push_back(Release{id});
+    if (const auto from = book_.BeginMove(id, to)) loops_[*from].orders.push_back(Release{id});
   }
   // The loop carries out its next order. `whole`: a connection to be released stands between two frames.
   void Carry(LoopIndex loop, bool whole) {
@@ -108,22 +108,22 @@
       gone_.insert(gone->number);
       in_hand_.erase(gone->number);
     } else if (const auto* ended = std::get_if<Ended>(&told)) {
-      RC_ASSERT(book_.End(ended->id, loop));
+      RC_ASSERT(book_.Remove(ended->id, loop));
       known_.erase(ended->id);
       where_.erase(ended->id);
     } else {
       const auto& released = std::get<Released>(told);
-      auto settled = book_.Settle(released.id, loop, released.left);
+      auto settled = book_.FinishMove(released.id, loop, released.left);
       // The end of a connection that was asked for came first: then nothing is to be settled.
       if (!settled) {
         RC_ASSERT(!released.left);
         return;
       }
       if (released.left) {
-        where_[released.id] = settled->at;
-        loops_[settled->at].orders.push_back(Take{released.id, released.open});
+        where_[released.id] = settled->loop;
+        loops_[settled->loop].orders.push_back(Take{released.id, released.open});
       }
-      for (const Answer& answer : settled->waited) loops_[settled->at].orders.push_back(answer);
+      for (const Answer& answer : settled->held_answers) loops_[settled->loop].orders.push_back(answer);
     }
   }
   // The node answers one of the requests it has.
@@ -153,15 +153,15 @@
   }
   void Check() const {
     RC_ASSERT(owed_.empty());
-    RC_ASSERT(!book_.moving());
+    RC_ASSERT(!book_.has_pending_moves());
     std::size_t sum = 0;
     for (LoopIndex i = 0; i < loops_.size(); ++i) {
       RC_ASSERT(loops_[i].orders.empty() && loops_[i].told.empty());
-      RC_ASSERT(book_.on(i) == loops_[i].open.size());
+      RC_ASSERT(book_.count(i) == loops_[i].open.size());
       sum += loops_[i].open.size();
     }
     RC_ASSERT(book_.size() == sum);
-    RC_ASSERT(book_.away() <= sum);
+    RC_ASSERT(book_.moved_count() <= sum);
   }
 
  private:
@@ -202,7 +202,7 @@
     return &*std::next(open.begin(), static_cast<std::ptrdiff_t>(draw % open.size()));
   }
 
-  ConnectionBook<Answer> book_;
+  ConnectionLocations<Answer> book_;
   std::vector<Loop> loops_;
   std::map<ConnectionId, LoopIndex> where_;  // As the node knows.
   std::set<ConnectionId> known_;
@@ -211,7 +211,7 @@
   int last_request_ = 0;
 };
 
-RC_GTEST_PROP(ConnectionBook, OneAnswerEachHoweverConnectionsMove, ()) {
+RC_GTEST_PROP(ConnectionLocations, OneAnswerEachHoweverConnectionsMove, ()) {
   const auto count = *rc::gen::inRange<std::size_t>(2, 5);
   Loops loops(count);
   const auto steps = *rc::gen::container<std::vector<std::pair<int, std::uint32_t>>>(
@@ -253,57 +253,57 @@
   loops.Check();
 }
 
-TEST(ConnectionBook, AnswersWaitForAMoveAndThenFollowInOrder) {
-  ConnectionBook<int> book(2);
-  const ConnectionId id = book.Begin(0);
+TEST(ConnectionLocations, AnswersWaitForAMoveAndThenFollowInOrder) {
+  ConnectionLocations<int> book(2);
+  const ConnectionId id = book.Add(0);
   int first = 1, second = 2, third = 3;
   EXPECT_EQ(book.Route(id, first), LoopIndex{0});
-  ASSERT_TRUE(book.Ask(id, 1));
-  EXPECT_FALSE(book.Ask(id, 1));
+  ASSERT_TRUE(book.BeginMove(id, 1));
+  EXPECT_FALSE(book.BeginMove(id, 1));
   EXPECT_FALSE(book.Route(id, second));
   EXPECT_FALSE(book.Route(id, third));
-  EXPECT_TRUE(book.moving());
-  EXPECT_FALSE(book.Settle(id, 1, true));  // Not the loop that was asked.
-  const auto settled = book.Settle(id, 0, true);
+  EXPECT_TRUE(book.has_pending_moves());
+  EXPECT_FALSE(book.FinishMove(id, 1, true));  // Not the loop that was asked.
+  const auto settled = book.FinishMove(id, 0, true);
   ASSERT_TRUE(settled);
-  EXPECT_EQ(settled->at, 1u);
-  EXPECT_EQ(settled->waited, (std::vector<int>{2, 3}));
-  EXPECT_FALSE(book.moving());
-  EXPECT_EQ(book.on(0), 0u);
-  EXPECT_EQ(book.on(1), 1u);
-  EXPECT_EQ(book.away(), 1u);
-  ASSERT_TRUE(book.Ask(id, 0));
-  book.Settle(id, 1, true);
-  EXPECT_EQ(book.away(), 0u);  // At home again, it takes no room.
+  EXPECT_EQ(settled->loop, 1u);
+  EXPECT_EQ(settled->held_answers, (std::vector<int>{2, 3}));
+  EXPECT_FALSE(book.has_pending_moves());
+  EXPECT_EQ(book.count(0), 0u);
+  EXPECT_EQ(book.count(1), 1u);
+  EXPECT_EQ(book.moved_count(), 1u);
+  ASSERT_TRUE(book.BeginMove(id, 0));
+  book.FinishMove(id, 1, true);
+  EXPECT_EQ(book.moved_count(), 0u);  // At home again, it takes no room.
 }
 
 // ---- Placement ----
 
-TEST(Placement, WithoutLoadsTheCountDecides) {
-  Placement placement({.loops = 3});
+TEST(ConnectionBalancer, WithoutLoadsTheCountDecides) {
+  ConnectionBalancer placement({.loops = 3});
   std::vector<std::size_t> on(3);
-  for (int i = 0; i < 30; ++i) ++on[placement.Place(on)];
+  for (int i = 0; i < 30; ++i) ++on[placement.ChooseLoop(on)];
   EXPECT_EQ(on, (std::vector<std::size_t>{10, 10, 10}));
 }
 
 LoopReport Report(LoopIndex loop, double busy, std::vector<std::uint64_t> work) {
-  LoopReport report{.loop = loop, .busy = busy, .work = 0, .heaviest = {}};
+  LoopReport report{.loop = loop, .busy = busy, .work = 0, .heaviest_connections = {}};
   for (std::size_t i = 0; i < work.size(); ++i) {
     report.work += work[i];
-    report.heaviest.push_back({loop << 56 | (i + 1), work[i]});
+    report.heaviest_connections.push_back({loop << 56 | (i + 1), work[i]});
   }
   return report;
 }
 
-TEST(Placement, ByLoadNotByCount) {
-  Placement placement({.loops = 2});
-  placement.Report(Report(0, 0.9, {900}), 0ms);     // One heavy connection.
-  placement.Report(Report(1, 0.1, {50, 50}), 0ms);  // Many light ones.
-  EXPECT_EQ(placement.Place({1, 40}), 1u);
+TEST(ConnectionBalancer, ByLoadNotByCount) {
+  ConnectionBalancer placement({.loops = 2});
+  placement.OnReport(Report(0, 0.9, {900}), 0ms);     // One heavy connection.
+  placement.OnReport(Report(1, 0.1, {50, 50}), 0ms);  // Many light ones.
+  EXPECT_EQ(placement.ChooseLoop({1, 40}), 1u);
 }
 
-TEST(Placement, OneHeavyGatewayOnOneLoopIsSpread) {
-  Placement placement({.loops = 4});
+TEST(ConnectionBalancer, OneHeavyGatewayOnOneLoopIsSpread) {
+  ConnectionBalancer placement({.loops = 4});
   std::vector<std::vector<std::uint64_t>> work(4);
   work[0] = std::vector<std::uint64_t>(100, 32);
   std::map<ConnectionId, LoopIndex> where;
@@ -311,18 +311,18 @@
   std::chrono::milliseconds now{0};
   for (int round = 0; round < 60; ++round, now += 500ms) {
     for (LoopIndex loop = 0; loop < 4; ++loop) {
-      LoopReport report{.loop = loop, .busy = 0, .work = 0, .heaviest = {}};
+      LoopReport report{.loop = loop, .busy = 0, .work = 0, .heaviest_connections = {}};
       for (const auto& [id, at] : where) {
         if (at != loop) continue;
         report.work += 32;
-        report.heaviest.push_back({id, 32});
+        report.heaviest_connections.push_back({id, 32});
       }
       report.busy = static_cast<double>(report.work) / 3200.0;
-      if (report.heaviest.size() > 64) report.heaviest.resize(64);
-      for (const Move& move : placement.Report(report, now)) {
+      if (report.heaviest_connections.size() > 64) report.heaviest_connections.resize(64);
+      for (const Move& move : placement.OnReport(report, now)) {
         EXPECT_EQ(where.at(move.id), move.from);
         where[move.id] = move.to;
-        placement.Settled(move.id, now);
+        placement.OnMoveFinished(move.id, now);
       }
     }
   }
@@ -334,44 +334,44 @@
   }
 }
 
-TEST(Placement, StaysWhereAMoveWouldOnlyChangeWhichLoopIsBusy) {
-  Placement placement({.loops = 2});
+TEST(ConnectionBalancer, StaysWhereAMoveWouldOnlyChangeWhichLoopIsBusy) {
+  ConnectionBalancer placement({.loops = 2});
   for (int i = 0; i < 20; ++i) {
-    placement.Report(Report(1, 0.0, {}), i * 500ms);
-    EXPECT_TRUE(placement.Report(Report(0, 0.9, {1000}), i * 500ms).empty());
+    placement.OnReport(Report(1, 0.0, {}), i * 500ms);
+    EXPECT_TRUE(placement.OnReport(Report(0, 0.9, {1000}), i * 500ms).empty());
   }
 }
 
-TEST(Placement, OneOddReportMovesNothing) {
-  Placement placement({.loops = 2});
+TEST(ConnectionBalancer, OneOddReportMovesNothing) {
+  ConnectionBalancer placement({.loops = 2});
   for (int i = 0; i < 20; ++i) {
-    placement.Report(Report(1, 0.2, {10, 10}), i * 500ms);
+    placement.OnReport(Report(1, 0.2, {10, 10}), i * 500ms);
     const double busy = i % 3 == 2 ? 0.8 : 0.2;
-    EXPECT_TRUE(placement.Report(Report(0, busy, {10, 10, 10, 10}), i * 500ms).empty()) << i;
+    EXPECT_TRUE(placement.OnReport(Report(0, busy, {10, 10, 10, 10}), i * 500ms).empty()) << i;
   }
 }
 
-TEST(Placement, ALoopThatHangsGetsNothing) {
-  Placement placement({.loops = 2});
-  placement.SetHung(0, true);
-  EXPECT_EQ(placement.Place({0, 50}), 1u);
+TEST(ConnectionBalancer, ALoopThatHangsGetsNothing) {
+  ConnectionBalancer placement({.loops = 2});
+  placement.SetStalled(0, true);
+  EXPECT_EQ(placement.ChooseLoop({0, 50}), 1u);
   for (int i = 0; i < 4; ++i) {
-    EXPECT_TRUE(placement.Report(Report(0, 0, {}), i * 500ms).empty());
-    EXPECT_TRUE(placement.Report(Report(1, 0.9, {10, 10, 10, 10}), i * 500ms).empty());
+    EXPECT_TRUE(placement.OnReport(Report(0, 0, {}), i * 500ms).empty());
+    EXPECT_TRUE(placement.OnReport(Report(1, 0.9, {10, 10, 10, 10}), i * 500ms).empty());
   }
-  placement.SetHung(0, false);
-  EXPECT_EQ(placement.Place({0, 50}), 0u);
+  placement.SetStalled(0, false);
+  EXPECT_EQ(placement.ChooseLoop({0, 50}), 0u);
 }
 
-TEST(Placement, AFewAtATimeAndEachRestsAfterwards) {
-  Placement placement({.loops = 2, .most_moves = 4});
+TEST(ConnectionBalancer, AFewAtATimeAndEachRestsAfterwards) {
+  ConnectionBalancer placement({.loops = 2, .max_moves_per_report = 4});
   const std::vector<std::uint64_t> work(100, 10);
   std::set<ConnectionId> moved;
   std::chrono::milliseconds now{0};
   // They are asked to move, and stay.
   for (; now < 2000ms; now += 200ms) {
-    placement.Report(Report(1, 0, {}), now);
-    const auto moves = placement.Report(Report(0, 1, work), now);
+    placement.OnReport(Report(1, 0, {}), now);
+    const auto moves = placement.OnReport(Report(0, 1, work), now);
     EXPECT_LE(moves.size(), 4u);
     for (const Move& move : moves) EXPECT_TRUE(moved.insert(move.id).second);
   }
@@ -379,15 +379,15 @@
 }
 
 // Moves never leave the busiest loop, nor put the other above it.
-RC_GTEST_PROP(Placement, MovesNarrowTheGap, ()) {
+RC_GTEST_PROP(ConnectionBalancer, MovesNarrowTheGap, ()) {
   const auto work = *rc::gen::container<std::vector<std::uint64_t>>(rc::gen::inRange<std::uint64_t>(0, 1000));
   const double busy = *rc::gen::inRange(0, 101) / 100.0, other = *rc::gen::inRange(0, 101) / 100.0;
-  Placement placement({.loops = 2});
+  ConnectionBalancer placement({.loops = 2});
   std::vector<std::uint64_t> sorted = work;
   std::sort(sorted.rbegin(), sorted.rend());
   for (int i = 0; i < 3; ++i) {
-    const auto back = placement.Report(Report(1, other, {5, 5}), i * 500ms);
-    const auto moves = placement.Report(Report(0, busy, sorted), i * 500ms);
+    const auto back = placement.OnReport(Report(1, other, {5, 5}), i * 500ms);
+    const auto moves = placement.OnReport(Report(0, busy, sorted), i * 500ms);
     if (busy >= other) RC_ASSERT(back.empty());
     if (busy <= other) RC_ASSERT(moves.empty());
     double moved = 0, sum = 0;
@@ -406,19 +406,19 @@
 class DoorModel {
  public:
   DoorModel(std::vector<std::vector<int>> uses, std::size_t most)
-      : uses_(std::move(uses)), door_({.loops = uses_.size(), .most_connections = most}) {}
+      : uses_(std::move(uses)), door_({.loops = uses_.size(), .max_connections = most}) {}
 
-  void Accept() { Do(door_.Accepted(On())); }
-  void Do(const Door::Steps& steps) {
-    for (const Door::Step& step : steps) {
-      if (std::holds_alternative<Door::LetIn>(step)) {
+  void Accept() { Do(door_.OnAccepted(On())); }
+  void Do(const ConnectionAdmission::Actions& steps) {
+    for (const ConnectionAdmission::Action& step : steps) {
+      if (std::holds_alternative<ConnectionAdmission::Admit>(step)) {
         uses_[0].push_back(9);
         ++let_in;
-      } else if (std::holds_alternative<Door::TurnAway>(step)) {
+      } else if (std::holds_alternative<ConnectionAdmission::Reject>(step)) {
         ++turned_away;
-      } else if (std::holds_alternative<Door::PauseListener>(step)) {
+      } else if (std::holds_alternative<ConnectionAdmission::PauseListener>(step)) {
         paused = true;
-      } else if (std::holds_alternative<Door::ResumeListener>(step)) {
+      } else if (std::holds_alternative<ConnectionAdmission::ResumeListener>(step)) {
         paused = false;
       } else {
         asked_.push_back(step);
@@ -428,22 +428,22 @@
   // Answers all questions, also those that come of the answers.
   void Answer(bool late = false) {
     while (!asked_.empty()) {
-      const Door::Step step = asked_.front();
+      const ConnectionAdmission::Action step = asked_.front();
       asked_.pop_front();
-      if (const auto* ask = std::get_if<Door::AskForOffer>(&step)) {
-        Do(door_.Offered(ask->loop, Least(ask->loop), On()));
+      if (const auto* ask = std::get_if<ConnectionAdmission::RequestCandidate>(&step)) {
+        Do(door_.OnCandidate(ask->loop, Least(ask->loop), On()));
       } else {
-        const std::size_t loop = std::get<Door::MakeRoom>(step).loop;
+        const std::size_t loop = std::get<ConnectionAdmission::Evict>(step).loop;
         if (late) {
-          Do(door_.RoomMade(loop, false, On()));
+          Do(door_.OnEvicted(loop, false, On()));
           continue;
         }
         auto& uses = uses_[loop];
         const auto least = std::min_element(uses.begin(), uses.end());
         ended.push_back(*least);
         uses.erase(least);
-        Do(door_.Ended(On()));
-        Do(door_.RoomMade(loop, true, On()));
+        Do(door_.OnClosed(On()));
+        Do(door_.OnEvicted(loop, true, On()));
       }
     }
   }
@@ -452,7 +452,7 @@
     for (const auto& uses : uses_) on.push_back(uses.size());
     return on;
   }
-  Door& door() { return door_; }
+  ConnectionAdmission& door() { return door_; }
   bool asks() const { return !asked_.empty(); }
 
   int let_in = 0, turned_away = 0;
@@ -461,18 +461,18 @@
 
  private:
   // 9 stands for one that cannot be spared.
-  std::optional<Usefulness> Least(std::size_t loop) const {
+  std::optional<ConnectionValue> Least(std::size_t loop) const {
     const auto& uses = uses_[loop];
     const auto least = std::min_element(uses.begin(), uses.end());
     if (least == uses.end() || *least == 9) return std::nullopt;
-    return Usefulness{*least, 0ns};
+    return ConnectionValue{*least, 0ns};
   }
   std::vector<std::vector<int>> uses_;
-  Door door_;
-  std::deque<Door::Step> asked_;
+  ConnectionAdmission door_;
+  std::deque<ConnectionAdmission::Action> asked_;
 };
 
-TEST(Door, TheLeastUsefulOfAllLoopsMakesRoom) {
+TEST(ConnectionAdmission, TheLeastUsefulOfAllLoopsMakesRoom) {
   DoorModel model({{5, 4}, {3, 9}, {2, 7}}, 6);
   for (int i = 0; i < 5; ++i) {
     model.Accept();
@@ -485,7 +485,7 @@
   EXPECT_EQ(model.turned_away, 1);  // Nobody can be spared any more.
 }
 
-TEST(Door, TooManyThatWaitRestTheListener) {
+TEST(ConnectionAdmission, TooManyThatWaitRestTheListener) {
   DoorModel model({{1, 1, 1, 1, 1, 1, 1, 1, 1, 1}, {1}}, 11);
   for (int i = 0; i < 7; ++i) model.Accept();
   EXPECT_FALSE(model.paused);
@@ -497,46 +497,46 @@
   EXPECT_EQ(model.ended.size(), 8u);
 }
 
-TEST(Door, OffersThatAreAlwaysTakenBackEndTheWait) {
+TEST(ConnectionAdmission, OffersThatAreAlwaysTakenBackEndTheWait) {
   DoorModel model({{1, 1}}, 2);
   model.Accept();
   model.Answer(true);
   EXPECT_EQ(model.turned_away, 1);
 }
 
-TEST(Door, ALoopThatHangsHoldsUpNobody) {
+TEST(ConnectionAdmission, ALoopThatHangsHoldsUpNobody) {
   DoorModel model({{1}, {2}}, 2);
-  model.Do(model.door().SetHung(0, true, model.On()));
+  model.Do(model.door().SetStalled(0, true, model.On()));
   model.Accept();
   model.Answer();
   EXPECT_EQ(model.ended, (std::vector<int>{2}));
   // It hangs with a question unanswered.
-  model.Do(model.door().SetHung(0, false, model.On()));
+  model.Do(model.door().SetStalled(0, false, model.On()));
   model.Accept();
   ASSERT_TRUE(model.asks());
-  model.Do(model.door().SetHung(1, true, model.On()));
-  model.Do(model.door().Offered(0, std::nullopt, model.On()));
+  model.Do(model.door().SetStalled(1, true, model.On()));
+  model.Do(model.door().OnCandidate(0, std::nullopt, model.On()));
   EXPECT_EQ(model.turned_away, 1);
 }
 
-TEST(Door, BesideAnotherProcessNewcomersWaitForItsDescriptors) {
+TEST(ConnectionAdmission, BesideAnotherProcessNewcomersWaitForItsDescriptors) {
   DoorModel model({{9}, {9}}, 100);
-  model.Do(model.door().SetMost(2, true, model.On()));
+  model.Do(model.door().SetMaxConnections(2, true, model.On()));
   EXPECT_FALSE(model.paused);  // Nobody has come.
   model.Accept();
   model.Answer();
   EXPECT_TRUE(model.paused);
   EXPECT_EQ(model.turned_away, 0);
-  model.Do(model.door().Again(model.On()));
+  model.Do(model.door().RetryPending(model.On()));
   model.Answer();
   EXPECT_EQ(model.let_in, 0);
-  model.Do(model.door().SetMost(10, true, model.On()));
+  model.Do(model.door().SetMaxConnections(10, true, model.On()));
   EXPECT_EQ(model.let_in, 1);
   EXPECT_FALSE(model.paused);
 }
 
 // Each newcomer is let in or turned away, and the limit holds, whatever the loops say.
-RC_GTEST_PROP(Door, NobodyIsForgottenAndTheLimitHolds, ()) {
+RC_GTEST_PROP(ConnectionAdmission, NobodyIsForgottenAndTheLimitHolds, ()) {
   const auto most = *rc::gen::inRange<std::size_t>(1, 12);
   DoorModel model({{1, 2}, {}, {9}}, most + 3);
   const auto steps = *rc::gen::container<std::vector<int>>(rc::gen::inRange(0, 5));
@@ -554,7 +554,7 @@
   }
   model.Answer();
   RC_ASSERT(model.let_in + model.turned_away == came);
-  RC_ASSERT(model.door().waiting() == 0u);
+  RC_ASSERT(model.door().pending() == 0u);
 }
 
 // ---- Cores ----
@@ -569,40 +569,40 @@
   return units;
 }
 
-TEST(Cores, HyperThreadsAreNoCores) {
-  const PinPlan plan = PlanPins(Units(4, 4), 4);
+TEST(CorePinning, HyperThreadsAreNoCores) {
+  const CorePinningPlan plan = PlanCorePinning(Units(4, 4), 4);
   EXPECT_EQ(plan.units, (std::vector<std::vector<unsigned>>{{0, 4}, {1, 5}, {2, 6}, {3, 7}}));
-  EXPECT_EQ(plan.why, "4 threads on 4 cores");
+  EXPECT_EQ(plan.description, "4 threads on 4 cores");
 }
 
-TEST(Cores, WithTooFewTheDecidingThreadKeepsItsOwn) {
-  const PinPlan plan = PlanPins(Units(3, 3), 6);
+TEST(CorePinning, WithTooFewTheDecidingThreadKeepsItsOwn) {
+  const CorePinningPlan plan = PlanCorePinning(Units(3, 3), 6);
   EXPECT_EQ(plan.units, (std::vector<std::vector<unsigned>>{{0, 3}, {1, 4}, {2, 5}, {1, 4}, {2, 5}, {1, 4}}));
-  EXPECT_NE(plan.why.find("loops share cores"), std::string::npos);
-  EXPECT_TRUE(PlanPins(Units(1, 1), 2).units.empty());
-  EXPECT_TRUE(PlanPins({}, 2).units.empty());
-  EXPECT_TRUE(PlanPins(Units(4, 4), 1).units.empty());
+  EXPECT_NE(plan.description.find("loops share cores"), std::string::npos);
+  EXPECT_TRUE(PlanCorePinning(Units(1, 1), 2).units.empty());
+  EXPECT_TRUE(PlanCorePinning({}, 2).units.empty());
+  EXPECT_TRUE(PlanCorePinning(Units(4, 4), 1).units.empty());
 }
 
-TEST(Cores, ThreadsStayNearEachOther) {
+TEST(CorePinning, ThreadsStayNearEachOther) {
   // The second node of memory has more cores: all four fit there.
-  const PinPlan plan = PlanPins(Units(6, 2), 4);
+  const CorePinningPlan plan = PlanCorePinning(Units(6, 2), 4);
   EXPECT_EQ(plan.units, (std::vector<std::vector<unsigned>>{{2, 8}, {3, 9}, {4, 10}, {5, 11}}));
-  EXPECT_EQ(plan.why.find("far"), std::string::npos);
-  EXPECT_NE(PlanPins(Units(6, 2), 5).why.find("far"), std::string::npos);
+  EXPECT_EQ(plan.description.find("far"), std::string::npos);
+  EXPECT_NE(PlanCorePinning(Units(6, 2), 5).description.find("far"), std::string::npos);
 }
 
 // Whatever the machine: only units that are allowed, the deciding thread alone on its core, loops spread
 // evenly.
-RC_GTEST_PROP(Cores, AnyMachine, ()) {
+RC_GTEST_PROP(CorePinning, AnyMachine, ()) {
   const auto cores = *rc::gen::inRange(1u, 20u);
   const auto threads = *rc::gen::inRange<std::size_t>(1, 65);
   std::vector<ProcessingUnit> allowed;
   for (const ProcessingUnit& unit : Units(cores, *rc::gen::inRange(0u, 20u))) {
     if (*rc::gen::arbitrary<bool>()) allowed.push_back(unit);
   }
-  const PinPlan plan = PlanPins(allowed, threads);
-  RC_ASSERT(!plan.why.empty());
+  const CorePinningPlan plan = PlanCorePinning(allowed, threads);
+  RC_ASSERT(!plan.description.empty());
   if (plan.units.empty()) return;
   RC_ASSERT(plan.units.size() == threads);
   std::map<std::vector<unsigned>, std::size_t> used;
@@ -626,20 +626,20 @@
 
 // ---- The watchdog ----
 
-TEST(Watchdog, NamesALoopOnceAndAgainWhenItGoesOn) {
-  using Change = Watchdog::Change;
-  Watchdog watchdog(2, 3);
-  EXPECT_EQ(watchdog.Look(0, 1), Change::kNone);
-  EXPECT_EQ(watchdog.Look(0, 1), Change::kNone);
-  EXPECT_EQ(watchdog.Look(0, 2), Change::kNone);
-  EXPECT_EQ(watchdog.Look(0, 2), Change::kNone);
-  EXPECT_EQ(watchdog.Look(0, 2), Change::kNone);
-  EXPECT_EQ(watchdog.Look(0, 2), Change::kHangs);
-  EXPECT_EQ(watchdog.Look(0, 2), Change::kNone);
-  EXPECT_TRUE(watchdog.hangs(0));
-  EXPECT_FALSE(watchdog.hangs(1));
-  EXPECT_EQ(watchdog.Look(0, 3), Change::kGoesOn);
-  EXPECT_FALSE(watchdog.hangs(0));
+TEST(LoopWatchdog, NamesALoopOnceAndAgainWhenItGoesOn) {
+  using Change = LoopWatchdog::Transition;
+  LoopWatchdog watchdog(2, 3);
+  EXPECT_EQ(watchdog.Observe(0, 1), Change::kNone);
+  EXPECT_EQ(watchdog.Observe(0, 1), Change::kNone);
+  EXPECT_EQ(watchdog.Observe(0, 2), Change::kNone);
+  EXPECT_EQ(watchdog.Observe(0, 2), Change::kNone);
+  EXPECT_EQ(watchdog.Observe(0, 2), Change::kNone);
+  EXPECT_EQ(watchdog.Observe(0, 2), Change::kStalled);
+  EXPECT_EQ(watchdog.Observe(0, 2), Change::kNone);
+  EXPECT_TRUE(watchdog.is_stalled(0));
+  EXPECT_FALSE(watchdog.is_stalled(1));
+  EXPECT_EQ(watchdog.Observe(0, 3), Change::kRecovered);
+  EXPECT_FALSE(watchdog.is_stalled(0));
 }
 
 }  // namespace
--- a/tests/lab/crowd_test.cpp
+++ b/tests/lab/crowd_test.cpp
@@ -39,8 +39,8 @@
   options.plants_repeats = true;
   EXPECT_GT(SimulateCrowd(options).writes_twice, 0u);
   // A node that never looks back at what it does not use.
-  options.spread.way = decide::Way::kTwoOwn;
-  options.spread.untried = options.spread.ask_idle = decide::FleetTime(1e9);
+  options.spread.policy = decide::Policy::kTwoChoicesLocalLoad;
+  options.spread.max_unprobed_time = options.spread.idle_poll_interval = decide::FleetTime(1e9);
   EXPECT_GT(SimulateCrowd(options).untried_ms, 3'500);
 }
 
@@ -54,12 +54,12 @@
   EXPECT_GT(result.requests, options.services * 100);
   EXPECT_EQ(result.outside, 0u);
   EXPECT_EQ(result.writes_twice, 0u);
-  EXPECT_LE(result.untried_ms, 1.5 * options.spread.untried.count() + 500);
+  EXPECT_LE(result.untried_ms, 1.5 * options.spread.max_unprobed_time.count() + 500);
   // Over the cap only where others went down behind it.
-  EXPECT_LE(result.aside_most, GetParam() == "zone-lost" ? 0.51 : options.spread.aside_share);
+  EXPECT_LE(result.aside_most, GetParam() == "zone-lost" ? 0.51 : options.spread.max_ejected_fraction);
   EXPECT_LE(static_cast<double>(result.repeats),
-            options.spread.repeat_share * static_cast<double>(result.requests) +
-                options.spread.most_repeats * static_cast<double>(options.nodes));
+            options.spread.retry_budget_fraction * static_cast<double>(result.requests) +
+                options.spread.max_retry_budget * static_cast<double>(options.nodes));
 }
 
 INSTANTIATE_TEST_SUITE_P(Kept, HardCase, testing::ValuesIn(CrowdCases()), [](const auto& instance) {
--- a/tests/net/loop_rig.h
+++ b/tests/net/loop_rig.h
@@ -25,12 +25,12 @@
 
 class Rig {
  public:
-  explicit Rig(std::size_t loops, std::size_t most = 1000, double gap_of_core = 0.1) {
+  explicit Rig(std::size_t loops, std::size_t most = 1000, double min_gap_cores = 0.1) {
     host.Do([&] {
       LoopGroup::Options options;
       options.loops = loops;
       options.most_connections = most;
-      options.placement.gap_of_core = gap_of_core;
+      options.placement.min_gap_cores = min_gap_cores;
       options.classes = [this](std::size_t loop) { return Table(loop); };
       options.counts = [this](std::string_view kind, std::size_t loop) {
         return kind == "order-lodge" ? counts_[loop] : nullptr;
--- a/tests/net/pool_group_test.cpp
+++ b/tests/net/pool_group_test.cpp
@@ -19,7 +19,7 @@
  protected:
   // Pools of one core each, told to the group in this order.
   void Make(std::size_t count, const std::function<void(std::size_t, standin::PoolOptions&)>& tune = {},
-            decide::SpreadOptions spread = {}) {
+            decide::LoadBalancerOptions spread = {}) {
     PoolGroupOptions options;
     for (std::size_t i = 0; i < count; ++i) {
       standin::PoolOptions pool;
@@ -81,9 +81,9 @@
   }
   bool AllUp() {
     return Until([this] {
-      const auto& ids = group_->spread().in_use();
+      const auto& ids = group_->spread().active_endpoints();
       return std::all_of(ids.begin(), ids.end(), [this](auto id) {
-        return group_->spread().LookAt(group_->Now(), id).standing != decide::Standing::kDown;
+        return group_->spread().Snapshot(group_->Now(), id).state != decide::EndpointState::kDisconnected;
       });
     });
   }
@@ -137,10 +137,10 @@
 }
 
 TEST_F(GroupTest, WhatOneDoesNotKnowRunsOnceElsewhereWithinTheBudget) {
-  decide::SpreadOptions spread;
-  spread.most_repeats = 6;
-  spread.way = decide::Way::kRandom;
-  spread.aside_share = 0;  // It is tried again and again.
+  decide::LoadBalancerOptions spread;
+  spread.max_retry_budget = 6;
+  spread.policy = decide::Policy::kRandom;
+  spread.max_ejected_fraction = 0;  // It is tried again and again.
   // The first knows no class of ours.
   Make(
       2, [](std::size_t i, standin::PoolOptions& pool) { pool.classes = {i == 0 ? "other" : "write"}; },
@@ -155,7 +155,7 @@
   ExpectOneEndEach();
   EXPECT_GT(again_, 5);
   EXPECT_GT(unknown, 10u);
-  EXPECT_LE(static_cast<double>(again_), spread.most_repeats + 0.1 * 100);
+  EXPECT_LE(static_cast<double>(again_), spread.max_retry_budget + 0.1 * 100);
   EXPECT_EQ(pools_[1]->counts().started, 100 - unknown);
 }
 
--- a/tests/net/store_client_test.cpp
+++ b/tests/net/store_client_test.cpp
@@ -85,7 +85,7 @@
     EXPECT_EQ(end.outcome, Outcome::kOk);
     EXPECT_EQ(end.reply, standin::ReplyOf(Body(req)));
   }
-  EXPECT_EQ(store.counts().connections, decide::kStoreConnections);
+  EXPECT_EQ(store.counts().connections, decide::kMaxUpstreamConnections);
   EXPECT_EQ(store.counts().calls, 50u);
   EXPECT_EQ(store.counts().twice, 0u);
 }
@@ -239,17 +239,17 @@
   EXPECT_EQ(ends[3000].outcome, Outcome::kOk);
   EXPECT_EQ(ends.size(), 221u);
   EXPECT_EQ(store.counts().twice, 0u);
-  EXPECT_LE(store.counts().connections, 3 * decide::kStoreConnections);
+  EXPECT_LE(store.counts().connections, 3 * decide::kMaxUpstreamConnections);
 }
 
-TEST(StoreReconnect, TriesOfManyNodesAreSpreadAndGrowRare) {
+TEST(ReconnectBackoff, TriesOfManyNodesAreSpreadAndGrowRare) {
   std::mt19937_64 draw(3);
   std::map<int, int> at;  // Tries in each 100 ms, of 300 nodes that all lose the store at once.
   for (int node = 0; node < 300; ++node) {
-    decide::StoreReconnect reconnect([&] { return std::generate_canonical<double, 32>(draw); });
+    decide::ReconnectBackoff reconnect([&] { return std::generate_canonical<double, 32>(draw); });
     double now = 0;
     while (now < 20'000) {
-      now += reconnect.Failed().count();
+      now += reconnect.OnFailure().count();
       ++at[static_cast<int>(now / 100)];
     }
   }
--- a/tests/node/deep_checks_test.cpp
+++ b/tests/node/deep_checks_test.cpp
@@ -187,7 +187,7 @@
   const auto asked = net::Steady::now();
   caller.Write(Check(++stream, true));
   EXPECT_NE(CodeOf(caller), 0);
-  EXPECT_GE(net::Steady::now() - asked, decide::DeepChecks<int>::kPatience - 1ms);
+  EXPECT_GE(net::Steady::now() - asked, decide::DeepHealthChecks<int>::kTimeout - 1ms);
   // One whose caller leaves is forgotten.
   caller.Write(Check(++stream, true));
   ASSERT_TRUE(rig.Await([&] { return rig.asking() == 1; }));
