--- a/src/background/keeper.cpp
+++ b/src/background/keeper.cpp
@@ -34,7 +34,7 @@
       log::Info("learned-taken", {{"classes", recalled.classes},
                                   {"faith_percent", std::lround(recalled.faith * 100)},
                                   {"records", found.records}});
-      node.Recall(recalled.learned);
+      node.ImportLearned(recalled.learned);
     }
   } catch (const std::exception& fault) {
     log::Warn("learned-unread", {{"what", fault.what()}});
@@ -57,13 +57,14 @@
                   .bytes = 1'000,
                   .last_chance = true};
   jobs[1].prepare = [this](bool) { return Record(true); };
-  runner_ = std::make_unique<Runner>(node.base(), options.budgets, std::move(jobs),
-                                     Runner::Sees{.under_pressure = [&node] { return node.Holds(); },
-                                                  .leaving = [&node] { return node.leaving(); }});
-  node.Join(*this);
+  runner_ =
+      std::make_unique<Runner>(node.base(), options.budgets, std::move(jobs),
+                               Runner::Sees{.under_pressure = [&node] { return node.HasQueuedRequests(); },
+                                            .leaving = [&node] { return node.draining(); }});
+  node.AddExtension(*this);
 }
 
-std::string Keeper::Figures() const {
+std::string Keeper::MetricsText() const {
   using prometheus::MetricType;
   std::vector<prometheus::MetricFamily> families;
   const std::vector<JobLook> jobs = LookAt();
@@ -94,7 +95,7 @@
 }
 
 Work Keeper::Record(bool snapshot) {
-  state::Stored stored{0, decide::Remember(node_.name(), UnixNow(), node_.settings(), node_.Tell())};
+  state::Stored stored{0, decide::Remember(node_.name(), UnixNow(), node_.settings(), node_.ExportLearned())};
   return
       [writer = writer_, stored = std::move(stored), snapshot](const std::atomic<bool>& cancelled) mutable {
         Took took;
--- a/src/background/keeper.h
+++ b/src/background/keeper.h
@@ -20,18 +20,18 @@
   decide::BackgroundOptions budgets{};
 };
 
-class Keeper : public node::Joined {
+class Keeper : public node::NodeExtension {
  public:
   // Reads what there is and has the node begin with what counts of it. Never throws for what stands there,
   // nor for a folder that cannot be read: it is logged, and the node learns anew. The node must not run yet.
   Keeper(node::Node& node, state::Files& files, KeeperOptions options);
-  ~Keeper() override { node_.Part(*this); }
+  ~Keeper() override { node_.RemoveExtension(*this); }
   // To be called behind the node's Run(): the last snapshot.
   void Finish() { runner_->Finish(std::chrono::seconds(1)); }
 
   std::vector<JobLook> LookAt() const { return runner_->LookAt(); }
   // Of each job, in the Prometheus text format: runs, failures, CPU, bytes, and how long it is due.
-  std::string Figures() const override;
+  std::string MetricsText() const override;
 
  private:
   // The store is used by the helper thread alone, and may outlive this where a call hangs.
--- a/src/cli/control_of_node.cpp
+++ b/src/cli/control_of_node.cpp
@@ -19,13 +19,14 @@
           const FleetOfNode* fleet, const ServicesOfNode* services)
       : server_(node.base(), {.path = path},
                 [&node, generation, fleet] {
-                  Json json = control::SnapshotJson(node.See(), {HINGELINK_VERSION, getpid(), generation});
+                  Json json =
+                      control::SnapshotJson(node.TakeSnapshot(), {HINGELINK_VERSION, getpid(), generation});
                   if (fleet != nullptr) json["fleet"] = Json::parse(fleet->Short());
                   return json;
                 },
                 {{"drain",
                   [&node](const nlohmann::json&) {
-                    return Json{{"already", !node.Leave()}};
+                    return Json{{"already", !node.StartDrain()}};
                   }},
                  {"reload",
                   [&node](const nlohmann::json&) {
@@ -36,12 +37,12 @@
                  {"connections",
                   [&node](const nlohmann::json& args) {
                     Json list = Json::array();
-                    for (const auto& c : node.SeeConnections(args.value("most", std::size_t{64}))) {
+                    for (const auto& c : node.TakeConnectionSnapshots(args.value("most", std::size_t{64}))) {
                       list.push_back({{"id", c.id},
                                       {"requests", c.requests},
-                                      {"open", c.open},
+                                      {"open", c.open_requests},
                                       {"unsent_bytes", c.unsent_bytes},
-                                      {"quiet_ms", c.quiet.count()}});
+                                      {"quiet_ms", c.idle.count()}});
                     }
                     return Json{{"connections", std::move(list)}};
                   }},
--- a/src/cli/control_of_node.h
+++ b/src/cli/control_of_node.h
@@ -8,8 +8,8 @@
 #include <utility>
 #include <vector>
 
-#include "node/joined.h"
 #include "node/node.h"
+#include "node/node_extension.h"
 
 namespace hingelink::cli {
 
@@ -48,9 +48,9 @@
  public:
   virtual ~ServicesOfNode() = default;
   // For the node that is made with it, which this must outlive.
-  virtual node::Node::PoolMaker Maker() = 0;
+  virtual node::Node::WorkerPoolFactory Maker() = 0;
   // What keeps it told of the other nodes and of a changed file, as long as it lives.
-  virtual std::unique_ptr<node::Joined> Join(node::Node& node, const FleetOfNode* fleet) = 0;
+  virtual std::unique_ptr<node::NodeExtension> Join(node::Node& node, const FleetOfNode* fleet) = 0;
   // For `hingelink fleet spread`, as JSON.
   virtual std::string Spread() const = 0;
 };
--- a/src/cli/serve.cpp
+++ b/src/cli/serve.cpp
@@ -51,7 +51,8 @@
   log::Configure(log);
   const auto read = [&options] {
     node::Config fresh = node::ReadConfig(options.config);
-    if (const char* ops = std::getenv("NODE_OPS"); fresh.ops.empty() && ops != nullptr) fresh.ops = ops;
+    if (const char* ops = std::getenv("NODE_OPS"); fresh.admin_address.empty() && ops != nullptr)
+      fresh.admin_address = ops;
     return fresh;
   };
   const char* shared = std::getenv("TMPDIR");
@@ -59,18 +60,18 @@
   if (!options.services.empty()) services = ReadServices(options.services);
   {
     node::Node node(read(), read, shared != nullptr ? shared : "", options.threads,
-                    services ? services->Maker() : node::Node::PoolMaker());
+                    services ? services->Maker() : node::Node::WorkerPoolFactory());
     held_signals.Release();
     if (options.pin) {
       const decide::PinPlan plan = decide::PlanPins(AllowedUnits(), options.threads);
       log::Info("pin", {{"", plan.why}});
-      node.Bind(plan.units);
+      node.BindThreads(plan.units);
     }
     std::unique_ptr<StateOfNode> state;
     if (!options.learned.empty()) state = KeepState(node, options.learned);
     std::unique_ptr<FleetOfNode> fleet;
     if (!options.peers.empty()) fleet = JoinFleet(node, options.peers);
-    std::unique_ptr<node::Joined> sharing;
+    std::unique_ptr<node::NodeExtension> sharing;
     if (services) sharing = services->Join(node, fleet.get());
     std::unique_ptr<ControlOfNode> control;
     if (!options.control.empty())
--- a/src/cli/services.cpp
+++ b/src/cli/services.cpp
@@ -62,7 +62,7 @@
  public:
   explicit SharedServices(std::string path) : path_(std::move(path)), options_(ReadFile(path_)) {}
 
-  node::Node::PoolMaker Maker() override {
+  node::Node::WorkerPoolFactory Maker() override {
     return [this](event_base* base, const std::string& name, net::PoolEvents events, net::PoolAsks asks) {
       net::PoolGroupOptions options = options_;
       options.self = name;
@@ -78,7 +78,7 @@
       return group;
     };
   }
-  std::unique_ptr<node::Joined> Join(node::Node& node, const FleetOfNode* fleet) override;
+  std::unique_ptr<node::NodeExtension> Join(node::Node& node, const FleetOfNode* fleet) override;
   std::string Spread() const override;
   void SeeNodes(const FleetOfNode& fleet) {
     std::vector<decide::SubsetNode> nodes;
@@ -102,17 +102,17 @@
   net::PoolGroup* group_ = nullptr;  // The node's.
 };
 
-class Sharing : public node::Joined {
+class Sharing : public node::NodeExtension {
  public:
   Sharing(node::Node& node, SharedServices& services, const FleetOfNode* fleet)
       : node_(node), services_(services), fleet_(fleet) {
-    node_.Join(*this);
+    node_.AddExtension(*this);
   }
-  ~Sharing() override { node_.Part(*this); }
-  void Turned(Turn turn) override {
-    if (turn == Turn::kReloaded) services_.Reload();
+  ~Sharing() override { node_.RemoveExtension(*this); }
+  void OnLifecyclePhase(LifecyclePhase phase) override {
+    if (phase == LifecyclePhase::kReloaded) services_.Reload();
   }
-  void Sweep() override {
+  void OnRoundCompleted() override {
     const auto now = net::Steady::now();
     if (fleet_ == nullptr || now - seen_ < kNodesEach) return;
     seen_ = now;
@@ -126,7 +126,7 @@
   net::Steady::time_point seen_{};
 };
 
-std::unique_ptr<node::Joined> SharedServices::Join(node::Node& node, const FleetOfNode* fleet) {
+std::unique_ptr<node::NodeExtension> SharedServices::Join(node::Node& node, const FleetOfNode* fleet) {
   return std::make_unique<Sharing>(node, *this, fleet);
 }
 
--- a/src/control/protocol.cpp
+++ b/src/control/protocol.cpp
@@ -14,7 +14,7 @@
 
 template <typename T>
 Json Counts(const T& counts) {
-  return {{"served", counts.served}, {"refused", counts.refused}, {"failed", counts.failed}};
+  return {{"served", counts.served}, {"refused", counts.rejected}, {"failed", counts.failed}};
 }
 
 }  // namespace
@@ -52,49 +52,50 @@
                {"version", around.version},
                {"pid", around.pid},
                {"generation", around.generation},
-               {"state", node::StateName(seen.state)},
+               {"state", node::NodeStateName(seen.state)},
                {"ready", seen.ready},
                {"uptime_ms", seen.uptime.count()}};
-  if (seen.drain) json["drain"] = {{"left_ms", seen.drain->left.count()}, {"owed", seen.drain->owed}};
+  if (seen.drain)
+    json["drain"] = {{"left_ms", seen.drain->remaining.count()}, {"owed", seen.drain->unanswered}};
   node::ClassSnapshot sum;
   Json classes = Json::array();
   for (const node::ClassSnapshot& c : seen.classes) {
-    sum.held += c.held;
+    sum.queued += c.queued;
     sum.running += c.running;
     sum.served += c.served;
-    sum.refused += c.refused;
+    sum.rejected += c.rejected;
     sum.failed += c.failed;
     // Names come from a file, and end on terminals.
-    Json entry = {{"name", log::Printable(c.name)}, {"held", c.held}, {"running", c.running}};
+    Json entry = {{"name", log::Printable(c.name)}, {"held", c.queued}, {"running", c.running}};
     entry.update(Counts(c));
     classes.push_back(std::move(entry));
   }
-  Json totals = {{"held", sum.held}, {"running", sum.running}};
+  Json totals = {{"held", sum.queued}, {"running", sum.running}};
   totals.update(Counts(sum));
-  totals.update(Json{{"owed", seen.owed},
+  totals.update(Json{{"owed", seen.unanswered},
                      {"connections", seen.connections},
-                     {"runs", seen.runs},
-                     {"gateways", seen.gateways_known}});
+                     {"runs", seen.executions},
+                     {"gateways", seen.gateway_count}});
   json["totals"] = std::move(totals);
   json["classes"] = std::move(classes);
   json["gateways"] = Json::array();
   for (const node::GatewaySnapshot& g : seen.gateways) {
-    Json entry = {{"via", g.via}, {"open", g.open}, {"requests", g.requests}};
+    Json entry = {{"via", g.gateway_id}, {"open", g.open_requests}, {"requests", g.requests}};
     entry.update(Counts(g));
     json["gateways"].push_back(std::move(entry));
   }
   for (const node::LoopSnapshot& loop : seen.loops) {
     json["loops"].push_back({{"connections", loop.connections},
-                             {"told_waiting", loop.told_waiting},
-                             {"orders_waiting", loop.orders_waiting},
-                             {"busy", loop.busy},
-                             {"taken", loop.taken},
-                             {"hung", loop.hung}});
+                             {"told_waiting", loop.pending_messages},
+                             {"orders_waiting", loop.pending_commands},
+                             {"busy", loop.cpu_fraction},
+                             {"taken", loop.connections_received},
+                             {"hung", loop.stalled}});
   }
-  Json pool = {{"address", seen.pool_address}, {"good", seen.pool_bound}};
-  if (seen.pool_busy) pool["busy"] = *seen.pool_busy;
+  Json pool = {{"address", seen.pool_address}, {"good", seen.pool_connected}};
+  if (seen.pool_cpu_busy) pool["busy"] = *seen.pool_cpu_busy;
   json["links"] = {{"pool", std::move(pool)},
-                   {"registry", {{"address", seen.registry_address}, {"good", seen.registry_good}}}};
+                   {"registry", {{"address", seen.registry_address}, {"good", seen.registry_healthy}}}};
   json["log"] = {
       {"level", log::LevelName(log::CurrentLevel())}, {"lost", log::Lost()}, {"lines", log::Recent()}};
   return json;
--- a/src/fleet/fleet.cpp
+++ b/src/fleet/fleet.cpp
@@ -99,10 +99,10 @@
   net::ParseAddress(config_.listen);
   if (!config_.advertise.empty()) net::ParseAddress(config_.advertise);
   Open();
-  node_.Join(*this);
+  node_.AddExtension(*this);
 }
 
-Fleet::~Fleet() { node_.Part(*this); }
+Fleet::~Fleet() { node_.RemoveExtension(*this); }
 
 void Fleet::Open() {
   if (link_ || handed_over_) return;
@@ -161,7 +161,7 @@
 
 void Fleet::SetPhase() {
   MemberPhase phase = members_->self().phase;
-  if (node_.leaving()) {
+  if (node_.draining()) {
     phase = MemberPhase::kDraining;
   } else if (phase != MemberPhase::kJoining || members_->size() > 1 || Now() > kFirstAfter) {
     phase = node_.ready() ? MemberPhase::kServing : MemberPhase::kWarming;
@@ -179,22 +179,22 @@
   }
 }
 
-void Fleet::Turned(Turn turn) {
-  switch (turn) {
-    case Turn::kLeaving:
+void Fleet::OnLifecyclePhase(LifecyclePhase phase) {
+  switch (phase) {
+    case LifecyclePhase::kDraining:
       if (members_ && link_) SetPhase();
       break;
-    case Turn::kHandedOver:
+    case LifecyclePhase::kHandedOver:
       // The other process has the address from now on, and a life of its own.
       handed_over_ = true;
       link_.reset();
       timer_.Stop();
       break;
-    case Turn::kTakenBack:
+    case LifecyclePhase::kResumed:
       handed_over_ = false;
       Open();
       break;
-    case Turn::kReloaded:
+    case LifecyclePhase::kReloaded:
       try {
         const FleetConfig fresh = reread_();
         keys_ = net::ReadPeerKeys(fresh.keys);
@@ -236,7 +236,7 @@
   return seen;
 }
 
-std::string Fleet::Figures() const {
+std::string Fleet::MetricsText() const {
   using prometheus::ClientMetric;
   using prometheus::MetricType;
   const Seen seen = Look();
--- a/src/fleet/fleet.h
+++ b/src/fleet/fleet.h
@@ -10,8 +10,8 @@
 #include "decide/membership.h"
 #include "decide/rider.h"
 #include "net/peers.h"
-#include "node/joined.h"
 #include "node/node.h"
+#include "node/node_extension.h"
 
 namespace hingelink::fleet {
 
@@ -24,7 +24,7 @@
 // Throws std::runtime_error that names the file, the place in it and what is wanted, a line for each fault.
 FleetConfig ReadFleetConfig(const std::string& path);
 
-class Fleet : public node::Joined {
+class Fleet : public node::NodeExtension {
  public:
   // Throws what is wrong with the configuration or its keys. `reread` gives it anew at SIGHUP, or throws.
   Fleet(node::Node& node, const std::function<FleetConfig()>& reread);
@@ -46,8 +46,8 @@
   Seen Look() const;
 
   // ---- node::Joined ----
-  void Turned(Turn turn) override;
-  std::string Figures() const override;
+  void OnLifecyclePhase(LifecyclePhase phase) override;
+  std::string MetricsText() const override;
 
  private:
   void Open();
--- a/src/node/config.cpp
+++ b/src/node/config.cpp
@@ -208,22 +208,23 @@
     throw ConfigError("the text is not JSON, or not an object; it must be one JSON object");
   Config config;
   config.name = GetText(json, "name");
-  config.listen = GetText(json, "listen");
-  config.pool = GetText(json, "pool");
-  config.registry = GetText(json, "registry");
-  if (json.contains("store")) config.store = GetText(json, "store");
-  if (json.contains("ops")) config.ops = GetText(json, "ops");
+  config.listen_address = GetText(json, "listen");
+  config.pool_address = GetText(json, "pool");
+  config.registry_address = GetText(json, "registry");
+  if (json.contains("store")) config.store_address = GetText(json, "store");
+  if (json.contains("ops")) config.admin_address = GetText(json, "ops");
   const std::string seed = GetText(json, "seed");
   const auto [end, fault] = std::from_chars(seed.data(), seed.data() + seed.size(), config.seed, 16);
   if (fault != std::errc() || end != seed.data() + seed.size()) {
     Reject("seed", seed, "a hexadecimal number of at most 64 bits");
   }
-  config.stop =
+  config.drain_timeout =
       std::chrono::milliseconds(static_cast<std::int64_t>(GetNumber(json, "", "stop_ms", 0, kMostStopMs)));
   const Json& limits = GetObject(json, "limits");
-  config.sockets = static_cast<int>(GetNumber(limits, "limits.", "sockets", kLeastSockets, kMostSockets));
+  config.max_descriptors =
+      static_cast<int>(GetNumber(limits, "limits.", "sockets", kLeastSockets, kMostSockets));
   if (limits.contains("memory_mb")) {
-    config.memory_mb = GetNumber(limits, "limits.", "memory_mb", kLeastMemoryMb, kMostMemoryMb);
+    config.memory_limit_mb = GetNumber(limits, "limits.", "memory_mb", kLeastMemoryMb, kMostMemoryMb);
   }
   const Json& settings = GetObject(json, "settings");
   CheckLists(settings);
@@ -236,12 +237,12 @@
   }
   const std::string wrong = config.settings.Validate();
   if (!wrong.empty()) RejectField(settings, wrong);
-  config.text = text;
+  config.source_text = text;
   return config;
 }
 
 void Config::CheckAgainst(const Config& running) const {
-  CheckKeys(Json::parse(running.text, nullptr, false), Json::parse(text, nullptr, false), "");
+  CheckKeys(Json::parse(running.source_text, nullptr, false), Json::parse(source_text, nullptr, false), "");
 }
 
 Config ReadConfig(const std::string& path) {
--- a/src/node/config.h
+++ b/src/node/config.h
@@ -18,23 +18,24 @@
 
 struct Config {
   std::string name;
-  std::string listen;
-  std::string pool;
-  std::string registry;
-  std::string store;  // What runs call; empty where none is.
-  std::string ops;    // Where operators ask; empty where nowhere.
+  std::string listen_address;
+  std::string pool_address;
+  std::string registry_address;
+  std::string store_address;  // The upstream store; empty: executions call none.
+  std::string admin_address;  // The admin server; empty: none.
   std::uint64_t seed = 0;
-  std::chrono::milliseconds stop{0};  // From the notice to leave to the kill.
-  int sockets = 0;                    // Descriptors that the process may hold.
-  double memory_mb = 64;              // That the process may use.
+  std::chrono::milliseconds drain_timeout{0};  // From the drain notice to the kill.
+  int max_descriptors = 0;                     // That the process may hold.
+  double memory_limit_mb = 64;                 // Of the process.
   hingelink::Settings settings;
-  std::string text;  // The whole file.
+  std::string source_text;  // The whole file.
 
   // Throws ConfigError where this lacks a key that `running` has, or has a value of another kind there.
   void CheckAgainst(const Config& running) const;
   // Whether something differs that holds for the process's whole life.
   bool NeedsRestart(const Config& running) const {
-    return name != running.name || listen != running.listen || ops != running.ops || seed != running.seed;
+    return name != running.name || listen_address != running.listen_address ||
+           admin_address != running.admin_address || seed != running.seed;
   }
 };
 
--- a/src/node/metrics.cpp
+++ b/src/node/metrics.cpp
@@ -130,15 +130,15 @@
   by_loop("loop_connections", MetricType::Gauge, "Connections on a loop.",
           [](const LoopSnapshot& loop) { return loop.connections; });
   by_loop("loop_busy", MetricType::Gauge, "Share of a core that a loop used in the last half second.",
-          [](const LoopSnapshot& loop) { return loop.busy; });
+          [](const LoopSnapshot& loop) { return loop.cpu_fraction; });
   by_loop("loop_told_waiting", MetricType::Gauge, "Messages of a loop that wait for the decisions.",
-          [](const LoopSnapshot& loop) { return loop.told_waiting; });
+          [](const LoopSnapshot& loop) { return loop.pending_messages; });
   by_loop("loop_orders_waiting", MetricType::Gauge, "Answers and orders that wait for a loop.",
-          [](const LoopSnapshot& loop) { return loop.orders_waiting; });
+          [](const LoopSnapshot& loop) { return loop.pending_commands; });
   by_loop("loop_connections_taken", MetricType::Counter, "Connections that a loop took over from others.",
-          [](const LoopSnapshot& loop) { return loop.taken; });
+          [](const LoopSnapshot& loop) { return loop.connections_received; });
   by_loop("loop_hung", MetricType::Gauge, "1 while a loop does not go round.",
-          [](const LoopSnapshot& loop) { return loop.hung ? 1 : 0; });
+          [](const LoopSnapshot& loop) { return loop.stalled ? 1 : 0; });
   return prometheus::TextSerializer().Serialize(families);
 }
 
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -30,9 +30,9 @@
 constexpr auto kLastClose = 10ms;
 constexpr auto kDrainLook = 10ms;
 constexpr std::size_t kMostThreads = 64;
-// What a joined part may do in one batch (ours). Beside requests: what a request or two cost, so that news in
-// any number adds no more to an answer than one more request before it does.
-constexpr Allowance kAlone{.events = 64, .work = 1ms}, kBesideRequests{.events = 8, .work = 100us};
+// What a extension part may do in one batch (ours). Beside requests: what a request or two cost, so that news
+// in any number adds no more to an answer than one more request before it does.
+constexpr BatchBudget kAlone{.events = 64, .work = 1ms}, kBesideRequests{.events = 8, .work = 100us};
 
 Outcome ToOutcome(proto::RunEnd end) {
   switch (end) {
@@ -57,7 +57,7 @@
 }  // namespace
 
 Node::Node(Config config, std::function<Config()> reread, const std::string& handover_folder,
-           std::size_t threads, const PoolMaker& make_pool)
+           std::size_t threads, const WorkerPoolFactory& create_pool)
     : config_(std::move(config)),
       reread_(std::move(reread)),
       threads_(std::clamp<std::size_t>(threads, 1, kMostThreads)),
@@ -80,11 +80,12 @@
             return pool_->Spawn(req, kind, body);
           },
           Below(), KeyLimits(), [this](const core::OperationKey& key) { TellKey(key); }),
-      pool_(MakePool(make_pool)),
+      pool_(MakePool(create_pool)),
       checks_(base_.get(),
               {.verify = [this](std::uint64_t tag) { return pool_->Verify(tag); },
                .answer = [this](core::ReplyTo to, bool good) { front_->AnswerCheck(to, good); }}),
-      registry_(base_.get(), net::ParseAddress(config_.registry), config_.registry, config_.name),
+      registry_(base_.get(), net::ParseAddress(config_.registry_address), config_.registry_address,
+                config_.name),
       timer_(
           base_.get(),
           [this] {
@@ -97,16 +98,16 @@
       // Beside a predecessor, once there is a worker pool to run what comes.
       listening_(!handover_.has_others()),
       drain_timer_(base_.get(), [] {}) {
-  MoveStore(config_.store);
+  MoveStore(config_.store_address);
   SeeOthers();
   SeeKeys();
   if (listening_) handover_.Offer(front_->listener());
-  if (!config_.ops.empty()) {
-    ops_.emplace(
-        base_.get(), net::ParseAddress(config_.ops),
-        net::OpsServer::Answers{.ready = [this] { return Ready(); }, .stats = [this] { return Figures(); }});
+  if (!config_.admin_address.empty()) {
+    admin_server_.emplace(base_.get(), net::ParseAddress(config_.admin_address),
+                          net::OpsServer::Answers{.ready = [this] { return Ready(); },
+                                                  .stats = [this] { return MetricsText(); }});
   }
-  const auto leave = [](evutil_socket_t, short, void* self) { static_cast<Node*>(self)->Leave(); };
+  const auto leave = [](evutil_socket_t, short, void* self) { static_cast<Node*>(self)->StartDrain(); };
   sigterm_ = OnSignal(base_.get(), SIGTERM, leave, this);
   sigint_ = OnSignal(base_.get(), SIGINT, leave, this);
   // Guards against a new configuration that ends the node: SIGHUP does, where nothing handles it.
@@ -115,7 +116,7 @@
       this);
 }
 
-std::unique_ptr<net::PoolSide> Node::MakePool(const PoolMaker& make_pool) {
+std::unique_ptr<net::PoolSide> Node::MakePool(const WorkerPoolFactory& create_pool) {
   net::PoolEvents events;
   events.bound = [this](bool warming_up) { Bound(warming_up); };
   events.finished = [this](const proto::RunFinished& run) {
@@ -128,8 +129,9 @@
     table_.Resend([this](RequestTable::Mark mark) { return pool_->Processed(mark); });
     checks_.Rebound();
   };
-  if (!make_pool)
-    return std::make_unique<net::PoolLink>(base_.get(), net::ParseAddress(config_.pool), std::move(events));
+  if (!create_pool)
+    return std::make_unique<net::PoolLink>(base_.get(), net::ParseAddress(config_.pool_address),
+                                           std::move(events));
   net::PoolAsks asks;
   asks.again = [this](std::uint64_t req) { return table_.SpawnAgain(req); };
   asks.safe = [this](std::string_view kind) {
@@ -142,7 +144,7 @@
     const auto& names = config_.settings.gauges;
     return static_cast<std::size_t>(std::find(names.begin(), names.end(), name) - names.begin());
   };
-  return make_pool(base_.get(), config_.name, std::move(events), std::move(asks));
+  return create_pool(base_.get(), config_.name, std::move(events), std::move(asks));
 }
 
 Calls::Below Node::Below() {
@@ -176,14 +178,14 @@
 // them.
 KeyTable::Limits Node::KeyLimits() const {
   constexpr double kResults = 1.0 / 8, kKeys = 1.0 / 16, kBytesOfKey = 320;
-  const double bytes = config_.memory_mb * (1 << 20);
+  const double bytes = config_.memory_limit_mb * (1 << 20);
   return {.most_keys = static_cast<std::size_t>(kKeys * bytes / kBytesOfKey),
           .most_bytes = static_cast<std::size_t>(kResults * bytes)};
 }
 
 std::unique_ptr<net::GatewaySide> Node::MakeFront() {
-  const sockaddr_in listen = net::ParseAddress(config_.listen);
-  const auto sockets = static_cast<std::size_t>(config_.sockets);
+  const sockaddr_in listen = net::ParseAddress(config_.listen_address);
+  const auto sockets = static_cast<std::size_t>(config_.max_descriptors);
   const std::size_t most = sockets > reserved() ? sockets - reserved() : 1;
   core::FrontEvents events{.request = [this](const IncomingRequest& request) { Take(request); },
                            .gone =
@@ -226,16 +228,16 @@
   for (;;) {
     // An action may have left an event for the module (the end of a replay): that one waits for nothing.
     // Nor does news that had no room in the last batch.
-    const bool more = table_.has_events() || (policy_ && AnyNews());
+    const bool more = table_.has_events() || (policy_ && AnyExtensionHasEvents());
     event_base_loop(base_.get(), more ? EVLOOP_NONBLOCK : EVLOOP_ONCE);
-    if (step_due_ || table_.has_events() || (leaving_ && !notice_given_) || AnyNews()) Step();
+    if (step_due_ || table_.has_events() || (draining_ && !notice_given_) || AnyExtensionHasEvents()) Step();
     front_->Sweep();
-    for (Joined* joined : joined_) joined->Sweep();
+    for (NodeExtension* extension : extensions_) extension->OnRoundCompleted();
     if (store_) store_->Sweep();
-    if (ops_) ops_->Sweep();
+    if (admin_server_) admin_server_->Sweep();
     // Its runs too must be over: the successor counts them for as long as this process tells of them.
     if (handed_over_ && table_.empty() && front_->AllSent() && front_->connections() == 0) break;
-    if (leaving_) {
+    if (draining_) {
       const Steady::time_point now = Steady::now();
       DrainStep();
       const bool done = table_.unanswered() == 0 && front_->AllSent();
@@ -261,7 +263,7 @@
   event_base_loop(base_.get(), EVLOOP_NONBLOCK);
 }
 
-void Node::Bind(const std::vector<std::vector<unsigned>>& units) {
+void Node::BindThreads(const std::vector<std::vector<unsigned>>& units) {
   bool good = true;
   for (std::size_t i = 0; i < units.size() && i < threads_; ++i) {
     good = (i == 0 ? net::BindThread(pthread_self(), units[i]) : front_->BindLoop(i - 1, units[i])) && good;
@@ -277,7 +279,7 @@
   policy_.emplace(settings, config_.seed);
   policy_->ImportLearned(recalled_);
   step_due_ = true;
-  if (listening_ || leaving_) return;
+  if (listening_ || draining_) return;
   listening_ = true;
   front_->ResumeListening();
   handover_.Offer(front_->listener());
@@ -289,35 +291,36 @@
   step_due_ = false;
   if (!policy_) return;
   std::vector<hingelink::Event> events = table_.TakeEvents(std::chrono::system_clock::now());
-  if (leaving_ && !notice_given_) {
+  if (draining_ && !notice_given_) {
     notice_given_ = true;
     const Millis left = kill_at_ - Steady::now() - kFlush;
     events.emplace_back(hingelink::DrainNotice{std::max(0.0, left.count())});
   }
-  Batch batch(events, events.empty() ? kAlone : kBesideRequests);
-  for (Joined* joined : joined_) joined->Gather(batch);
+  EventBatch batch(events, events.empty() ? kAlone : kBesideRequests);
+  for (NodeExtension* extension : extensions_) extension->AddEvents(batch);
   FireTimers(events);
   for (const hingelink::Action& action : policy_->Step(Clock().count(), events)) Carry(action);
   ArmTimers();
-  for (Joined* joined : joined_) joined->Stepped();
+  for (NodeExtension* extension : extensions_) extension->OnStepCompleted();
 }
 
-bool Node::AnyNews() const {
-  return std::any_of(joined_.begin(), joined_.end(), [](const Joined* joined) { return joined->HasNews(); });
+bool Node::AnyExtensionHasEvents() const {
+  return std::any_of(extensions_.begin(), extensions_.end(),
+                     [](const NodeExtension* extension) { return extension->HasPendingEvents(); });
 }
 
-void Node::Turn(Joined::Turn turn) {
-  for (Joined* joined : joined_) joined->Turned(turn);
+void Node::NotifyLifecyclePhase(NodeExtension::LifecyclePhase phase) {
+  for (NodeExtension* extension : extensions_) extension->OnLifecyclePhase(phase);
 }
 
-std::string Node::Figures() const {
-  std::string text = metrics_.Text(table_.unanswered(), SeeLoops());
+std::string Node::MetricsText() const {
+  std::string text = metrics_.Text(table_.unanswered(), TakeLoopSnapshots());
   const auto& classes = config_.settings.classes;
   const bool keyed = std::any_of(classes.begin(), classes.end(), [](const auto& c) {
     return c.idempotency == hingelink::Idempotency::kKeyed;
   });
   if (keyed || store_) text += BelowFigures(table_.keys(), table_.calls(), store_ ? &*store_ : nullptr);
-  for (const Joined* joined : joined_) text += joined->Figures();
+  for (const NodeExtension* extension : extensions_) text += extension->MetricsText();
   return text;
 }
 
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -21,8 +21,8 @@
 #include "net/store/store_client.h"
 #include "node/checks/deep_checks.h"
 #include "node/config.h"
-#include "node/joined.h"
 #include "node/metrics.h"
+#include "node/node_extension.h"
 #include "node/request_table.h"
 #include "node/snapshot.h"
 
@@ -34,49 +34,51 @@
   // `reread` gives the configuration anew, or throws what is wrong with it.
   // Processes of one node that share `handover_folder` take over from each other there; empty: none does.
   // With more than one thread, this one decides and the others carry the gateways' connections.
-  // Without `make_pool` it has the one worker pool of its configuration.
-  using PoolMaker = std::function<std::unique_ptr<net::PoolSide>(event_base* base, const std::string& name,
-                                                                 net::PoolEvents events, net::PoolAsks asks)>;
+  // Without `create_pool` it has the one worker pool of its configuration.
+  using WorkerPoolFactory = std::function<std::unique_ptr<net::PoolSide>(
+      event_base* base, const std::string& name, net::PoolEvents events, net::PoolAsks asks)>;
   Node(Config config, std::function<Config()> reread, const std::string& handover_folder = {},
-       std::size_t threads = 1, const PoolMaker& make_pool = {});
+       std::size_t threads = 1, const WorkerPoolFactory& create_pool = {});
   ~Node();
   Node(const Node&) = delete;
   Node& operator=(const Node&) = delete;
 
   // Binds the calling thread, which is to Run(), and then each loop. To be called before Run().
-  void Bind(const std::vector<std::vector<unsigned>>& units);
+  void BindThreads(const std::vector<std::vector<unsigned>>& units);
   // What an earlier life learned, for the module to begin with. To be called before Run().
-  void Recall(const hingelink::Learned& learned);
+  void ImportLearned(const hingelink::Learned& learned);
   // Serves until a notice to leave has been carried out.
   void Run();
 
   // ---- For those who watch and steer it, on its own loop, from callbacks of their own ----
   event_base* base() const { return base_.get(); }
-  Snapshot See() const;
-  std::vector<LoopSnapshot> SeeLoops() const;
+  Snapshot TakeSnapshot() const;
+  std::vector<LoopSnapshot> TakeLoopSnapshots() const;
   // At most so many of the gateways' connections.
-  std::vector<ConnectionSnapshot> SeeConnections(std::size_t most) const;
-  // What SIGTERM and SIGHUP do. Leave() says whether it was told before.
-  bool Leave();
+  std::vector<ConnectionSnapshot> TakeConnectionSnapshots(std::size_t most) const;
+  // What SIGTERM and SIGHUP do. StartDrain() says whether it was told before.
+  bool StartDrain();
   // Empty, or what is wrong with the file.
   std::string Reload();
 
   // What the module has learned so far; nothing before it lives.
-  hingelink::Learned Tell() const { return policy_ ? policy_->ExportLearned() : hingelink::Learned{}; }
+  hingelink::Learned ExportLearned() const {
+    return policy_ ? policy_->ExportLearned() : hingelink::Learned{};
+  }
   // Requests wait to be run.
-  bool Holds() const { return policy_ && policy_->CurrentLoad().queued_work_ms > 0; }
-  bool leaving() const { return leaving_; }
+  bool HasQueuedRequests() const { return policy_ && policy_->CurrentLoad().queued_work_ms > 0; }
+  bool draining() const { return draining_; }
   // Whether this process takes clients.
   bool ready() const { return Ready(); }
-  // Takes part in the loop from now on, behind those that joined before, until Part(). Not to be called from
-  // within its own calls.
-  void Join(Joined& joined) { joined_.push_back(&joined); }
-  void Part(const Joined& joined) { std::erase(joined_, &joined); }
+  // Takes part in the loop from now on, behind those that were added before, until RemoveExtension(). Not to
+  // be called from within its own calls.
+  void AddExtension(NodeExtension& extension) { extensions_.push_back(&extension); }
+  void RemoveExtension(const NodeExtension& extension) { std::erase(extensions_, &extension); }
   const std::string& name() const { return config_.name; }
   const hingelink::Settings& settings() const { return config_.settings; }
 
   std::uint16_t port() const { return front_->port(); }
-  std::uint16_t ops_port() const { return ops_->port(); }
+  std::uint16_t admin_port() const { return admin_server_->port(); }
 
  private:
   using Steady = net::Steady;
@@ -88,7 +90,7 @@
   // connections.
   std::size_t reserved() const {
     const std::size_t store =
-        config_.store.empty() ? 0 : decide::kStoreConnections + net::StoreClient::kRetiringMost;
+        config_.store_address.empty() ? 0 : decide::kStoreConnections + net::StoreClient::kRetiringMost;
     return kReserved + 3 * loops() + store;
   }
   std::size_t loops() const { return threads_ - 1; }  // Those that carry connections, beside this one.
@@ -101,7 +103,7 @@
   void Bound(bool warming_up);
   void DrainStep();
   // Whether this process takes clients.
-  bool Ready() const { return listening_ && policy_ && !leaving_ && handover_.settled(); }
+  bool Ready() const { return listening_ && policy_ && !draining_ && handover_.settled(); }
   // Another process takes the clients from now on, or none does any more.
   void HandOver();
   void TakeBack();
@@ -112,10 +114,10 @@
   void TellKeys(const net::Handover::EachKey& each) const;
   void TellKey(const core::OperationKey& key);
   void HearKey(const proto::KeyLine& line, std::string_view result);
-  std::string Figures() const;
-  void Turn(Joined::Turn turn);
-  // Whether a part that joined has something for the module.
-  bool AnyNews() const;
+  std::string MetricsText() const;
+  void NotifyLifecyclePhase(NodeExtension::LifecyclePhase phase);
+  // Whether a part that extension has something for the module.
+  bool AnyExtensionHasEvents() const;
   // What a predecessor has learned is newer than what any folder holds.
   std::vector<proto::LearnedLine> TellSuccessor() const;
   void HearPredecessor(const proto::LearnedLine& line);
@@ -128,14 +130,14 @@
   Steady::time_point began_ = Steady::now();
   Metrics metrics_;
   // The other processes of this node, as a part that joins the loop: their load in, this one's out.
-  class OtherProcesses : public Joined {
+  class OtherProcesses : public NodeExtension {
    public:
     explicit OtherProcesses(Node& node) : node_(node) {}
     void Changed() { changed_ = true; }
-    bool HasNews() const override { return changed_; }
-    void Gather(Batch& batch) override;
-    void Stepped() override;
-    void Sweep() override { node_.handover_.Sweep(); }
+    bool HasPendingEvents() const override { return changed_; }
+    void AddEvents(EventBatch& batch) override;
+    void OnStepCompleted() override;
+    void OnRoundCompleted() override { node_.handover_.Sweep(); }
 
    private:
     Node& node_;
@@ -143,14 +145,14 @@
     Steady::time_point told_at_{};
   };
 
-  std::unique_ptr<net::PoolSide> MakePool(const PoolMaker& make_pool);
+  std::unique_ptr<net::PoolSide> MakePool(const WorkerPoolFactory& create_pool);
   // What the table's runs stand on.
   Calls::Below Below();
   void MoveStore(const std::string& address);
   KeyTable::Limits KeyLimits() const;
 
   OtherProcesses other_processes_{*this};
-  std::vector<Joined*> joined_{&other_processes_};
+  std::vector<NodeExtension*> extensions_{&other_processes_};
   net::Handover handover_;
   std::unique_ptr<net::GatewaySide> front_;
   RequestTable table_;
@@ -158,7 +160,7 @@
   std::optional<net::StoreClient> store_;
   DeepChecks checks_;
   net::RegistryClient registry_;
-  std::optional<net::OpsServer> ops_;
+  std::optional<net::OpsServer> admin_server_;
   std::optional<hingelink::ServerPolicy> policy_;
   hingelink::Learned recalled_;
   using Due = std::pair<Steady::time_point, std::uint32_t>;
@@ -169,7 +171,7 @@
   net::EventPtr sigterm_;
   net::EventPtr sigint_;
   net::EventPtr sighup_;
-  bool leaving_ = false;
+  bool draining_ = false;
   bool notice_given_ = false;
   bool listening_;
   bool handed_over_ = false;
--- a/src/node/node_leave.cpp
+++ b/src/node/node_leave.cpp
@@ -27,24 +27,24 @@
   front_->AskForNoMore();
   front_->CloseQuiet();
   SeeKeys();
-  Turn(Joined::Turn::kHandedOver);
+  NotifyLifecyclePhase(NodeExtension::LifecyclePhase::kHandedOver);
 }
 
 // Guards against a successor that dies: its clients are served by this process again.
 void Node::TakeBack() {
-  if (leaving_) return;
+  if (draining_) return;
   log::Warn("taken-back");
   handed_over_ = false;
   listening_ = true;
   front_->ResumeListening();
   SeeKeys();
-  Turn(Joined::Turn::kTakenBack);
+  NotifyLifecyclePhase(NodeExtension::LifecyclePhase::kResumed);
 }
 
-bool Node::Leave() {
-  if (leaving_) return false;
-  leaving_ = true;
-  Turn(Joined::Turn::kLeaving);
+bool Node::StartDrain() {
+  if (draining_) return false;
+  draining_ = true;
+  NotifyLifecyclePhase(NodeExtension::LifecyclePhase::kDraining);
   if (handed_over_) {
     // No drain: nothing is to be moved away, and what is in hand is run and answered in its own time.
     notice_given_ = true;
@@ -55,8 +55,8 @@
     log::Info("leave", {{"successor", true}, {"stop_ms", std::llround(stop.count())}});
     return true;
   }
-  kill_at_ = Steady::now() + config_.stop;
-  log::Info("drain", {{"stop_ms", config_.stop.count()}});
+  kill_at_ = Steady::now() + config_.drain_timeout;
+  log::Info("drain", {{"stop_ms", config_.drain_timeout.count()}});
   front_->AskForNoMore();
   registry_.Drain();
   return true;
@@ -68,30 +68,32 @@
   try {
     Config fresh = reread_();
     fresh.CheckAgainst(config_);
-    const sockaddr_in pool = net::ParseAddress(fresh.pool), registry = net::ParseAddress(fresh.registry);
-    if (!fresh.store.empty()) net::ParseAddress(fresh.store);
+    const sockaddr_in pool = net::ParseAddress(fresh.pool_address),
+                      registry = net::ParseAddress(fresh.registry_address);
+    if (!fresh.store_address.empty()) net::ParseAddress(fresh.store_address);
     // The arrivals so far name their class by its place in the settings that held when they came.
     Step();
     if (policy_) policy_->Reconfigure(fresh.settings);
-    log::Info("reload", {{"pool", fresh.pool},
-                         {"registry", fresh.registry},
+    log::Info("reload", {{"pool", fresh.pool_address},
+                         {"registry", fresh.registry_address},
                          {"classes", fresh.settings.classes.size()},
                          {"needs_restart", fresh.NeedsRestart(config_)}});
     config_.settings = std::move(fresh.settings);
-    config_.text = std::move(fresh.text);
-    config_.stop = fresh.stop;
-    config_.sockets = fresh.sockets;
+    config_.source_text = std::move(fresh.source_text);
+    config_.drain_timeout = fresh.drain_timeout;
+    config_.max_descriptors = fresh.max_descriptors;
     table_.Reconfigure();
     metrics_.SetClasses(config_.settings.classes);
     front_->ClassesChanged();
     metrics_.CountReload(true);
     SeeOthers();
-    if (std::exchange(config_.pool, fresh.pool) != fresh.pool) pool_->Move(pool);
-    if (std::exchange(config_.store, fresh.store) != fresh.store) MoveStore(fresh.store);
-    if (std::exchange(config_.registry, fresh.registry) != fresh.registry) {
-      registry_.Move(registry, fresh.registry);
+    if (std::exchange(config_.pool_address, fresh.pool_address) != fresh.pool_address) pool_->Move(pool);
+    if (std::exchange(config_.store_address, fresh.store_address) != fresh.store_address)
+      MoveStore(fresh.store_address);
+    if (std::exchange(config_.registry_address, fresh.registry_address) != fresh.registry_address) {
+      registry_.Move(registry, fresh.registry_address);
     }
-    Turn(Joined::Turn::kReloaded);
+    NotifyLifecyclePhase(NodeExtension::LifecyclePhase::kReloaded);
     return {};
   } catch (const std::exception& fault) {
     metrics_.CountReload(false);
--- a/src/node/node_look.cpp
+++ b/src/node/node_look.cpp
@@ -8,7 +8,7 @@
 
 namespace hingelink::node {
 
-const char* StateName(NodeState state) {
+const char* NodeStateName(NodeState state) {
   switch (state) {
     case NodeState::kStarting:
       return "starting";
@@ -22,7 +22,7 @@
   return "draining";
 }
 
-Snapshot Node::See() const {
+Snapshot Node::TakeSnapshot() const {
   constexpr std::size_t kGatewaysShown = 16;
   Snapshot seen;
   const auto ms = [](Steady::duration span) {
@@ -30,7 +30,7 @@
   };
   const Steady::time_point now = Steady::now();
   seen.name = config_.name;
-  seen.state = leaving_       ? NodeState::kDraining
+  seen.state = draining_      ? NodeState::kDraining
                : handed_over_ ? NodeState::kHandedOver
                : policy_      ? NodeState::kServing
                               : NodeState::kStarting;
@@ -48,45 +48,46 @@
     seen.gateways.push_back({via, open == in_hand.open_by_gateway.end() ? 0 : open->second, counts.requests,
                              counts.answers.served, counts.answers.refused, counts.answers.failed});
   }
-  seen.gateways_known = seen.gateways.size();
+  seen.gateway_count = seen.gateways.size();
   std::sort(seen.gateways.begin(), seen.gateways.end(),
             [](const GatewaySnapshot& a, const GatewaySnapshot& b) {
-              return std::tie(b.open, b.requests, a.via) < std::tie(a.open, a.requests, b.via);
+              return std::tie(b.open_requests, b.requests, a.gateway_id) <
+                     std::tie(a.open_requests, a.requests, b.gateway_id);
             });
   if (seen.gateways.size() > kGatewaysShown) seen.gateways.resize(kGatewaysShown);
-  seen.loops = SeeLoops();
-  seen.owed = table_.unanswered();
+  seen.loops = TakeLoopSnapshots();
+  seen.unanswered = table_.unanswered();
   seen.connections = front_->connections();
-  seen.runs = metrics_.runs();
+  seen.executions = metrics_.runs();
   if (policy_) seen.reserved_kb = policy_->CurrentLoad().memory_kb;
-  seen.pool_bound = pool_->settled();
-  seen.pool_address = config_.pool;
+  seen.pool_connected = pool_->settled();
+  seen.pool_address = config_.pool_address;
   const auto& names = config_.settings.gauges;
   const auto busy = std::find(names.begin(), names.end(), "cpu_busy");
   const std::vector<double>& gauges = pool_->gauges();
   if (const auto at = static_cast<std::size_t>(busy - names.begin()); at < gauges.size()) {
-    seen.pool_busy = gauges[at];
+    seen.pool_cpu_busy = gauges[at];
   }
-  seen.registry_good = registry_.good();
-  seen.registry_address = config_.registry;
-  if (leaving_) seen.drain = {ms(std::max(Steady::duration(0), kill_at_ - now)), seen.owed};
+  seen.registry_healthy = registry_.good();
+  seen.registry_address = config_.registry_address;
+  if (draining_) seen.drain = {ms(std::max(Steady::duration(0), kill_at_ - now)), seen.unanswered};
   return seen;
 }
 
-std::vector<LoopSnapshot> Node::SeeLoops() const {
+std::vector<LoopSnapshot> Node::TakeLoopSnapshots() const {
   std::vector<LoopSnapshot> seen;
   for (const auto& loop : front_->Loops()) {
     seen.push_back({.connections = loop.connections,
-                    .told_waiting = loop.told_waiting,
-                    .orders_waiting = loop.orders_waiting,
-                    .busy = loop.busy,
-                    .taken = loop.taken,
-                    .hung = loop.hung});
+                    .pending_messages = loop.told_waiting,
+                    .pending_commands = loop.orders_waiting,
+                    .cpu_fraction = loop.busy,
+                    .connections_received = loop.taken,
+                    .stalled = loop.hung});
   }
   return seen;
 }
 
-std::vector<ConnectionSnapshot> Node::SeeConnections(std::size_t most) const {
+std::vector<ConnectionSnapshot> Node::TakeConnectionSnapshots(std::size_t most) const {
   std::vector<ConnectionSnapshot> seen;
   for (const auto& look : front_->LookAt(most)) {
     seen.push_back({look.id, look.requests, look.open, look.unsent_bytes,
--- a/src/node/node_others.cpp
+++ b/src/node/node_others.cpp
@@ -27,13 +27,13 @@
 }
 }  // namespace
 
-void Node::OtherProcesses::Gather(Batch& batch) {
+void Node::OtherProcesses::AddEvents(EventBatch& batch) {
   if (!changed_) return;
   const proto::LoadLine load = node_.handover_.others_load();
   changed_ = !batch.Add(hingelink::SiblingLoad{{load.running, load.memory_kb, load.queued_work_ms}});
 }
 
-void Node::OtherProcesses::Stepped() {
+void Node::OtherProcesses::OnStepCompleted() {
   if (!node_.handover_.has_others() || Steady::now() - told_at_ < kTellEach) return;
   told_at_ = Steady::now();
   const hingelink::Load load = node_.policy_->CurrentLoad();
@@ -44,7 +44,7 @@
   other_processes_.Changed();
   // The descriptors are one limit for all processes of this node, and each keeps its own reserve.
   const std::size_t taken = reserved() * (1 + handover_.others()) + handover_.others_load().connections;
-  const auto sockets = static_cast<std::size_t>(config_.sockets);
+  const auto sockets = static_cast<std::size_t>(config_.max_descriptors);
   front_->SetMostConnections(sockets > taken ? sockets - taken : 1, handover_.has_others());
 }
 
@@ -79,7 +79,7 @@
   TellKey(line.key);
 }
 
-void Node::Recall(const hingelink::Learned& learned) {
+void Node::ImportLearned(const hingelink::Learned& learned) {
   for (const hingelink::LearnedClass& known : learned.classes) {
     std::erase_if(recalled_.classes, [&known](const auto& c) { return c.name == known.name; });
     recalled_.classes.push_back(known);
@@ -88,7 +88,7 @@
 
 std::vector<proto::LearnedLine> Node::TellSuccessor() const {
   std::vector<proto::LearnedLine> lines;
-  for (const hingelink::LearnedClass& c : Tell().classes) {
+  for (const hingelink::LearnedClass& c : ExportLearned().classes) {
     const auto told = std::find_if(config_.settings.classes.begin(), config_.settings.classes.end(),
                                    [&c](const auto& t) { return t.name == c.name; });
     if (told == config_.settings.classes.end()) continue;
@@ -106,7 +106,8 @@
                                       config_.settings.cores,
                                       {{line.name, line.aim, line.deadline}},
                                       {{{line.name, line.run, line.cost, line.hint, line.samples}}}};
-  Recall(decide::Recall(remembered, config_.name, std::chrono::milliseconds(0), config_.settings).learned);
+  ImportLearned(
+      decide::Recall(remembered, config_.name, std::chrono::milliseconds(0), config_.settings).learned);
 }
 
 }  // namespace hingelink::node
--- a/src/node/snapshot.h
+++ b/src/node/snapshot.h
@@ -1,8 +1,9 @@
-// What a node looks like at one moment: plain values, for whoever watches it.
+// The state of a node at one moment as plain values, for the control protocol and the admin server.
 #ifndef HINGELINK_NODE_SNAPSHOT_H_
 #define HINGELINK_NODE_SNAPSHOT_H_
 
 #include <chrono>
+#include <cstddef>
 #include <cstdint>
 #include <optional>
 #include <string>
@@ -11,50 +12,62 @@
 namespace hingelink::node {
 
 enum class NodeState {
-  kStarting,    // The worker pool has not been up yet.
-  kServing,     // Takes clients.
-  kHandedOver,  // A successor takes the clients; what is in hand is answered.
-  kDraining,    // Told to leave.
+  kStarting,    // The worker pool has not connected yet.
+  kServing,     // Accepts clients.
+  kHandedOver,  // A successor accepts the clients; requests in flight are completed here.
+  kDraining,    // The drain notice has come.
 };
-const char* StateName(NodeState state);
+// The name of a state in the control protocol.
+[[nodiscard]] const char* NodeStateName(NodeState state);
 
-// `held` and `running` are of now, the others since the start of the process.
 struct ClassSnapshot {
   std::string name;
-  std::uint64_t held = 0;     // Wait to be run.
-  std::uint64_t running = 0;  // Handed to the worker pool, also those that nobody waits for any more.
-  std::uint64_t served = 0, refused = 0, failed = 0;
+  // Requests that wait for a start, now.
+  std::uint64_t queued = 0;
+  // Executions handed to the worker pool, now; those without a waiting caller included.
+  std::uint64_t running = 0;
+  // Final answers since the start of the process.
+  std::uint64_t served = 0, rejected = 0, failed = 0;
 };
 
-// `open` is of now, the others since the gateway was first seen.
 struct GatewaySnapshot {
-  std::uint32_t via = 0;
-  std::uint64_t open = 0;
+  std::uint32_t gateway_id = 0;
+  // Requests without a final answer, now.
+  std::uint64_t open_requests = 0;
+  // Since the gateway was first seen.
   std::uint64_t requests = 0;
-  std::uint64_t served = 0, refused = 0, failed = 0;
+  std::uint64_t served = 0, rejected = 0, failed = 0;
 };
 
 struct ConnectionSnapshot {
   std::uint64_t id = 0;
+  // Requests read since the connection was accepted.
   std::uint64_t requests = 0;
-  std::size_t open = 0;
+  std::size_t open_requests = 0;
   std::size_t unsent_bytes = 0;
-  std::chrono::milliseconds quiet{0};  // Since anything was read.
+  // Time since the last byte was read.
+  std::chrono::milliseconds idle{0};
 };
 
-// `taken` since the start, the others of now.
+// One event loop that carries connections for the deciding thread.
 struct LoopSnapshot {
   std::size_t connections = 0;
-  std::size_t told_waiting = 0;    // Messages from it that the deciding thread has not taken.
-  std::size_t orders_waiting = 0;  // Answers and orders that it has not carried out.
-  double busy = 0;                 // Share of a core.
-  std::uint64_t taken = 0;         // Connections that came from other loops.
-  bool hung = false;
+  // Messages from the loop that the deciding thread has not processed.
+  std::size_t pending_messages = 0;
+  // Answers and commands that the loop has not carried out.
+  std::size_t pending_commands = 0;
+  // CPU time used, as a fraction of one core.
+  double cpu_fraction = 0;
+  // Connections moved here from other loops since the start of the process.
+  std::uint64_t connections_received = 0;
+  bool stalled = false;
 };
 
 struct DrainSnapshot {
-  std::chrono::milliseconds left{0};  // Until the process ends at the latest.
-  std::size_t owed = 0;               // Answers still to be given.
+  // Until the process ends at the latest.
+  std::chrono::milliseconds remaining{0};
+  // Requests that still need a final answer.
+  std::size_t unanswered = 0;
 };
 
 struct Snapshot {
@@ -63,17 +76,24 @@
   bool ready = false;
   std::chrono::milliseconds uptime{0};
   std::vector<ClassSnapshot> classes;
-  std::vector<GatewaySnapshot> gateways;  // Those with most open first, then most requests; at most 16.
-  std::size_t gateways_known = 0;
-  std::vector<LoopSnapshot> loops;  // Empty with one thread.
-  std::size_t owed = 0;
+  // The busiest gateways, by open requests, then requests in all.
+  std::vector<GatewaySnapshot> gateways;
+  // Gateways known, those that are not listed included.
+  std::size_t gateway_count = 0;
+  // Empty where one thread does everything.
+  std::vector<LoopSnapshot> loops;
+  // Requests that need a final answer.
+  std::size_t unanswered = 0;
   std::size_t connections = 0;
-  std::uint64_t runs = 0;  // Handed to the worker pool since the start.
-  double reserved_kb = 0;  // Booked by the module, held and running together.
-  bool pool_bound = false;
+  // Executions handed to the worker pool since the start of the process.
+  std::uint64_t executions = 0;
+  // Memory reserved by queued and running requests, in KB.
+  double reserved_kb = 0;
+  bool pool_connected = false;
   std::string pool_address;
-  std::optional<double> pool_busy;  // The gauge cpu_busy; none where the gauges are old.
-  bool registry_good = false;
+  // The gauge cpu_busy; none where the gauges are out of date.
+  std::optional<double> pool_cpu_busy;
+  bool registry_healthy = false;
   std::string registry_address;
   std::optional<DrainSnapshot> drain;
 };
--- a/tests/background/keeper_test.cpp
+++ b/tests/background/keeper_test.cpp
@@ -7,8 +7,8 @@
 #include <cstdlib>
 #include <filesystem>
 
-#include "../gate.h"
-#include "../scripted_peers.h"
+#include "../node/gate.h"
+#include "../node/scripted_peers.h"
 #include "log/log.h"
 #include "net/handover.h"
 #include "recording_disk.h"
@@ -134,9 +134,9 @@
   // Once it has ended: what its module knew.
   Learned Knew() {
     End();
-    return node_.Tell();
+    return node_.ExportLearned();
   }
-  std::string Figures() const { return peers::Get(node_.ops_port(), "/ops/stats"); }
+  std::string Figures() const { return peers::Get(node_.admin_port(), "/ops/stats"); }
   void Serve(int count) {
     Gateway gateway(node_.port());
     for (int i = 1; i <= count; ++i) {
--- a/tests/compatibility/stored_formats_test.cpp
+++ b/tests/compatibility/stored_formats_test.cpp
@@ -55,36 +55,36 @@
   snapshot.uptime = std::chrono::milliseconds(12345);
   node::ClassSnapshot of_class;
   of_class.name = "usage-view";
-  of_class.held = 1;
+  of_class.queued = 1;
   of_class.running = 2;
   of_class.served = 3;
-  of_class.refused = 4;
+  of_class.rejected = 4;
   of_class.failed = 5;
   snapshot.classes = {of_class};
   node::GatewaySnapshot gateway;
-  gateway.via = 6;
-  gateway.open = 7;
+  gateway.gateway_id = 6;
+  gateway.open_requests = 7;
   gateway.requests = 8;
   gateway.served = 9;
-  gateway.refused = 10;
+  gateway.rejected = 10;
   gateway.failed = 11;
   snapshot.gateways = {gateway};
-  snapshot.gateways_known = 12;
+  snapshot.gateway_count = 12;
   node::LoopSnapshot loop;
   loop.connections = 13;
-  loop.told_waiting = 14;
-  loop.orders_waiting = 15;
-  loop.busy = 0.5;
-  loop.taken = 16;
-  loop.hung = true;
+  loop.pending_messages = 14;
+  loop.pending_commands = 15;
+  loop.cpu_fraction = 0.5;
+  loop.connections_received = 16;
+  loop.stalled = true;
   snapshot.loops = {loop};
-  snapshot.owed = 17;
+  snapshot.unanswered = 17;
   snapshot.connections = 18;
-  snapshot.runs = 19;
-  snapshot.pool_bound = true;
+  snapshot.executions = 19;
+  snapshot.pool_connected = true;
   snapshot.pool_address = "127.0.0.1:9300";
-  snapshot.pool_busy = 0.75;
-  snapshot.registry_good = true;
+  snapshot.pool_cpu_busy = 0.75;
+  snapshot.registry_healthy = true;
   snapshot.registry_address = "127.0.0.1:8761";
   snapshot.drain = node::DrainSnapshot{std::chrono::milliseconds(2000), 20};
   return snapshot;
@@ -100,10 +100,10 @@
 }
 
 TEST(ControlSnapshot, NamesTheStatesOfANode) {
-  EXPECT_STREQ(node::StateName(node::NodeState::kStarting), "starting");
-  EXPECT_STREQ(node::StateName(node::NodeState::kServing), "serving");
-  EXPECT_STREQ(node::StateName(node::NodeState::kHandedOver), "handed-over");
-  EXPECT_STREQ(node::StateName(node::NodeState::kDraining), "draining");
+  EXPECT_STREQ(node::NodeStateName(node::NodeState::kStarting), "starting");
+  EXPECT_STREQ(node::NodeStateName(node::NodeState::kServing), "serving");
+  EXPECT_STREQ(node::NodeStateName(node::NodeState::kHandedOver), "handed-over");
+  EXPECT_STREQ(node::NodeStateName(node::NodeState::kDraining), "draining");
 }
 
 TEST(LearnedState, IsReadAndWrittenAgainWithTheSameBytes) {
@@ -216,10 +216,11 @@
 TEST(SettingsKeys, AreReadFromTheNodesConfiguration) {
   const node::Config config = node::ReadConfig(FixturePath("node-config.json"));
   ExpectFixture("node-config-read.txt",
-                config.name + ' ' + config.listen + ' ' + config.pool + ' ' + config.registry + ' ' +
-                    config.store + ' ' + config.ops + ' ' + std::to_string(config.seed) + ' ' +
-                    std::to_string(config.stop.count()) + ' ' + std::to_string(config.sockets) + ' ' +
-                    std::to_string(config.memory_mb) + '\n' + Describe(config.settings));
+                config.name + ' ' + config.listen_address + ' ' + config.pool_address + ' ' +
+                    config.registry_address + ' ' + config.store_address + ' ' + config.admin_address + ' ' +
+                    std::to_string(config.seed) + ' ' + std::to_string(config.drain_timeout.count()) + ' ' +
+                    std::to_string(config.max_descriptors) + ' ' + std::to_string(config.memory_limit_mb) +
+                    '\n' + Describe(config.settings));
 }
 
 TEST(SettingsKeys, AreNamedByErrors) {
--- a/tests/control/control_test.cpp
+++ b/tests/control/control_test.cpp
@@ -278,7 +278,7 @@
   seen.classes = {{"a\x1b[2J\nb\xff", 1, 2, 3, 4, 5}, {"ü", 10, 20, 30, 40, 50}};
   seen.gateways = {{7, 1, 2, 3, 4, 5}};
   seen.drain = hingelink::node::DrainSnapshot{std::chrono::milliseconds(1200), 3};
-  seen.pool_busy = 0.5;
+  seen.pool_cpu_busy = 0.5;
   const json made = json::parse(hingelink::control::SnapshotJson(seen, {"1", 5, 2}).dump());
   const auto faults = hingelink::schema::Schema(hingelink::schema::ControlSnapshotSchema()).Check(made);
   EXPECT_TRUE(faults.empty()) << faults.front().Text();
--- a/tests/net/connection_lifecycle_test.cpp
+++ b/tests/net/connection_lifecycle_test.cpp
@@ -9,7 +9,7 @@
 #include <utility>
 #include <vector>
 
-#include "../scripted_peers.h"
+#include "../node/scripted_peers.h"
 #include "net/connection_set.h"
 #include "net/gateway_front.h"
 #include "net/listener.h"
--- a/tests/net/loop_rig.h
+++ b/tests/net/loop_rig.h
@@ -11,8 +11,8 @@
 #include <utility>
 #include <vector>
 
-#include "../gate.h"
-#include "../scripted_peers.h"
+#include "../node/gate.h"
+#include "../node/scripted_peers.h"
 #include "net/loop_group.h"
 #include "standin/host.h"
 
--- a/tests/net/upstream_lifecycle_test.cpp
+++ b/tests/net/upstream_lifecycle_test.cpp
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-#include "../scripted_peers.h"
+#include "../node/scripted_peers.h"
 #include "net/pool_link.h"
 #include "net/registry_client.h"
 #include "standin/host.h"
--- a/tests/node/deep_checks_test.cpp
+++ b/tests/node/deep_checks_test.cpp
@@ -8,10 +8,10 @@
 #include <optional>
 #include <string>
 
-#include "../scripted_peers.h"
 #include "net/gateway_front.h"
 #include "net/loop_group.h"
 #include "net/pool_link.h"
+#include "scripted_peers.h"
 #include "standin/host.h"
 #include "standin/pool.h"
 
--- a/tests/node/deployment_hard_test.cpp
+++ b/tests/node/deployment_hard_test.cpp
@@ -1,6 +1,6 @@
 // The hard cases of a deployment with keys, tenants and a store: real processes, and faults between them.
-#include "../scripted_peers.h"
 #include "deployment.h"
+#include "scripted_peers.h"
 
 namespace hingelink::standin {
 namespace {
--- a/tests/gate.h
+++ b/tests/node/gate.h
@@ -1,6 +1,6 @@
 // A gate at which a thread of a story waits until the test opens it. Guards those that wait by a bound.
-#ifndef HINGELINK_TESTS_GATE_H_
-#define HINGELINK_TESTS_GATE_H_
+#ifndef HINGELINK_TESTS_NODE_GATE_H_
+#define HINGELINK_TESTS_NODE_GATE_H_
 
 #include <chrono>
 #include <condition_variable>
@@ -39,4 +39,4 @@
 
 }  // namespace peers
 
-#endif  // HINGELINK_TESTS_GATE_H_
+#endif  // HINGELINK_TESTS_NODE_GATE_H_
--- a/tests/node/metrics_test.cpp
+++ b/tests/node/metrics_test.cpp
@@ -45,7 +45,7 @@
 TEST(Metrics, NamesLoopsFromOneOn) {
   Metrics metrics({{.name = "usage-view"}}, 2);
   LoopSnapshot busy;
-  busy.busy = 0.25;
+  busy.cpu_fraction = 0.25;
   busy.connections = 7;
   const std::string text = metrics.Text(0, {busy, {}});
   EXPECT_NE(text.find("# TYPE edge_node_loop_busy gauge\nedge_node_loop_busy{loop=\"1\"} 0.25\n"
--- a/tests/node/joined_test.cpp
+++ b/tests/node/node_extension_test.cpp
@@ -1,5 +1,5 @@
 // Parts that join the node's loop: when they are asked, and for how much.
-#include "node/joined.h"
+#include "node/node_extension.h"
 
 #include <gtest/gtest.h>
 
@@ -7,8 +7,8 @@
 #include <optional>
 #include <thread>
 
-#include "../scripted_peers.h"
 #include "net/event.h"
+#include "scripted_peers.h"
 
 namespace hingelink::node {
 namespace {
@@ -17,13 +17,13 @@
 constexpr std::size_t kBesideRequests = 8;
 
 // Has so many events for the module, from a request on or at once.
-class News : public Joined {
+class News : public NodeExtension {
  public:
   explicit News(std::size_t events, bool behind_a_request) : left_(events), waits_(behind_a_request) {}
 
-  bool HasNews() const override { return !waits_ && left_ > 0; }
-  void Gather(Batch& batch) override {
-    if (batch.allowance().events == kBesideRequests) waits_ = false;
+  bool HasPendingEvents() const override { return !waits_ && left_ > 0; }
+  void AddEvents(EventBatch& batch) override {
+    if (batch.budget().events == kBesideRequests) waits_ = false;
     if (waits_) return;
     std::size_t given = 0;
     while (left_ > 0 && batch.Add(hingelink::SiblingLoad{})) {
@@ -32,9 +32,11 @@
     }
     if (given > 0) given_.push_back(given);
   }
-  void Stepped() override { ++steps_; }
-  void Turned(Turn turn) override { leavings_ += turn == Turn::kLeaving ? 1 : 0; }
-  std::string Figures() const override { return "news_left " + std::to_string(left_) + "\n"; }
+  void OnStepCompleted() override { ++steps_; }
+  void OnLifecyclePhase(LifecyclePhase phase) override {
+    leavings_ += phase == LifecyclePhase::kDraining ? 1 : 0;
+  }
+  std::string MetricsText() const override { return "news_left " + std::to_string(left_) + "\n"; }
 
   std::vector<std::size_t> given_;
   std::size_t left_;
@@ -48,8 +50,8 @@
   explicit Rig(News& news, bool leaves = false)
       : json_(peers::RunningNode::Json(pool_, registry_, 600, 1024)),
         node_(ParseConfig(json_), [this] { return ParseConfig(json_); }) {
-    node_.Join(news);
-    if (leaves) node_.Part(news);
+    node_.AddExtension(news);
+    if (leaves) node_.RemoveExtension(news);
     thread_ = std::thread([this] { node_.Run(); });
   }
   ~Rig() { End(); }
@@ -58,14 +60,14 @@
     EXPECT_EQ(kill(getpid(), SIGTERM), 0);
     thread_.join();
   }
-  std::string Figures() { return peers::Get(node_.ops_port(), "/ops/stats"); }
+  std::string MetricsText() { return peers::Get(node_.admin_port(), "/ops/stats"); }
   void AwaitReady() {
-    while (!peers::Get(node_.ops_port(), "/ops/readiness").starts_with("HTTP/1.1 200 ")) {
+    while (!peers::Get(node_.admin_port(), "/ops/readiness").starts_with("HTTP/1.1 200 ")) {
     }
   }
   // The notice to leave would be one more event beside the news.
   void AwaitAllTold() {
-    while (Figures().find("news_left 0") == std::string::npos) {
+    while (MetricsText().find("news_left 0") == std::string::npos) {
     }
   }
   Node& node() { return node_; }
@@ -78,21 +80,21 @@
   std::thread thread_;
 };
 
-TEST(Joined, NewsIsToldByItselfInBatchesOfABound) {
+TEST(NodeExtension, NewsIsToldByItselfInBatchesOfABound) {
   News news(150, false);
   Rig rig(news);
   // Nothing is decided before the worker pool is up.
-  EXPECT_NE(rig.Figures().find("news_left 150"), std::string::npos);
+  EXPECT_NE(rig.MetricsText().find("news_left 150"), std::string::npos);
   peers::PoolLink link(rig.pool(), 0);
   link.Bound();
   rig.AwaitAllTold();
   rig.End();
-  // The first batch also has the word on the other processes of this node, which joined before.
+  // The first batch also has the word on the other processes of this node, which extension before.
   EXPECT_EQ(news.given_, (std::vector<std::size_t>{63, 64, 23}));
   EXPECT_EQ(news.leavings_, 1);
 }
 
-TEST(Joined, BesideRequestsLessIsTold) {
+TEST(NodeExtension, BesideRequestsLessIsTold) {
   News news(100, true);
   Rig rig(news);
   peers::PoolLink link(rig.pool(), 0);
@@ -105,7 +107,7 @@
   EXPECT_EQ(news.given_, (std::vector<std::size_t>{8, 64, 28}));
 }
 
-TEST(Joined, APartThatLeftIsAskedNoMore) {
+TEST(NodeExtension, APartThatLeftIsAskedNoMore) {
   News news(10, false);
   {
     Rig rig(news, true);
--- a/tests/node/node_lifecycle_test.cpp
+++ b/tests/node/node_lifecycle_test.cpp
@@ -8,8 +8,8 @@
 #include <string>
 #include <vector>
 
-#include "../scripted_peers.h"
 #include "proto/pool_lines.h"
+#include "scripted_peers.h"
 
 namespace {
 
--- a/tests/scripted_peers.h
+++ b/tests/node/scripted_peers.h
@@ -1,7 +1,7 @@
 // Scripted peers of the node on loopback sockets: blocking, on ports that the system picks. A read that
 // nothing answers fails after a long while; nothing else depends on time.
-#ifndef HINGELINK_TESTS_SCRIPTED_PEERS_H_
-#define HINGELINK_TESTS_SCRIPTED_PEERS_H_
+#ifndef HINGELINK_TESTS_NODE_SCRIPTED_PEERS_H_
+#define HINGELINK_TESTS_NODE_SCRIPTED_PEERS_H_
 
 #undef NDEBUG  // The asserts are the tests: they stay live in every build.
 #include <arpa/inet.h>
@@ -342,10 +342,10 @@
     return config;
   }
   std::uint16_t port() const { return node_.port(); }
-  std::uint16_t ops_port() const { return node_.ops_port(); }
+  std::uint16_t admin_port() const { return node_.admin_port(); }
   const std::string& config() const { return config_; }
-  std::string Ask(const std::string& call) const { return peers::Ask(ops_port(), call); }
-  std::string Get(const std::string& path) const { return peers::Get(ops_port(), path); }
+  std::string Ask(const std::string& call) const { return peers::Ask(admin_port(), call); }
+  std::string Get(const std::string& path) const { return peers::Get(admin_port(), path); }
 
   static std::string Json(const Listener& pool, const Listener& registry, int stop_ms, int sockets) {
     const std::string settings = R"({"requestClasses":[
@@ -388,7 +388,7 @@
         const std::string json = RunningNode::Json(pool, registry, 600, sockets);
         const auto config = [&json] { return hingelink::node::ParseConfig(json); };
         hingelink::node::Node node(config(), config, folder, threads);
-        const std::uint16_t ports[] = {node.port(), node.ops_port()};
+        const std::uint16_t ports[] = {node.port(), node.admin_port()};
         assert(write(ends[1], ports, sizeof ports) == sizeof ports);
         node.Run();
       }
@@ -399,7 +399,7 @@
     close(ends[0]);
     close(ends[1]);
     port = ports[0];
-    ops_port = ports[1];
+    admin_port = ports[1];
   }
   ~ForkedNode() {
     if (pid_ > 0) End(SIGKILL);
@@ -415,14 +415,14 @@
     Signal(number);
     Wait();
   }
-  bool Ready() const { return Get(ops_port, "/ops/readiness").starts_with("HTTP/1.1 200 "); }
+  bool Ready() const { return Get(admin_port, "/ops/readiness").starts_with("HTTP/1.1 200 "); }
   void AwaitReady() const {
     while (!Ready()) {
     }
   }
 
   Listener pool, registry;
-  std::uint16_t port = 0, ops_port = 0;
+  std::uint16_t port = 0, admin_port = 0;
 
  private:
   pid_t pid_ = -1;
@@ -430,4 +430,4 @@
 
 }  // namespace peers
 
-#endif  // HINGELINK_TESTS_SCRIPTED_PEERS_H_
+#endif  // HINGELINK_TESTS_NODE_SCRIPTED_PEERS_H_
--- a/tests/node_stories.cpp
+++ b/tests/node_stories.cpp
@@ -6,8 +6,8 @@
 #include <random>
 
 #include "log/log.h"
+#include "node/scripted_peers.h"
 #include "proto/pool_lines.h"
-#include "scripted_peers.h"
 
 namespace {
 
@@ -582,8 +582,8 @@
 void Operators() {
   RunningNode node;
   std::vector<Gateway> idle;
-  for (int i = 0; i < 20; ++i) idle.emplace_back(node.ops_port());
-  Gateway half(node.ops_port());
+  for (int i = 0; i < 20; ++i) idle.emplace_back(node.admin_port());
+  Gateway half(node.admin_port());
   half.Write("GET /ops/readiness HT");
   assert(node.Get("/ops/readiness").starts_with("HTTP/1.1 503 "));  // The worker pool is not up.
   PoolLink link(node.pool, 0);
