--- a/src/decide/load_balancing/load_balancer.cpp
+++ b/src/decide/load_balancing/load_balancer.cpp
@@ -590,8 +590,8 @@
       s.errors = 0;
     }
     if (s.standing == EndpointState::kEjected) next_due_ = std::min(next_due_, s.aside_until);
-    const Milliseconds patience =
-        std::max(options_.min_unresponsive_time, Milliseconds(options_.unresponsive_latency_factor * run_ms_));
+    const Milliseconds patience = std::max(options_.min_unresponsive_time,
+                                           Milliseconds(options_.unresponsive_latency_factor * run_ms_));
     const bool judged = s.standing == EndpointState::kHealthy || s.standing == EndpointState::kRecovering ||
                         s.standing == EndpointState::kHalfOpen;
     if (judged && s.own > 0 && now - s.heard > patience) PutAside(now, id, EjectionCause::kUnresponsive);
@@ -657,8 +657,8 @@
     Service& s = services_[id];
     if (!s.up) continue;
     const Milliseconds each = figures && works && options_.policy != Policy::kProbePool
-                               ? options_.poll_interval
-                               : options_.idle_poll_interval;
+                                  ? options_.poll_interval
+                                  : options_.idle_poll_interval;
     if (now - s.asked_at < each) continue;
     // The first is followed sooner by the second, so that nodes that began together ask at times of their
     // own.
--- a/src/lab/sim/crowd.cpp
+++ b/src/lab/sim/crowd.cpp
@@ -14,8 +14,8 @@
 namespace hingelink::lab {
 namespace {
 
-using decide::Milliseconds;
 using decide::LoadBalancer;
+using decide::Milliseconds;
 using decide::RequestTraits;
 
 constexpr Millis kWindow{100}, kSample{20}, kTick{250};
--- a/src/net/pool_group.cpp
+++ b/src/net/pool_group.cpp
@@ -9,8 +9,8 @@
 namespace {
 
 using namespace std::chrono_literals;
-using decide::Milliseconds;
 using decide::LoadBalancer;
+using decide::Milliseconds;
 using decide::RequestOutcome;
 using decide::RequestTraits;
 
@@ -171,9 +171,9 @@
   const Sent& sent = it->second;
   if (sent.service == id) {
     const RequestOutcome how =
-        run.end == proto::RunEnd::kComplete ? RequestOutcome::kSuccess : RequestOutcome::kError;
+        run.end == proto::RunOutcome::kComplete ? RequestOutcome::kSuccess : RequestOutcome::kError;
     spread_.OnRequestFinished(Now(), id, sent.run, how, run.elapsed);
-  } else if (run.end != proto::RunEnd::kComplete) {
+  } else if (run.end != proto::RunOutcome::kComplete) {
     // Where it was before it was moved: that it failed there decides nothing.
     return;
   } else {
--- a/src/net/store/store_client.cpp
+++ b/src/net/store/store_client.cpp
@@ -251,7 +251,7 @@
   // Of a call that was given up, or was made anew since.
   if (it == calls_.end() || it->second.on != &connection) return;
   backoff_.OnSuccess();
-  if (reply.kind != proto::ReplyKind::kBusy && reply.kind != proto::ReplyKind::kVoid) {
+  if (reply.kind != proto::StoreReplyStatus::kBusy && reply.kind != proto::StoreReplyStatus::kVoid) {
     ++replies_;
     silence_.OnReply(Steady::now() - it->second.since);
   }
