--- /dev/null
+++ b/tests/policy/idempotency_table_test.cpp
@@ -0,0 +1,196 @@
+// Keyed requests run once.
+#include "policy/idempotency_table.h"
+
+#include <gtest/gtest.h>
+
+#include <vector>
+
+#include "policy_host.h"
+#include "policy_parts.h"
+
+namespace hingelink {
+namespace {
+
+using policy::OpenRequest;
+using policy::RequestState;
+
+TEST(IdempotencyTable, KeyIsRetainedForTheWholeWindow) {
+  PolicyHost host;
+  host.FillCores();
+  host.Arrive(1, kPay);
+  ASSERT_EQ(host.retained_keys.count(1), 1u);
+  EXPECT_GE(host.retained_keys[1], host.now + 10000);
+}
+
+TEST(IdempotencyTable, AttemptsOfOneBatchRunOnce) {
+  PolicyHost host;
+  host.Step({host.MakeArrival(1, kPay, 2), host.MakeArrival(2, kPay, 1)});
+  EXPECT_EQ(host.starts[1] + host.starts[2], 1);
+  EXPECT_EQ(host.replays[1] + host.replays[2], 1);
+  EXPECT_EQ(host.rejections[1] + host.rejections[2], 0);
+}
+
+TEST(IdempotencyTable, AttemptOfAQueuedOriginalWaitsAndIsReplayed) {
+  PolicyHost host;
+  host.FillCores();
+  host.Arrive(1, kPay);
+  host.Arrive(2, kPay, 1);
+  EXPECT_EQ(host.replays[2], 0);
+  host.Finish(1000);
+  EXPECT_EQ(host.starts[1], 1);
+  EXPECT_EQ(host.replays[2], 1);
+  EXPECT_EQ(host.starts[2], 0);
+}
+
+TEST(IdempotencyTable, AttemptReplacesAQueuedOriginalWhoseCallerDisconnected) {
+  PolicyHost host;
+  host.FillCores();
+  host.Arrive(1, kPay);
+  host.Arrive(2, kPay, 1);
+  host.Step({CallerDisconnected{1}});
+  EXPECT_EQ(host.retained_keys.count(1), 0u);
+  EXPECT_EQ(host.retained_keys.count(2), 1u);
+  host.Finish(1000);
+  EXPECT_EQ(host.starts[1], 0);
+  EXPECT_EQ(host.starts[2], 1);
+}
+
+TEST(IdempotencyTable, AttemptOfAFailedOriginalIsReplayed) {
+  PolicyHost host;
+  host.Arrive(1, kPay);
+  host.Finish(1, Outcome::kError);
+  host.Arrive(2, kPay, 1);
+  EXPECT_EQ(host.starts[2], 0);
+  EXPECT_EQ(host.replays[2], 1);
+  EXPECT_EQ(host.rejections[2], 0);
+}
+
+TEST(IdempotencyTable, RejectedRequestRetainsNoKeyAndANewOneRuns) {
+  Settings settings = TestSettings();
+  settings.memory_kb = 1000;
+  PolicyHost host(settings);
+  host.FillCores();
+  RequestId id = 1;
+  while (host.rejections.empty()) host.Arrive(id++, kPay);
+  const RequestId rejected = host.rejections.begin()->first;
+  EXPECT_EQ(host.retained_keys.count(rejected), 0u);
+  host.AdvanceTo(host.now + 6000);
+  host.Finish(1000);
+  host.Finish(1001);
+  host.Arrive(500, kPay);
+  EXPECT_EQ(host.starts[500], 1);
+}
+
+TEST(IdempotencyTable, AttemptsOfOneBatchAreRejectedWithoutMemoryForAKey) {
+  Settings settings = TestSettings();
+  settings.idempotency_key_kb = 6000;  // No key fits.
+  PolicyHost host(settings);
+  host.Step({host.MakeArrival(1, kPay, 2), host.MakeArrival(2, kPay, 1)});
+  EXPECT_EQ(host.rejections[1], 1);
+  EXPECT_EQ(host.rejections[2], 1);
+  EXPECT_EQ(host.starts[1] + host.starts[2], 0);
+}
+
+TEST(IdempotencyTable, FullTableRejectsNewKeysAndKeepsOldOnes) {
+  Settings settings = TestSettings();
+  settings.idempotency_key_kb = 2000;
+  PolicyHost host(settings);
+  for (RequestId id = 1; id <= 5; ++id) {
+    host.Arrive(id, kPay);
+    host.Finish(id);
+  }
+  EXPECT_EQ(host.starts[1], 1);
+  EXPECT_EQ(host.rejections[5], 1);
+  EXPECT_EQ(host.retained_keys.count(1), 1u);
+  host.Arrive(6, kPay, 1);
+  EXPECT_EQ(host.replays[6], 1);
+  host.AdvanceTo(host.now + 10100);  // The entries have expired.
+  host.Arrive(7, kPay);
+  EXPECT_EQ(host.starts[7], 1);
+}
+
+TEST(IdempotencyTable, AttemptOfAnUnknownOriginalIsNeverRun) {
+  PolicyHost host;
+  host.Arrive(2, kPay, 1);
+  EXPECT_EQ(host.starts[2], 0);
+  EXPECT_EQ(host.replays[2], 1);
+}
+
+TEST(IdempotencyTable, NonIdempotentRequestThatRanIsFailedNotRejected) {
+  PolicyHost host;
+  host.Arrive(1, kOnce);
+  host.AdvanceTo(host.now + 4100);
+  EXPECT_EQ(host.starts[1], 1);
+  EXPECT_EQ(host.rejections[1], 0);
+  EXPECT_EQ(host.failures[1], 1);
+}
+
+// Records what the table wants done with attempts whose holder did not run.
+class RecordingHandler : public policy::WaiterHandler {
+ public:
+  void QueueWaiter(RequestId id, OpenRequest& /*request*/) override { queued.push_back(id); }
+  void RejectWaiter(RequestId id, OpenRequest& /*request*/) override { rejected.push_back(id); }
+
+  std::vector<RequestId> queued;
+  std::vector<RequestId> rejected;
+};
+
+TEST(IdempotencyTable, HolderRetainsItsKeyForTheWindow) {
+  PolicyParts parts;
+  ASSERT_TRUE(parts.idempotency.Open(1, parts.Open(1, kPay), 0));
+  ASSERT_EQ(parts.Emitted<RetainKey>().size(), 1u);
+  EXPECT_EQ(parts.Emitted<RetainKey>()[0].id, 1u);
+  EXPECT_EQ(parts.Emitted<RetainKey>()[0].ttl_ms, 10000 + kBatchIntervalMs);
+}
+
+TEST(IdempotencyTable, WaiterIsReplayedWhenTheKeyedHolderStarts) {
+  PolicyParts parts;
+  OpenRequest& holder = parts.Open(1, kPay);
+  ASSERT_TRUE(parts.idempotency.Open(1, holder, 0));
+  OpenRequest& waiter = parts.Open(2, kPay);
+  ASSERT_TRUE(parts.idempotency.Join({.id = 2, .original = 1}, waiter, {}));
+  EXPECT_EQ(waiter.state, RequestState::kWaitingForOriginal);
+  parts.idempotency.OnStarted(holder);
+  EXPECT_EQ(waiter.state, RequestState::kReplaying);
+  EXPECT_EQ(parts.Emitted<Replay>().size(), 1u);
+}
+
+TEST(IdempotencyTable, FirstWaiterReplacesAHolderThatNeverRan) {
+  PolicyParts parts;
+  RecordingHandler handler;
+  OpenRequest& holder = parts.Open(1, kPay);
+  ASSERT_TRUE(parts.idempotency.Open(1, holder, 0));
+  for (const RequestId id : {2, 3})
+    ASSERT_TRUE(parts.idempotency.Join({.id = id, .original = 1}, parts.Open(id, kPay), {}));
+  parts.idempotency.OnNeverRan(1, holder.idempotency, 0, handler);
+  EXPECT_EQ(handler.queued, std::vector<RequestId>{2});
+  EXPECT_TRUE(handler.rejected.empty());
+  ASSERT_EQ(parts.Emitted<ReleaseKey>().size(), 1u);
+  EXPECT_EQ(parts.Emitted<ReleaseKey>()[0].id, 1u);
+}
+
+TEST(IdempotencyTable, WaitersPastTheDrainGraceAreRejected) {
+  PolicyParts parts;
+  RecordingHandler handler;
+  OpenRequest& holder = parts.Open(1, kPay);
+  ASSERT_TRUE(parts.idempotency.Open(1, holder, 0));
+  ASSERT_TRUE(parts.drain.Begin(0, 5000));
+  OpenRequest& waiter = parts.Open(2, kPay);
+  waiter.arrived_at = parts.settings.drain_grace_ms + 1;
+  ASSERT_TRUE(parts.idempotency.Join({.id = 2, .original = 1}, waiter, {}));
+  parts.idempotency.OnNeverRan(1, holder.idempotency, 0, handler);
+  EXPECT_TRUE(handler.queued.empty());
+  EXPECT_EQ(handler.rejected, std::vector<RequestId>{2});
+}
+
+TEST(IdempotencyTable, ExpiredKeyReleasesItsMemory) {
+  PolicyParts parts;
+  OpenRequest& holder = parts.Open(1, kPay);
+  ASSERT_TRUE(parts.idempotency.Open(1, holder, 0));
+  const double with_key_kb = parts.totals.Current().memory_kb;
+  parts.idempotency.Expire(10001 + kBatchIntervalMs);
+  EXPECT_EQ(parts.totals.Current().memory_kb, with_key_kb - parts.settings.idempotency_key_kb);
+}
+
+}  // namespace
+}  // namespace hingelink
