--- a/src/decide/connections/connection_admission.cpp
+++ b/src/decide/connections/connection_admission.cpp
@@ -6,151 +6,165 @@
 namespace hingelink::decide {
 namespace {
 
-std::size_t Sum(const std::vector<std::size_t>& on) {
-  return std::accumulate(on.begin(), on.end(), std::size_t{0});
+std::size_t Total(const std::vector<std::size_t>& connections) {
+  return std::accumulate(connections.begin(), connections.end(), std::size_t{0});
 }
 
 }  // namespace
 
 ConnectionAdmission::ConnectionAdmission(const Options& options)
-    : options_(options), to_offer_(options.loops), offers_(options.loops), hung_(options.loops) {}
+    : options_(options), awaited_(options.loops), candidates_(options.loops), stalled_(options.loops) {}
 
-void ConnectionAdmission::NextNewcomer() {
-  --waiting_;
-  tries_ = 0;
+void ConnectionAdmission::RemoveOldestPending() {
+  --pending_;
+  failed_evictions_ = 0;
 }
 
-void ConnectionAdmission::Ask(const std::vector<std::size_t>& on, Actions& steps) {
-  bool asked = false;
-  for (std::size_t i = 0; i < on.size(); ++i) {
-    offers_[i].reset();
-    to_offer_[i] = !hung_[i] && on[i] > 0;
-    if (!to_offer_[i]) continue;
-    asked = true;
-    steps.emplace_back(RequestCandidate{i});
+void ConnectionAdmission::RequestCandidates(const LoopCounts& connections, Actions& actions) {
+  bool is_any_awaited = false;
+  for (std::size_t i = 0; i < connections.size(); ++i) {
+    candidates_[i].reset();
+    awaited_[i] = !stalled_[i] && connections[i] > 0;
+    if (!awaited_[i]) continue;
+    is_any_awaited = true;
+    actions.emplace_back(RequestCandidate{i});
   }
-  if (asked) {
-    asking_ = Asking::kOffers;
+  if (is_any_awaited) {
+    eviction_ = EvictionState::kAwaitingCandidates;
   } else {
-    NobodyCan(steps);
+    OnNoneEvictable(actions);
   }
 }
 
-void ConnectionAdmission::Choose(const std::vector<std::size_t>& on, Actions& steps) {
-  if (std::find(to_offer_.begin(), to_offer_.end(), true) != to_offer_.end()) return;
-  asking_ = Asking::kNothing;
-  std::optional<std::size_t> best;
-  for (std::size_t i = 0; i < offers_.size(); ++i) {
-    if (offers_[i] && (!best || *offers_[i] < *offers_[*best])) best = i;
+std::optional<std::size_t> ConnectionAdmission::LoopOfLeastValuable() const {
+  std::optional<std::size_t> least;
+  for (std::size_t i = 0; i < candidates_.size(); ++i) {
+    if (candidates_[i] && (!least || *candidates_[i] < *candidates_[*least])) least = i;
   }
-  // Room may have come by itself meanwhile.
-  const bool wanted = (waiting_ > 0 || crowded_) && Sum(on) >= options_.max_connections;
-  if (best && wanted) {
-    asking_ = Asking::kRoom;
-    room_of_ = *best;
-    steps.emplace_back(Evict{*best});
-  } else if (!best && wanted) {
-    NobodyCan(steps);
+  return least;
+}
+
+void ConnectionAdmission::EvictLeastValuable(const LoopCounts& connections, Actions& actions) {
+  if (std::find(awaited_.begin(), awaited_.end(), true) != awaited_.end()) return;
+  eviction_ = EvictionState::kIdle;
+  // Connections may have been closed since the candidates were requested.
+  const bool is_needed = (pending_ > 0 || is_saturated_) && Total(connections) >= options_.max_connections;
+  const std::optional<std::size_t> loop = LoopOfLeastValuable();
+  if (is_needed && loop) {
+    eviction_ = EvictionState::kAwaitingEviction;
+    evicting_loop_ = *loop;
+    actions.emplace_back(Evict{*loop});
+  } else if (is_needed) {
+    OnNoneEvictable(actions);
   }
-  Go(on, steps);
+  Advance(connections, actions);
 }
 
-void ConnectionAdmission::NobodyCan(Actions& steps) {
-  if (shared_) {
-    // What the other process holds comes free soon.
-    no_room_ = true;
-  } else if (waiting_ > 0) {
-    steps.emplace_back(Reject{});
-    NextNewcomer();
+void ConnectionAdmission::OnNoneEvictable(Actions& actions) {
+  if (is_shared_) {
+    // The other process releases its descriptors soon.
+    none_evictable_ = true;
+  } else if (pending_ > 0) {
+    actions.emplace_back(Reject{});
+    RemoveOldestPending();
   }
 }
 
-void ConnectionAdmission::Go(const std::vector<std::size_t>& on, Actions& steps) {
-  std::size_t standing = Sum(on);
-  for (; waiting_ > 0 && standing < options_.max_connections; ++standing) {
-    steps.emplace_back(Admit{});
-    NextNewcomer();
+void ConnectionAdmission::AdmitPending(const LoopCounts& connections, Actions& actions) {
+  std::size_t total = Total(connections);
+  for (; pending_ > 0 && total < options_.max_connections; ++total) {
+    actions.emplace_back(Admit{});
+    RemoveOldestPending();
   }
-  crowded_ = crowded_ && shared_ && standing >= options_.max_connections;
-  // Each Ask() that gets nobody to ask turns one newcomer away.
-  while (asking_ == Asking::kNothing && !no_room_ && (waiting_ > 0 || crowded_)) {
-    Ask(on, steps);
-    if (shared_) break;
+  is_saturated_ = is_saturated_ && is_shared_ && total >= options_.max_connections;
+}
+
+void ConnectionAdmission::UpdateListener(Actions& actions) {
+  const bool is_paused = pending_ >= options_.max_pending || is_saturated_;
+  if (is_paused && !listener_paused_) actions.emplace_back(PauseListener{});
+  if (!is_paused && listener_paused_) actions.emplace_back(ResumeListener{});
+  listener_paused_ = is_paused;
+}
+
+void ConnectionAdmission::Advance(const LoopCounts& connections, Actions& actions) {
+  AdmitPending(connections, actions);
+  // A request for candidates that finds no loop to ask rejects one pending connection.
+  while (eviction_ == EvictionState::kIdle && !none_evictable_ && (pending_ > 0 || is_saturated_)) {
+    RequestCandidates(connections, actions);
+    if (is_shared_) break;
   }
-  const bool rest = waiting_ >= options_.max_pending || crowded_;
-  if (rest && !rests_) steps.emplace_back(PauseListener{});
-  if (!rest && rests_) steps.emplace_back(ResumeListener{});
-  rests_ = rest;
+  UpdateListener(actions);
 }
 
-ConnectionAdmission::Actions ConnectionAdmission::OnAccepted(const std::vector<std::size_t>& on) {
-  Actions steps;
-  ++waiting_;
-  crowded_ = shared_;
-  Go(on, steps);
-  return steps;
+ConnectionAdmission::Actions ConnectionAdmission::OnAccepted(const LoopCounts& connections) {
+  Actions actions;
+  ++pending_;
+  is_saturated_ = is_shared_;
+  Advance(connections, actions);
+  return actions;
 }
 
 ConnectionAdmission::Actions ConnectionAdmission::OnCandidate(std::size_t loop,
-                                                              const std::optional<ConnectionValue>& offer,
-                                                              const std::vector<std::size_t>& on) {
-  Actions steps;
-  if (asking_ != Asking::kOffers || !to_offer_[loop]) return steps;
-  to_offer_[loop] = false;
-  offers_[loop] = offer;
-  Choose(on, steps);
-  return steps;
-}
-
-ConnectionAdmission::Actions ConnectionAdmission::OnEvicted(std::size_t loop, bool made,
-                                                            const std::vector<std::size_t>& on) {
-  Actions steps;
-  if (asking_ != Asking::kRoom || room_of_ != loop) return steps;
-  asking_ = Asking::kNothing;
-  // Guards against loops whose offers are always taken back: the newcomer does not wait for ever.
-  if (!made && ++tries_ >= options_.max_eviction_attempts) {
-    tries_ = 0;
-    NobodyCan(steps);
+                                                              const std::optional<ConnectionValue>& candidate,
+                                                              const LoopCounts& connections) {
+  Actions actions;
+  if (eviction_ != EvictionState::kAwaitingCandidates || !awaited_[loop]) return actions;
+  awaited_[loop] = false;
+  candidates_[loop] = candidate;
+  EvictLeastValuable(connections, actions);
+  return actions;
+}
+
+ConnectionAdmission::Actions ConnectionAdmission::OnEvicted(std::size_t loop, bool evicted,
+                                                            const LoopCounts& connections) {
+  Actions actions;
+  if (eviction_ != EvictionState::kAwaitingEviction || evicting_loop_ != loop) return actions;
+  eviction_ = EvictionState::kIdle;
+  if (!evicted && ++failed_evictions_ >= options_.max_eviction_attempts) {
+    failed_evictions_ = 0;
+    OnNoneEvictable(actions);
   }
-  Go(on, steps);
-  return steps;
-}
-
-ConnectionAdmission::Actions ConnectionAdmission::OnClosed(const std::vector<std::size_t>& on) {
-  Actions steps;
-  Go(on, steps);
-  return steps;
-}
-
-ConnectionAdmission::Actions ConnectionAdmission::SetMaxConnections(std::size_t most, bool shared,
-                                                                    const std::vector<std::size_t>& on) {
-  Actions steps;
-  options_.max_connections = most;
-  shared_ = shared;
-  no_room_ = no_room_ && shared;
-  Go(on, steps);
-  return steps;
-}
-
-ConnectionAdmission::Actions ConnectionAdmission::RetryPending(const std::vector<std::size_t>& on) {
-  Actions steps;
-  no_room_ = false;
-  Go(on, steps);
-  return steps;
-}
-
-ConnectionAdmission::Actions ConnectionAdmission::SetStalled(std::size_t loop, bool hung,
-                                                             const std::vector<std::size_t>& on) {
-  Actions steps;
-  hung_[loop] = hung;
-  if (hung && asking_ == Asking::kOffers && to_offer_[loop]) {
-    to_offer_[loop] = false;
-    Choose(on, steps);
-  } else if (hung && asking_ == Asking::kRoom && room_of_ == loop) {
-    asking_ = Asking::kNothing;
-    Go(on, steps);
+  Advance(connections, actions);
+  return actions;
+}
+
+ConnectionAdmission::Actions ConnectionAdmission::OnClosed(const LoopCounts& connections) {
+  Actions actions;
+  Advance(connections, actions);
+  return actions;
+}
+
+ConnectionAdmission::Actions ConnectionAdmission::SetMaxConnections(std::size_t max_connections,
+                                                                    bool is_shared,
+                                                                    const LoopCounts& connections) {
+  Actions actions;
+  options_.max_connections = max_connections;
+  is_shared_ = is_shared;
+  none_evictable_ = none_evictable_ && is_shared;
+  Advance(connections, actions);
+  return actions;
+}
+
+ConnectionAdmission::Actions ConnectionAdmission::RetryPending(const LoopCounts& connections) {
+  Actions actions;
+  none_evictable_ = false;
+  Advance(connections, actions);
+  return actions;
+}
+
+ConnectionAdmission::Actions ConnectionAdmission::SetStalled(std::size_t loop, bool is_stalled,
+                                                             const LoopCounts& connections) {
+  Actions actions;
+  stalled_[loop] = is_stalled;
+  if (!is_stalled) return actions;
+  if (eviction_ == EvictionState::kAwaitingCandidates && awaited_[loop]) {
+    awaited_[loop] = false;
+    EvictLeastValuable(connections, actions);
+  } else if (eviction_ == EvictionState::kAwaitingEviction && evicting_loop_ == loop) {
+    eviction_ = EvictionState::kIdle;
+    Advance(connections, actions);
   }
-  return steps;
+  return actions;
 }
 
 }  // namespace hingelink::decide
--- a/src/decide/connections/connection_admission.h
+++ b/src/decide/connections/connection_admission.h
@@ -1,5 +1,11 @@
-// Who gets in at the limit of connections, where the connections lie on several loops. A newcomer waits while
-// each loop offers its least useful connection; the least useful of all makes room. No I/O and no clock.
+// Admits new connections at the connection limit, where the connections are distributed over several event
+// loops.
+//
+// At the limit, a new connection is pending while each loop reports its least valuable connection; the least
+// valuable of all is evicted in its favor. If no loop can spare one, the new connection is rejected.
+//
+// While another process holds file descriptors of the same limit and is about to release them, new
+// connections wait in the kernel's queue, with the listener paused, instead of being rejected.
 #ifndef HINGELINK_DECIDE_CONNECTIONS_CONNECTION_ADMISSION_H_
 #define HINGELINK_DECIDE_CONNECTIONS_CONNECTION_ADMISSION_H_
 
@@ -12,31 +18,36 @@
 
 namespace hingelink::decide {
 
-// How little is lost with a connection: less first.
+// The connection with the smallest value is evicted first.
 struct ConnectionValue {
-  int use = 0;                            // What it has been good for.
-  std::chrono::nanoseconds last_used{0};  // On one clock for all loops.
+  int use = 0;                            // What it has been used for, by rank.
+  std::chrono::nanoseconds last_used{0};  // On a clock that all loops share.
   auto operator<=>(const ConnectionValue&) const = default;
 };
 
+// Each event returns the actions that it causes, to be executed in order. `connections` is always the number
+// of connections on each loop, pending ones excluded. Not thread-safe.
 class ConnectionAdmission {
  public:
   struct Options {
     std::size_t loops = 1;
     std::size_t max_connections = 1;
-    // Newcomers that wait for room at a time; they hold descriptors out of the reserve. Past it the listener
-    // rests.
+    // Pending connections use file descriptors of a reserve. The listener is paused while there are as many.
     std::size_t max_pending = 8;
-    // Offers that came to nothing, for one newcomer, before it is turned away.
+    // Evictions that failed for the same pending connection before it is rejected.
     int max_eviction_attempts = 4;
   };
-  // What to do, in order.
-  struct Admit {};   // The newcomer that has waited longest gets a loop.
-  struct Reject {};  // That one is closed: at the limit, and nobody can make room.
+
+  // Assign the oldest pending connection to a loop.
+  struct Admit {};
+  // Close the oldest pending connection.
+  struct Reject {};
+  // Ask a loop for its least valuable connection; answered by OnCandidate().
   struct RequestCandidate {
     std::size_t loop = 0;
     bool operator==(const RequestCandidate&) const = default;
   };
+  // Have a loop close its least valuable connection; answered by OnEvicted().
   struct Evict {
     std::size_t loop = 0;
     bool operator==(const Evict&) const = default;
@@ -45,52 +56,59 @@
   struct ResumeListener {};
   using Action = std::variant<Admit, Reject, RequestCandidate, Evict, PauseListener, ResumeListener>;
   using Actions = std::vector<Action>;
+  using LoopCounts = std::vector<std::size_t>;
 
   explicit ConnectionAdmission(const Options& options);
 
-  // A socket has been accepted. `on` gives how many connections each loop has; also below.
-  Actions OnAccepted(const std::vector<std::size_t>& on);
-  // A loop's answer to RequestCandidate: its least useful connection, or none that can be spared.
-  Actions OnCandidate(std::size_t loop, const std::optional<ConnectionValue>& offer,
-                      const std::vector<std::size_t>& on);
-  // A loop's answer to Evict. Where it made room, OnClosed() has come before.
-  Actions OnEvicted(std::size_t loop, bool made, const std::vector<std::size_t>& on);
-  // A connection has ended.
-  Actions OnClosed(const std::vector<std::size_t>& on);
-  // `shared`: another process holds descriptors out of the same limit and will let go of them, so that
-  // newcomers wait in the kernel's queue for a while rather than being turned away.
-  Actions SetMaxConnections(std::size_t most, bool shared, const std::vector<std::size_t>& on);
-  // Time has passed: for newcomers that wait because of `shared`.
-  Actions RetryPending(const std::vector<std::size_t>& on);
-  // A loop does not answer: it is not asked, and what it was asked counts as no.
-  Actions SetStalled(std::size_t loop, bool hung, const std::vector<std::size_t>& on);
+  // A connection was accepted: it is pending.
+  [[nodiscard]] Actions OnAccepted(const LoopCounts& connections);
+  // The answer to RequestCandidate: nothing if the loop has no connection that it can spare.
+  [[nodiscard]] Actions OnCandidate(std::size_t loop, const std::optional<ConnectionValue>& candidate,
+                                    const LoopCounts& connections);
+  // The answer to Evict. If the loop closed a connection, OnClosed() is called first.
+  [[nodiscard]] Actions OnEvicted(std::size_t loop, bool evicted, const LoopCounts& connections);
+  // A connection was closed.
+  [[nodiscard]] Actions OnClosed(const LoopCounts& connections);
+  // `is_shared`: whether another process holds file descriptors of the same limit and will release them.
+  [[nodiscard]] Actions SetMaxConnections(std::size_t max_connections, bool is_shared,
+                                          const LoopCounts& connections);
+  // Attempts again to admit pending connections. To be called now and then while the limit is shared.
+  [[nodiscard]] Actions RetryPending(const LoopCounts& connections);
+  // A stalled loop is asked nothing, and answers that it owes count as negative.
+  [[nodiscard]] Actions SetStalled(std::size_t loop, bool is_stalled, const LoopCounts& connections);
 
-  std::size_t pending() const { return waiting_; }
-  bool listener_paused() const { return rests_; }
+  [[nodiscard]] std::size_t pending() const { return pending_; }
+  [[nodiscard]] bool listener_paused() const { return listener_paused_; }
 
  private:
-  enum class Asking { kNothing, kOffers, kRoom };
+  enum class EvictionState { kIdle, kAwaitingCandidates, kAwaitingEviction };
 
-  // Lets in who can be, then asks for room, or turns away.
-  void Go(const std::vector<std::size_t>& on, Actions& steps);
-  void Ask(const std::vector<std::size_t>& on, Actions& steps);
-  // Takes the best of the offers, once all are in.
-  void Choose(const std::vector<std::size_t>& on, Actions& steps);
-  void NobodyCan(Actions& steps);
-  void NextNewcomer();
+  // Admits what it can, then begins an eviction for the rest, or rejects.
+  void Advance(const LoopCounts& connections, Actions& actions);
+  void AdmitPending(const LoopCounts& connections, Actions& actions);
+  void UpdateListener(Actions& actions);
+  void RequestCandidates(const LoopCounts& connections, Actions& actions);
+  // Once all candidates are known: evicts the least valuable one.
+  void EvictLeastValuable(const LoopCounts& connections, Actions& actions);
+  [[nodiscard]] std::optional<std::size_t> LoopOfLeastValuable() const;
+  void OnNoneEvictable(Actions& actions);
+  void RemoveOldestPending();
 
   Options options_;
-  bool shared_ = false;
-  bool rests_ = false;
-  bool crowded_ = false;  // Full beside another process: the kernel's queue may hold newcomers.
-  std::size_t waiting_ = 0;
-  Asking asking_ = Asking::kNothing;
-  bool no_room_ = false;  // Nobody could make room, beside another process, since RetryPending().
-  int tries_ = 0;
-  std::size_t room_of_ = 0;     // The loop that was told to make room.
-  std::vector<bool> to_offer_;  // Loops whose offer is still to come.
-  std::vector<std::optional<ConnectionValue>> offers_;
-  std::vector<bool> hung_;
+  bool is_shared_ = false;
+  bool listener_paused_ = false;
+  // The limit is reached and shared: connections may wait in the kernel's queue.
+  bool is_saturated_ = false;
+  std::size_t pending_ = 0;
+  EvictionState eviction_ = EvictionState::kIdle;
+  // No connection was evictable while the limit was shared, since the last RetryPending().
+  bool none_evictable_ = false;
+  int failed_evictions_ = 0;       // For the oldest pending connection.
+  std::size_t evicting_loop_ = 0;  // In kAwaitingEviction.
+  // By loop, in kAwaitingCandidates.
+  std::vector<bool> awaited_;
+  std::vector<std::optional<ConnectionValue>> candidates_;
+  std::vector<bool> stalled_;
 };
 
 }  // namespace hingelink::decide
--- a/src/decide/connections/connection_balancer.cpp
+++ b/src/decide/connections/connection_balancer.cpp
@@ -6,10 +6,10 @@
 namespace hingelink::decide {
 namespace {
 
-// How much of a new report is believed at once. Guards against moves after one odd half second.
-constexpr double kFresh = 0.5;
-// The load of a connection of which nothing is known: a place in the order, and no more.
-constexpr double kUnknownLoad = 0.0005;
+// Weight of a new report in the smoothed load.
+constexpr double kReportWeight = 0.5;
+// Load of a connection while no load has been reported, as a fraction of a core: it only breaks ties.
+constexpr double kMinConnectionLoad = 0.0005;
 
 }  // namespace
 
@@ -19,86 +19,104 @@
 LoopIndex ConnectionBalancer::LeastLoaded() const {
   LoopIndex least = loops_.size();
   for (LoopIndex i = 0; i < loops_.size(); ++i) {
-    if (!loops_[i].hung && (least == loops_.size() || load(i) < load(least))) least = i;
+    if (!loops_[i].is_stalled && (least == loops_.size() || load(i) < load(least))) least = i;
   }
   return least;
 }
 
 LoopIndex ConnectionBalancer::ChooseLoop(const std::vector<std::size_t>& connections) {
-  // What one more is expected to bring. Loads that differ by less are the same, and the count decides.
-  const double one = std::max(kUnknownLoad, mean_load_);
+  // Loads that differ by less than one connection count as equal; then the count decides.
+  const double connection_load = std::max(kMinConnectionLoad, mean_connection_load_);
   LoopIndex best = loops_.size();
   for (LoopIndex i = 0; i < loops_.size(); ++i) {
-    if (loops_[i].hung) continue;
+    if (loops_[i].is_stalled) continue;
     if (best == loops_.size()) {
       best = i;
-    } else if (std::abs(load(i) - load(best)) < one) {
+    } else if (std::abs(load(i) - load(best)) < connection_load) {
       if (connections[i] < connections[best]) best = i;
     } else if (load(i) < load(best)) {
       best = i;
     }
   }
-  // Where all hang, any is as good as another.
   if (best == loops_.size()) {
     best = static_cast<LoopIndex>(std::min_element(connections.begin(), connections.end()) -
                                   connections.begin());
   }
-  loops_[best].expected += one;
+  loops_[best].expected_load += connection_load;
   return best;
 }
 
-bool ConnectionBalancer::Uneven(double busiest, LoopIndex least) const {
-  const double gap = busiest - load(least);
-  return gap > options_.min_gap_cores && gap > options_.min_gap_fraction * busiest;
+bool ConnectionBalancer::ExceedsGap(double busy, LoopIndex target) const {
+  const double gap = busy - load(target);
+  return gap > options_.min_gap_cores && gap > options_.min_gap_fraction * busy;
 }
 
-std::vector<Move> ConnectionBalancer::OnReport(const LoopReport& report, Time now) {
-  LoopState& from = loops_[report.loop];
-  const double busy = std::clamp(report.busy, 0.0, 1.0);
-  from.load = from.known ? (1 - kFresh) * from.load + kFresh * busy : busy;
-  from.known = true;
-  from.expected = 0;
-  std::erase_if(resting_, [now](const auto& entry) { return entry.second <= now; });
+void ConnectionBalancer::UpdateLoad(const LoopReport& report, double busy) {
+  LoopState& state = loops_[report.loop];
+  state.load = state.has_reported ? (1 - kReportWeight) * state.load + kReportWeight * busy : busy;
+  state.has_reported = true;
+  state.expected_load = 0;
   std::size_t working = 0;
-  for (const auto& heavy : report.heaviest_connections) working += heavy.work > 0 ? 1 : 0;
-  if (working > 0) mean_load_ = (1 - kFresh) * mean_load_ + kFresh * busy / static_cast<double>(working);
+  for (const auto& connection : report.heaviest_connections) working += connection.work > 0 ? 1 : 0;
+  if (working == 0) return;
+  mean_connection_load_ =
+      (1 - kReportWeight) * mean_connection_load_ + kReportWeight * busy / static_cast<double>(working);
+}
 
-  const LoopIndex to = LeastLoaded();
-  const bool busiest = std::all_of(loops_.begin(), loops_.end(), [&](const LoopState& other) {
-    return other.hung || other.load + other.expected <= from.load;
+bool ConnectionBalancer::IsOverloaded(LoopIndex reporting, double busy, LoopIndex target) const {
+  const LoopState& state = loops_[reporting];
+  if (state.is_stalled || target >= loops_.size() || target == reporting) return false;
+  if (!loops_[target].has_reported) return false;
+  const bool is_busiest = std::all_of(loops_.begin(), loops_.end(), [&state](const LoopState& other) {
+    return other.is_stalled || other.load + other.expected_load <= state.load;
   });
-  if (from.hung || to >= loops_.size() || to == report.loop || !loops_[to].known || !busiest ||
-      // Also by this report alone: guards against one odd report, whose mark stays on the load for a while.
-      !Uneven(std::min(from.load, busy), to)) {
-    from.uneven = 0;
+  // Both by the smoothed load and by the latest report: one outlier moves no connection.
+  return is_busiest && ExceedsGap(std::min(state.load, busy), target);
+}
+
+std::vector<Move> ConnectionBalancer::OnReport(const LoopReport& report, Time now) {
+  const double busy = std::clamp(report.busy, 0.0, 1.0);
+  UpdateLoad(report, busy);
+  std::erase_if(cooldown_until_, [now](const auto& entry) { return entry.second <= now; });
+
+  LoopState& state = loops_[report.loop];
+  const LoopIndex target = LeastLoaded();
+  if (!IsOverloaded(report.loop, busy, target)) {
+    state.overloaded_reports = 0;
     return {};
   }
-  if (++from.uneven < options_.required_reports || report.work == 0) return {};
+  if (++state.overloaded_reports < options_.required_reports || report.work == 0) return {};
+  state.overloaded_reports = 0;
+  return SelectMoves(report, busy, target, now);
+}
 
+std::vector<Move> ConnectionBalancer::SelectMoves(const LoopReport& report, double busy, LoopIndex target,
+                                                  Time now) {
   std::vector<Move> moves;
-  const double each = busy / static_cast<double>(report.work);
-  double gap = load(report.loop) - load(to);
-  for (const auto& heavy : report.heaviest_connections) {
-    if (moves.size() >= options_.max_moves_per_report || heavy.work == 0) break;
-    const double load = each * static_cast<double>(heavy.work);
-    // Past half of the gap it would only change which of the two is the busy one.
-    if (load > gap / 2 || resting_.count(heavy.id) != 0) continue;
-    moves.push_back({heavy.id, report.loop, to});
-    resting_[heavy.id] = now + options_.cooldown;
-    gap -= 2 * load;
-    from.load -= load;
-    loops_[to].load += load;
+  const double load_per_work = busy / static_cast<double>(report.work);
+  double gap = load(report.loop) - load(target);
+  for (const auto& connection : report.heaviest_connections) {
+    if (moves.size() >= options_.max_moves_per_report || connection.work == 0) break;
+    const double connection_load = load_per_work * static_cast<double>(connection.work);
+    // A connection of more than half of the gap would only make the other loop the busy one.
+    if (connection_load > gap / 2 || cooldown_until_.contains(connection.id)) continue;
+    moves.push_back({connection.id, report.loop, target});
+    cooldown_until_[connection.id] = now + options_.cooldown;
+    gap -= 2 * connection_load;
+    loops_[report.loop].load -= connection_load;
+    loops_[target].load += connection_load;
     if (gap <= options_.min_gap_cores / 2) break;
   }
-  from.uneven = 0;
   return moves;
 }
 
-void ConnectionBalancer::OnMoveFinished(ConnectionId id, Time now) { resting_[id] = now + options_.cooldown; }
+void ConnectionBalancer::OnMoveFinished(ConnectionId id, Time now) {
+  cooldown_until_[id] = now + options_.cooldown;
+}
 
-void ConnectionBalancer::SetStalled(LoopIndex loop, bool hung) {
-  loops_[loop].hung = hung;
-  loops_[loop].uneven = 0;
+void ConnectionBalancer::SetStalled(LoopIndex loop, bool is_stalled) {
+  loops_[loop].is_stalled = is_stalled;
+  loops_[loop].overloaded_reports = 0;
 }
 
 }  // namespace hingelink::decide
--- a/src/decide/connections/connection_balancer.h
+++ b/src/decide/connections/connection_balancer.h
@@ -1,5 +1,5 @@
-// Which loop takes a new connection, and which connection goes to another loop. By load, not by count.
-// No I/O and no clock: the caller tells what each loop required_reports, and when.
+// Distributes connections over event loops, by load rather than by count: chooses the loop of a new
+// connection, and moves connections from an overloaded loop to another.
 #ifndef HINGELINK_DECIDE_CONNECTIONS_CONNECTION_BALANCER_H_
 #define HINGELINK_DECIDE_CONNECTIONS_CONNECTION_BALANCER_H_
 
@@ -15,27 +15,30 @@
 
 struct ConnectionBalancerOptions {
   std::size_t loops = 1;
-  // A move needs the busiest loop to be so much busier than the least busy one, both as a share of the
-  // busiest one's load and as a share of a core...
+  // Connections are moved if the load of the busiest loop exceeds that of the least loaded one by more than
+  // this fraction of its own load ...
   double min_gap_fraction = 0.25;
+  // ... and by more than this fraction of a core ...
   double min_gap_cores = 0.10;
-  // ... at so many required_reports of the busiest loop in a row.
+  // ... in this many consecutive reports of the busiest loop.
   int required_reports = 2;
-  // A connection that has moved, or was asked to and stayed, is let be for so long.
+  // A connection that was asked to move is not moved again for this long, whether it moved or stayed.
   std::chrono::milliseconds cooldown{2000};
-  std::size_t max_moves_per_report = 16;  // Asked at one time.
+  std::size_t max_moves_per_report = 16;
 };
 
-// What a loop tells of the time since its last report.
+// What a loop reports about the time since its previous report.
 struct LoopReport {
-  LoopIndex loop = 0;
-  double busy = 0;         // Share of a core its thread used, 0 to 1.
-  std::uint64_t work = 0;  // Frames read and written on all of its connections.
   struct ConnectionWork {
     ConnectionId id = 0;
-    std::uint64_t work = 0;
+    std::uint64_t work = 0;  // Frames read and written.
   };
-  std::vector<ConnectionWork> heaviest_connections;  // Those with most work, most first. May be cut short.
+
+  LoopIndex loop = 0;
+  double busy = 0;         // CPU time of its thread, as a fraction of a core.
+  std::uint64_t work = 0;  // Frames read and written on all of its connections.
+  // The connections with most work, in descending order. May be truncated.
+  std::vector<ConnectionWork> heaviest_connections;
 };
 
 struct Move {
@@ -45,42 +48,49 @@
   bool operator==(const Move&) const = default;
 };
 
+// Times are on the caller's monotonic clock, the same for all calls. Not thread-safe.
 class ConnectionBalancer {
  public:
-  using Time = std::chrono::milliseconds;  // Since any moment, the same for all calls.
+  using Time = std::chrono::milliseconds;
 
   explicit ConnectionBalancer(const ConnectionBalancerOptions& options);
 
-  // The loop for a new connection. `connections` gives how many each loop has, itself not among them.
-  LoopIndex ChooseLoop(const std::vector<std::size_t>& connections);
+  // Returns the loop for a new connection. `connections`: how many each loop has, the new one excluded.
+  [[nodiscard]] LoopIndex ChooseLoop(const std::vector<std::size_t>& connections);
 
-  // Takes a report and gives the moves to ask for.
-  std::vector<Move> OnReport(const LoopReport& report, Time now);
-  // A move that was asked for has been carried out, or turned down: the connection rests from now on.
+  // Returns the moves to begin after this report.
+  [[nodiscard]] std::vector<Move> OnReport(const LoopReport& report, Time now);
+  // A move has ended: the connection moved, or it stayed.
   void OnMoveFinished(ConnectionId id, Time now);
-  // A loop that does not answer gets no connections until it does, and none is asked of it.
-  void SetStalled(LoopIndex loop, bool hung);
+  // A stalled loop receives no connections and none are moved from it. If all are stalled, new connections go
+  // to the loop with the fewest.
+  void SetStalled(LoopIndex loop, bool is_stalled);
 
-  // The load of a loop as it is believed now, in shares of a core.
-  double load(LoopIndex loop) const { return loops_[loop].load + loops_[loop].expected; }
+  // The estimated load of a loop, as a fraction of a core.
+  [[nodiscard]] double load(LoopIndex loop) const { return loops_[loop].load + loops_[loop].expected_load; }
 
  private:
   struct LoopState {
-    double load = 0;      // As last reported, and changed by moves since.
-    double expected = 0;  // Of the connections placed since.
-    int uneven = 0;       // Reports in a row at which it was the busiest by far.
-    bool hung = false;
-    bool known = false;  // It has reported.
+    double load = 0;             // Smoothed over reports, adjusted by moves since.
+    double expected_load = 0;    // Of connections that were assigned since the last report.
+    int overloaded_reports = 0;  // Consecutive.
+    bool is_stalled = false;
+    bool has_reported = false;
   };
 
-  LoopIndex LeastLoaded() const;
-  // Whether a loop of this load is so much busier than `least` that a move is worth its while.
-  bool Uneven(double busiest, LoopIndex least) const;
+  void UpdateLoad(const LoopReport& report, double busy);
+  // The least loaded loop that is not stalled, or loops_.size() if there is none.
+  [[nodiscard]] LoopIndex LeastLoaded() const;
+  // Whether connections should move from the reporting loop to `target`.
+  [[nodiscard]] bool IsOverloaded(LoopIndex reporting, double busy, LoopIndex target) const;
+  // Whether a loop of this load exceeds `target` by more than the configured gap.
+  [[nodiscard]] bool ExceedsGap(double busy, LoopIndex target) const;
+  std::vector<Move> SelectMoves(const LoopReport& report, double busy, LoopIndex target, Time now);
 
   ConnectionBalancerOptions options_;
   std::vector<LoopState> loops_;
-  double mean_load_ = 0;                            // Of one connection, over all that worked.
-  std::unordered_map<ConnectionId, Time> resting_;  // Until when.
+  double mean_connection_load_ = 0;  // Of connections that had work.
+  std::unordered_map<ConnectionId, Time> cooldown_until_;
 };
 
 }  // namespace hingelink::decide
--- a/src/decide/health/deep_health_checks.h
+++ b/src/decide/health/deep_health_checks.h
@@ -1,14 +1,12 @@
-// Deep health checks: whether work gets done, asked of the worker pool by a verify. No clock, no I/O.
+// Deep health checks: whether work gets done, verified by a command to the worker pool.
 //
-// Promise: at most one verify is in hand, however many ask; who asks while it is out has its outcome. Each
-// that asks has an answer within kTimeout of its question, 'bad' where no outcome has come by then. A verify
-// that was overdue stays in hand until the pool answers it or its link was lost: a pool that hangs is not
-// given a second one. Askers are bounded: beyond kMaxWaiting one is answered by the last outcome, or 'bad'
-// where there was none. An asker that leaves is forgotten.
+// At most one verification is in flight, however many callers check; callers that arrive meanwhile share its
+// outcome. Each caller is answered within kTimeout, as unhealthy if there is no outcome by then. A
+// verification that exceeds the timeout stays in flight until the pool answers it or the link is replaced: a
+// pool that hangs receives no second one. The number of waiting callers is bounded.
 #ifndef HINGELINK_DECIDE_HEALTH_DEEP_HEALTH_CHECKS_H_
 #define HINGELINK_DECIDE_HEALTH_DEEP_HEALTH_CHECKS_H_
 
-#include <algorithm>
 #include <chrono>
 #include <cstddef>
 #include <cstdint>
@@ -19,75 +17,102 @@
 
 namespace hingelink::decide {
 
-template <class Asker>
+// `Caller` identifies a connection that waits for an answer; equality-comparable. Times are on the caller's
+// monotonic clock. Not thread-safe.
+template <class Caller>
 class DeepHealthChecks {
  public:
   using Millis = std::chrono::milliseconds;
-  static constexpr Millis kTimeout{1000};  // As long as a caller of the second address waits.
+  // Callers of the health endpoint do not wait longer.
+  static constexpr Millis kTimeout{1000};
+  // Further callers are answered at once by the last outcome, or as unhealthy if there was none.
   static constexpr std::size_t kMaxWaiting = 64;
 
+  struct Answer {
+    Caller caller;
+    bool healthy = false;
+    bool operator==(const Answer&) const = default;
+  };
+  // To be executed by the host.
   struct Actions {
-    std::optional<std::uint64_t> verify;  // Have this tag verified.
-    std::vector<std::pair<Asker, bool>> answers;
+    std::optional<std::uint64_t> verify;  // Send a verification with this tag to the pool.
+    std::vector<Answer> answers;
   };
 
-  Actions OnCheck(const Asker& asker, Millis now) {
-    Actions steps;
-    if (askers_.size() >= kMaxWaiting) {
-      steps.answers.emplace_back(asker, last_.value_or(false));
-      return steps;
+  [[nodiscard]] Actions OnCheck(const Caller& caller, Millis now) {
+    Actions actions;
+    if (waiting_.size() >= kMaxWaiting) {
+      actions.answers.push_back({caller, last_outcome_.value_or(false)});
+      return actions;
     }
-    askers_.emplace_back(now + kTimeout, asker);
-    if (!out_) steps.verify = out_ = ++last_tag_;
-    return steps;
+    waiting_.push_back({now + kTimeout, caller});
+    if (!in_flight_tag_) actions.verify = NextVerification();
+    return actions;
   }
 
-  // The pool's answer. One to a verify that is no longer in hand says nothing.
-  Actions OnVerified(std::uint64_t tag, bool good) {
-    Actions steps;
-    if (out_ != tag) return steps;
-    out_.reset();
-    last_ = good;
-    for (auto& [due, asker] : std::exchange(askers_, {})) steps.answers.emplace_back(std::move(asker), good);
-    return steps;
+  // The pool's answer. Ignored unless the verification is in flight.
+  [[nodiscard]] Actions OnVerified(std::uint64_t tag, bool healthy) {
+    Actions actions;
+    if (in_flight_tag_ != tag) return actions;
+    in_flight_tag_.reset();
+    last_outcome_ = healthy;
+    for (Waiting& waiting : std::exchange(waiting_, {})) {
+      actions.answers.push_back({std::move(waiting.caller), healthy});
+    }
+    return actions;
   }
 
-  // A new link to the pool carries commands: a verify that was out may be lost with the old one. Asked again
-  // under another tag where somebody waits; an answer to the old one says nothing.
-  Actions OnReconnected() {
-    Actions steps;
-    out_.reset();
-    if (!askers_.empty()) steps.verify = out_ = ++last_tag_;
-    return steps;
+  // Another link to the pool is in use. A verification that was in flight may be lost with the old one and is
+  // repeated, under a new tag, if a caller waits.
+  [[nodiscard]] Actions OnReconnected() {
+    Actions actions;
+    in_flight_tag_.reset();
+    if (!waiting_.empty()) actions.verify = NextVerification();
+    return actions;
   }
 
-  // Where the verify could not be sent: it is not in hand, and is asked when a link is bound.
-  void OnSendFailed() { out_.reset(); }
+  // Actions::verify could not be sent. It is repeated by OnReconnected().
+  void OnSendFailed() { in_flight_tag_.reset(); }
 
-  Actions ExpireWaiting(Millis now) {
-    Actions steps;
-    for (; !askers_.empty() && askers_.front().first <= now; askers_.pop_front()) {
-      last_ = false;
-      steps.answers.emplace_back(std::move(askers_.front().second), false);
+  // Answers the callers whose deadline has passed. To be called at next_deadline().
+  [[nodiscard]] Actions ExpireWaiting(Millis now) {
+    Actions actions;
+    for (; !waiting_.empty() && waiting_.front().deadline <= now; waiting_.pop_front()) {
+      last_outcome_ = false;
+      actions.answers.push_back({std::move(waiting_.front().caller), false});
     }
-    return steps;
+    return actions;
   }
-  std::optional<Millis> next_deadline() const {
-    return askers_.empty() ? std::nullopt : std::optional(askers_.front().first);
+  // Nothing while no caller waits.
+  [[nodiscard]] std::optional<Millis> next_deadline() const {
+    return waiting_.empty() ? std::nullopt : std::optional(waiting_.front().deadline);
   }
 
-  void OnCallerDisconnected(const Asker& asker) {
-    std::erase_if(askers_, [&asker](const auto& a) { return a.second == asker; });
+  // The caller gets no answer.
+  void OnCallerDisconnected(const Caller& caller) {
+    std::erase_if(waiting_, [&caller](const Waiting& waiting) { return waiting.caller == caller; });
   }
 
-  bool in_flight() const { return out_.has_value(); }
-  std::size_t waiting() const { return askers_.size(); }
+  // Whether a verification is in flight.
+  [[nodiscard]] bool in_flight() const { return in_flight_tag_.has_value(); }
+  // Callers that wait for an answer.
+  [[nodiscard]] std::size_t waiting() const { return waiting_.size(); }
 
  private:
-  std::deque<std::pair<Millis, Asker>> askers_;  // By when they are answered; oldest first.
-  std::optional<std::uint64_t> out_;
+  struct Waiting {
+    Millis deadline;
+    Caller caller;
+  };
+
+  std::uint64_t NextVerification() {
+    in_flight_tag_ = ++last_tag_;
+    return last_tag_;
+  }
+
+  std::deque<Waiting> waiting_;  // Oldest first.
+  std::optional<std::uint64_t> in_flight_tag_;
   std::uint64_t last_tag_ = 0;
-  std::optional<bool> last_;
+  std::optional<bool> last_outcome_;
 };
 
 }  // namespace hingelink::decide
--- a/src/decide/loops/core_pinning.h
+++ b/src/decide/loops/core_pinning.h
@@ -1,4 +1,4 @@
-// Which cores each thread of a node runs on. No I/O: the caller reads the topology and binds the threads.
+// Assigns the threads of a node to cores. The caller reads the topology of the machine and binds the threads.
 #ifndef HINGELINK_DECIDE_LOOPS_CORE_PINNING_H_
 #define HINGELINK_DECIDE_LOOPS_CORE_PINNING_H_
 
@@ -8,24 +8,26 @@
 
 namespace hingelink::decide {
 
-// What the system schedules on. Those of one core share its execution units: they are no cores of their own.
+// A hardware thread. Units of the same core share its execution units and do not count as cores.
 struct ProcessingUnit {
   unsigned os_index = 0;
-  unsigned core = 0;       // Of the machine: no two cores of different nodes share a number.
-  unsigned numa_node = 0;  // Whose memory is near.
+  unsigned core = 0;       // Unique over all NUMA nodes.
+  unsigned numa_node = 0;  // The one with local memory.
 };
 
 struct CorePinningPlan {
-  // For each thread, the deciding one first, the units it may run on. Empty where nothing is to be bound.
+  // OS indexes of the units that each thread may use, the main thread first. Empty: no thread is bound.
   std::vector<std::vector<unsigned>> units;
-  // One line for the operator: what was done, and what it lacks.
+  // One line for the operator: what was decided, and what is missing.
   std::string description;
 };
 
-// `allowed`: the units that the process may use. The deciding thread gets a core for itself before any loop
-// does, as it is the first to be full; loops get cores near it, and share what is left where there are too
-// few. A thread is bound to all units of its core.
-CorePinningPlan PlanCorePinning(const std::vector<ProcessingUnit>& allowed, std::size_t threads);
+// Plans `threads` threads, of which the first is the node's main thread and the others run event loops.
+// `allowed`: the units that the process may use. The main thread gets a core of its own, since it is the
+// first to saturate; the loops get cores close to it and share them if there are too few. A thread is bound
+// to all units of its core.
+[[nodiscard]] CorePinningPlan PlanCorePinning(const std::vector<ProcessingUnit>& allowed,
+                                              std::size_t threads);
 
 }  // namespace hingelink::decide
 
--- a/src/decide/loops/loop_watchdog.h
+++ b/src/decide/loops/loop_watchdog.h
@@ -1,5 +1,7 @@
-// Which loops hang. By looks and by beats, not by the clock: a pause of the whole machine is one look for
-// all. No I/O.
+// Detects event loops that are stalled.
+//
+// Progress is counted in observations and heartbeats, not in time: when the whole machine pauses, the loops
+// and their observer pause together, and no loop is reported.
 #ifndef HINGELINK_DECIDE_LOOPS_LOOP_WATCHDOG_H_
 #define HINGELINK_DECIDE_LOOPS_LOOP_WATCHDOG_H_
 
@@ -9,35 +11,28 @@
 
 namespace hingelink::decide {
 
+// Not thread-safe. Loops are numbered from 0.
 class LoopWatchdog {
  public:
-  // A loop hangs after so many looks in a row without a beat.
-  LoopWatchdog(std::size_t loops, int looks) : looks_(looks), loops_(loops) {}
-
   enum class Transition { kNone, kStalled, kRecovered };
-  Transition Observe(std::size_t loop, std::uint64_t beats) {
-    State& state = loops_[loop];
-    if (beats != state.beats) {
-      state.beats = beats;
-      state.still = 0;
-      if (!state.hangs) return Transition::kNone;
-      state.hangs = false;
-      return Transition::kRecovered;
-    }
-    if (state.hangs || ++state.still < looks_) return Transition::kNone;
-    state.hangs = true;
-    return Transition::kStalled;
-  }
-  bool is_stalled(std::size_t loop) const { return loops_[loop].hangs; }
+
+  // A loop is stalled after `max_missed` consecutive observations without a heartbeat.
+  LoopWatchdog(std::size_t loops, int max_missed) : max_missed_(max_missed), loops_(loops) {}
+
+  // Compares the loop's heartbeat counter with that of the previous observation. kStalled and kRecovered are
+  // returned once per change.
+  [[nodiscard]] Transition Observe(std::size_t loop, std::uint64_t heartbeats);
+  [[nodiscard]] bool is_stalled(std::size_t loop) const { return loops_[loop].is_stalled; }
 
  private:
-  struct State {
-    std::uint64_t beats = 0;
-    int still = 0;
-    bool hangs = false;
+  struct LoopState {
+    std::uint64_t heartbeats = 0;
+    int missed = 0;  // Consecutive observations without a heartbeat.
+    bool is_stalled = false;
   };
-  int looks_;
-  std::vector<State> loops_;
+
+  int max_missed_;
+  std::vector<LoopState> loops_;
 };
 
 }  // namespace hingelink::decide
--- a/src/decide/upstream/connection_selection.h
+++ b/src/decide/upstream/connection_selection.h
@@ -1,10 +1,8 @@
-// Which connection to the store the next call goes over. No clock, no I/O.
+// Chooses the connection to the upstream for the next call.
 //
-// Promise: a connection that dies without a word takes as few calls with it as can be. Until kMost stand,
-// each has one call at a time; from then on the next goes where fewest are out. The first of several that are
-// free is taken, so that the others run out of use and are closed. Never over one on which an earlier call of
-// the same request was given up lately (`barred`): its reply may still be on the way, and would be taken for
-// the new call's.
+// Until kMaxUpstreamConnections are open, each connection carries one call at a time, so that a connection
+// that breaks unnoticed takes few calls with it. From then on the least loaded one is chosen. Of several that
+// are equal the first is chosen, so that the others become idle and are closed.
 #ifndef HINGELINK_DECIDE_UPSTREAM_CONNECTION_SELECTION_H_
 #define HINGELINK_DECIDE_UPSTREAM_CONNECTION_SELECTION_H_
 
@@ -13,29 +11,25 @@
 
 namespace hingelink::decide {
 
+// An open connection.
 struct ConnectionCandidate {
-  std::size_t in_flight = 0;  // Out on it.
+  std::size_t in_flight = 0;  // Calls.
+  // An earlier call of the same request timed out on it recently: its late reply could be taken for the reply
+  // to the new call.
   bool excluded = false;
 };
 
-// As many as the calls that a node of a fleet of three may have in hand; what takes a descriptor of the
-// node's.
+// Open connections of one node to the upstream: as many as the calls that a node of a fleet of three may have
+// in flight. Each takes a file descriptor.
 inline constexpr std::size_t kMaxUpstreamConnections = 16;
 
+// The call needs a new connection.
 inline constexpr std::size_t kNewConnection = static_cast<std::size_t>(-1);
 
-// The place to take, or kNewConnection: over a new connection. `may_open`: the store has answered since it
-// last failed. Guards a store that comes back against as many connections as calls had piled up.
-inline std::size_t SelectConnection(std::span<const ConnectionCandidate> places, bool may_open) {
-  std::size_t best = kNewConnection;
-  for (std::size_t i = 0; i < places.size(); ++i) {
-    if (!places[i].excluded && (best == kNewConnection || places[i].in_flight < places[best].in_flight))
-      best = i;
-  }
-  if (best == kNewConnection) return kNewConnection;
-  const bool another = may_open && places[best].in_flight > 0 && places.size() < kMaxUpstreamConnections;
-  return another ? kNewConnection : best;
-}
+// Returns the index of the connection to use, or kNewConnection, also if all candidates are excluded.
+// `may_open`: whether the upstream has replied since it last failed; until then it is not met by a connection
+// for each call that is waiting.
+[[nodiscard]] std::size_t SelectConnection(std::span<const ConnectionCandidate> connections, bool may_open);
 
 }  // namespace hingelink::decide
 
--- a/tests/decide/health/deep_health_checks_test.cpp
+++ b/tests/decide/health/deep_health_checks_test.cpp
@@ -1,4 +1,3 @@
-// Deep checks: one verify in hand, each asker answered in its time, whatever the pool and its link do.
 #include "decide/health/deep_health_checks.h"
 
 #include <gtest/gtest.h>
@@ -13,77 +12,117 @@
 
 using Checks = DeepHealthChecks<int>;
 using Millis = Checks::Millis;
+using Answers = std::vector<Checks::Answer>;
 
-TEST(DeepHealthChecks, ThoseThatAskWhileOneIsOutShareItsOutcome) {
+TEST(DeepHealthChecks, CallersShareTheVerificationInFlight) {
   Checks checks;
   const auto first = checks.OnCheck(1, Millis(0));
   ASSERT_TRUE(first.verify);
   EXPECT_FALSE(checks.OnCheck(2, Millis(5)).verify);
-  const auto done = checks.OnVerified(*first.verify, true);
-  EXPECT_EQ(done.answers, (std::vector<std::pair<int, bool>>{{1, true}, {2, true}}));
+  EXPECT_EQ(checks.OnVerified(*first.verify, true).answers, (Answers{{1, true}, {2, true}}));
   EXPECT_FALSE(checks.in_flight());
 }
 
-TEST(DeepHealthChecks, APoolThatHangsIsNotGivenASecondOne) {
+TEST(DeepHealthChecks, ACallerIsAnsweredUnhealthyAfterTheTimeout) {
+  Checks checks;
+  ASSERT_TRUE(checks.OnCheck(1, Millis(0)).verify);
+  EXPECT_EQ(checks.ExpireWaiting(Checks::kTimeout).answers, (Answers{{1, false}}));
+}
+
+TEST(DeepHealthChecks, AnOverdueVerificationStaysInFlight) {
   Checks checks;
   const auto first = checks.OnCheck(1, Millis(0));
-  const auto due = checks.ExpireWaiting(Checks::kTimeout);
-  EXPECT_EQ(due.answers, (std::vector<std::pair<int, bool>>{{1, false}}));
+  static_cast<void>(checks.ExpireWaiting(Checks::kTimeout));
   EXPECT_FALSE(checks.OnCheck(2, Millis(1100)).verify);
-  EXPECT_EQ(checks.OnVerified(*first.verify, true).answers.size(), 1u);
+  EXPECT_EQ(checks.OnVerified(*first.verify, true).answers, (Answers{{2, true}}));
 }
 
-TEST(DeepHealthChecks, OneLostWithItsLinkIsAskedAgainAndTheOldAnswerSaysNothing) {
+TEST(DeepHealthChecks, ANewLinkRepeatsTheVerificationAndTheOldOutcomeIsIgnored) {
   Checks checks;
   const auto first = checks.OnCheck(1, Millis(0));
-  const auto again = checks.OnReconnected();
-  ASSERT_TRUE(again.verify);
+  const auto repeated = checks.OnReconnected();
+  ASSERT_TRUE(repeated.verify);
   EXPECT_TRUE(checks.OnVerified(*first.verify, true).answers.empty());
-  EXPECT_EQ(checks.OnVerified(*again.verify, false).answers, (std::vector<std::pair<int, bool>>{{1, false}}));
-  EXPECT_FALSE(checks.OnReconnected().verify);  // Nobody waits.
+  EXPECT_EQ(checks.OnVerified(*repeated.verify, false).answers, (Answers{{1, false}}));
 }
 
-RC_GTEST_PROP(DeepHealthChecks, OneInHandAndEachAnsweredOnceInItsTime, ()) {
+TEST(DeepHealthChecks, ANewLinkVerifiesNothingWhileNoCallerWaits) {
   Checks checks;
-  std::map<int, Millis> waiting;  // By when each is to be answered.
-  std::optional<std::uint64_t> at_pool;
-  std::set<std::uint64_t> sent;
-  Millis now{0};
-  const auto see = [&](const Checks::Actions& steps) {
-    if (steps.verify) {
-      RC_ASSERT(!at_pool);
-      RC_ASSERT(sent.insert(*steps.verify).second);
-      at_pool = steps.verify;
+  EXPECT_FALSE(checks.OnReconnected().verify);
+  const auto first = checks.OnCheck(1, Millis(0));
+  static_cast<void>(checks.OnVerified(*first.verify, true));
+  EXPECT_FALSE(checks.OnReconnected().verify);
+}
+
+// The host's side: callers that wait, and a pool that answers verifications.
+class HostModel {
+ public:
+  void PassTime(Millis span) {
+    now_ += span;
+    if (const auto next = checks_.next_deadline(); next && *next <= now_) {
+      Execute(checks_.ExpireWaiting(now_));
     }
-    for (const auto& [asker, good] : steps.answers) RC_ASSERT(waiting.erase(asker) == 1);
-  };
+    for (const auto& [caller, deadline] : deadlines_) RC_ASSERT(deadline > now_);
+  }
+  void Check(int caller) {
+    deadlines_[caller] = now_ + Checks::kTimeout;
+    Execute(checks_.OnCheck(caller, now_));
+  }
+  void AnswerVerification(bool healthy) {
+    if (!at_pool_) return;
+    Execute(checks_.OnVerified(*std::exchange(at_pool_, std::nullopt), healthy));
+  }
+  void Reconnect() {
+    at_pool_.reset();
+    Execute(checks_.OnReconnected());
+  }
+  void DisconnectCaller() {
+    if (deadlines_.empty()) return;
+    const int caller = deadlines_.begin()->first;
+    deadlines_.erase(caller);
+    checks_.OnCallerDisconnected(caller);
+  }
+  void CheckWaiting() const {
+    RC_ASSERT(checks_.waiting() == deadlines_.size());
+    RC_ASSERT(checks_.waiting() <= Checks::kMaxWaiting);
+  }
+
+ private:
+  void Execute(const Checks::Actions& actions) {
+    if (actions.verify) {
+      RC_ASSERT(!at_pool_);
+      RC_ASSERT(tags_.insert(*actions.verify).second);
+      at_pool_ = actions.verify;
+    }
+    for (const Checks::Answer& answer : actions.answers) RC_ASSERT(deadlines_.erase(answer.caller) == 1u);
+  }
+
+  Checks checks_;
+  Millis now_{0};
+  std::map<int, Millis> deadlines_;  // By waiting caller.
+  std::optional<std::uint64_t> at_pool_;
+  std::set<std::uint64_t> tags_;  // Of all verifications.
+};
+
+RC_GTEST_PROP(DeepHealthChecks, OneVerificationInFlightAndEachCallerAnsweredOnceInTime, ()) {
+  HostModel host;
   for (int i = 0; i < 300; ++i) {
-    now += Millis(*rc::gen::inRange(0, 200));
-    if (const auto next = checks.next_deadline(); next && *next <= now) see(checks.ExpireWaiting(now));
-    for (const auto& [asker, due] : waiting) RC_ASSERT(due > now);
+    host.PassTime(Millis(*rc::gen::inRange(0, 200)));
     switch (*rc::gen::inRange(0, 5)) {
       case 0:
       case 1:
-        waiting[i] = now + Checks::kTimeout;
-        see(checks.OnCheck(i, now));
+        host.Check(i);
         break;
       case 2:
-        if (at_pool)
-          see(checks.OnVerified(*std::exchange(at_pool, std::nullopt), *rc::gen::arbitrary<bool>()));
+        host.AnswerVerification(*rc::gen::arbitrary<bool>());
         break;
       case 3:
-        at_pool.reset();
-        see(checks.OnReconnected());
+        host.Reconnect();
         break;
       default:
-        if (!waiting.empty()) {
-          const int asker = waiting.begin()->first;
-          waiting.erase(asker);
-          checks.OnCallerDisconnected(asker);
-        }
+        host.DisconnectCaller();
     }
-    RC_ASSERT(checks.waiting() == waiting.size());
-    RC_ASSERT(checks.waiting() <= Checks::kMaxWaiting);
+    host.CheckWaiting();
   }
 }
 
