--- a/bench/spread_measure.cpp
+++ b/bench/spread_measure.cpp
@@ -28,13 +28,13 @@
     draw ^= draw >> 7;
     return draw ^= draw << 17;
   });
-  FleetTime now(0);
+  Milliseconds now(0);
   spread.SetEndpoints(now, Services(services));
   for (const auto id : spread.endpoints()) spread.SetConnected(now, id, true);
   constexpr int kRuns = 200'000;
   double spent = 0;
   for (int i = 0; i < kRuns; ++i) {
-    now += FleetTime(0.5);
+    now += Milliseconds(0.5);
     if (i % 50 == 0) {
       spread.Tick(now);
       for (const auto id : spread.EndpointsToPoll(now))
@@ -43,7 +43,7 @@
     const auto began = Clock::now();
     const auto start = spread.ChooseEndpoint(now, {});
     spent += std::chrono::duration<double, std::nano>(Clock::now() - began).count();
-    spread.OnRequestFinished(now, start->endpoint, {}, RequestOutcome::kSuccess, FleetTime(10));
+    spread.OnRequestFinished(now, start->endpoint, {}, RequestOutcome::kSuccess, Milliseconds(10));
   }
   return spent / kRuns;
 }
--- a/src/cli/services.cpp
+++ b/src/cli/services.cpp
@@ -132,7 +132,7 @@
 
 std::string SharedServices::Spread() const {
   const decide::LoadBalancer& spread = group_->spread();
-  const decide::FleetTime now = group_->Now();
+  const decide::Milliseconds now = group_->Now();
   Json json = {{"self", self_},
                {"way", decide::PolicyName(options_.spread.policy)},
                {"nodes", spread.node_count()},
--- a/src/decide/load_balancing/load_balancer.cpp
+++ b/src/decide/load_balancing/load_balancer.cpp
@@ -25,7 +25,7 @@
 // Judged well for so many times its last time aside, a service begins anew with the shortest.
 constexpr double kForgiven = 4;
 constexpr std::size_t kMostQuestions = 32;
-constexpr FleetTime kNeverAsked{-1e9};
+constexpr Milliseconds kNeverAsked{-1e9};
 constexpr double kTryStock = 2;
 constexpr double kProbeStock = 8;
 
@@ -50,7 +50,7 @@
   return std::nullopt;
 }
 
-LoadBalancer::LoadBalancer(LoadBalancerOptions options, std::string self, std::string zone, Draw draw,
+LoadBalancer::LoadBalancer(LoadBalancerOptions options, std::string self, std::string zone, RandomSource draw,
                            SubsetFunction subset)
     : options_(options),
       self_(std::move(self)),
@@ -95,7 +95,7 @@
   return std::find(further_.begin(), end, id) != end;
 }
 
-void LoadBalancer::SetEndpoints(FleetTime now, const std::vector<SubsetEndpoint>& services) {
+void LoadBalancer::SetEndpoints(Milliseconds now, const std::vector<SubsetEndpoint>& services) {
   for (Service& s : services_) s.told = false;
   for (const SubsetEndpoint& record : services) {
     auto [at, fresh] = by_name_.try_emplace(record.name, static_cast<EndpointId>(services_.size()));
@@ -123,7 +123,7 @@
   Rebuild(now);
 }
 
-void LoadBalancer::SetNodes(FleetTime now, std::vector<SubsetNode> nodes) {
+void LoadBalancer::SetNodes(Milliseconds now, std::vector<SubsetNode> nodes) {
   const bool there =
       std::any_of(nodes.begin(), nodes.end(), [this](const SubsetNode& n) { return n.name == self_; });
   if (!there) nodes.push_back({self_, zone_});
@@ -134,7 +134,7 @@
   Rebuild(now);
 }
 
-void LoadBalancer::Rebuild(FleetTime now) {
+void LoadBalancer::Rebuild(Milliseconds now) {
   std::vector<SubsetEndpoint> records;
   std::vector<EndpointId> ids;
   for (const EndpointId id : endpoints()) {
@@ -167,7 +167,7 @@
   });
 }
 
-void LoadBalancer::Use(FleetTime now, EndpointId id, bool extra) {
+void LoadBalancer::Use(Milliseconds now, EndpointId id, bool extra) {
   Service& s = services_[id];
   in_use_.push_back(id);
   ++figures_;
@@ -178,7 +178,7 @@
   if (s.up) SetBack(now, s);
 }
 
-void LoadBalancer::SetBack(FleetTime now, Service& s) {
+void LoadBalancer::SetBack(Milliseconds now, Service& s) {
   s.standing = EndpointState::kRecovering;
   s.fault = EjectionCause::kNone;
   s.back = 0;
@@ -192,14 +192,14 @@
   s.questions.clear();
   // As long as those that share it take to come one after the other, at the rate at which it can answer.
   const double each = run_ms_ > 0 ? run_ms_ / s.record.capacity : 0;
-  const FleetTime all =
+  const Milliseconds all =
       std::min(options_.max_reaction_delay,
-               FleetTime(options_.reaction_delay_factor * each * static_cast<double>(s.sharers)));
+               Milliseconds(options_.reaction_delay_factor * each * static_cast<double>(s.sharers)));
   s.open_at = now + all * Part();
   s.tried = s.open_at;
 }
 
-void LoadBalancer::SetConnected(FleetTime now, EndpointId id, bool up) {
+void LoadBalancer::SetConnected(Milliseconds now, EndpointId id, bool up) {
   Service& s = services_.at(id);
   if (s.up == up) return;
   s.up = up;
@@ -212,7 +212,7 @@
 
 // ---- Which may be chosen, and what is believed of it ----
 
-bool LoadBalancer::Open(const Service& s, FleetTime now) const {
+bool LoadBalancer::Open(const Service& s, Milliseconds now) const {
   switch (s.standing) {
     case EndpointState::kHealthy:
       return true;
@@ -225,14 +225,14 @@
 }
 
 // Of its full share, by what it has answered since it is back.
-double LoadBalancer::Share(const Service& s, FleetTime now) const {
+double LoadBalancer::Share(const Service& s, Milliseconds now) const {
   if (s.standing != EndpointState::kRecovering) return 1;
   const double by_answers = (1 + s.back) / (1 + options_.slow_start_responses);
   const double by_time = s.back > 0 ? (now - s.back_at) / options_.max_slow_start : 0;
   return std::clamp(std::max(by_answers, by_time), 0.05, 1.0);
 }
 
-double LoadBalancer::MeanFigure(FleetTime now) const {
+double LoadBalancer::MeanFigure(Milliseconds now) const {
   if (mean_of_ == figures_ && mean_at_ == now) return mean_;
   double runs = 0, capacity = 0;
   for (const EndpointId id : in_use_) {
@@ -249,7 +249,7 @@
 
 // Runs that it has now. An old figure says little of now: as it ages, the mean of all takes its place, so
 // that nobody runs after what was true once. Own runs since are known.
-double LoadBalancer::Believed(const Service& s, FleetTime now) const {
+double LoadBalancer::Believed(const Service& s, Milliseconds now) const {
   const double own = static_cast<double>(s.own);
   if (s.figure < 0) return std::max(own, MeanFigure(now) * s.record.capacity + own);
   const double age = std::max(0.0, (now - s.figure_at) / options_.load_report_half_life);
@@ -258,7 +258,7 @@
   return std::max(own, then + s.net - s.net_then);
 }
 
-double LoadBalancer::Cost(const Service& s, FleetTime now) const {
+double LoadBalancer::Cost(const Service& s, Milliseconds now) const {
   switch (options_.policy) {
     case Policy::kLeastLocalLoad:
     case Policy::kTwoChoicesLocalLoad:
@@ -273,7 +273,7 @@
   }
 }
 
-bool LoadBalancer::TooOld(const Service& s, FleetTime now) const {
+bool LoadBalancer::TooOld(const Service& s, Milliseconds now) const {
   return s.figure < 0 || now - s.figure_at > options_.load_report_half_life * kTooOld;
 }
 
@@ -284,7 +284,7 @@
   return (static_cast<double>(s.own) + 0.5) / s.record.capacity * slow;
 }
 
-EndpointId LoadBalancer::PickOfTwo(FleetTime now, const std::vector<EndpointId>& open,
+EndpointId LoadBalancer::PickOfTwo(Milliseconds now, const std::vector<EndpointId>& open,
                                    ChoiceRecord& decision) {
   double all = 0;
   for (const EndpointId id : open) all += services_[id].record.capacity * Share(services_[id], now);
@@ -315,7 +315,7 @@
 
 // Each answer is good for some choices and for some time. Hot: more work than most; among the others the one
 // whose runs are shortest.
-EndpointId LoadBalancer::PickByProbes(FleetTime now, const std::vector<EndpointId>& open,
+EndpointId LoadBalancer::PickByProbes(Milliseconds now, const std::vector<EndpointId>& open,
                                       ChoiceRecord& decision) {
   std::vector<EndpointId> fresh;
   std::vector<double> work;
@@ -359,7 +359,7 @@
   return best;
 }
 
-EndpointId LoadBalancer::Pick(FleetTime now, const std::vector<EndpointId>& open, ChoiceRecord& decision) {
+EndpointId LoadBalancer::Pick(Milliseconds now, const std::vector<EndpointId>& open, ChoiceRecord& decision) {
   if (open.size() == 1) {
     decision.reason = ChoiceReason::kOnlyEndpoint;
     decision.cost = Cost(services_[open.front()], now);
@@ -389,7 +389,7 @@
 }
 
 // One that nobody of this node has tried for long, within the budget.
-EndpointId LoadBalancer::Untried(FleetTime now, const std::vector<EndpointId>& open) {
+EndpointId LoadBalancer::Untried(Milliseconds now, const std::vector<EndpointId>& open) {
   if (tries_ < 1) return kNoEndpoint;
   EndpointId oldest = kNoEndpoint;
   for (const EndpointId id : open) {
@@ -400,7 +400,7 @@
   return oldest;
 }
 
-std::optional<Choice> LoadBalancer::ChooseEndpoint(FleetTime now, const RequestTraits& run,
+std::optional<Choice> LoadBalancer::ChooseEndpoint(Milliseconds now, const RequestTraits& run,
                                                    EndpointId not_at) {
   ChoiceRecord decision;
   decision.at = now;
@@ -473,7 +473,7 @@
   return true;
 }
 
-void LoadBalancer::OnRequestAbandoned(FleetTime now, EndpointId id) {
+void LoadBalancer::OnRequestAbandoned(Milliseconds now, EndpointId id) {
   Service& s = services_.at(id);
   if (s.own > 0) --s.own;
   if (own_ > 0) --own_;
@@ -481,8 +481,8 @@
   s.heard = now;
 }
 
-void LoadBalancer::OnRequestFinished(FleetTime now, EndpointId id, const RequestTraits& run,
-                                     RequestOutcome how, FleetTime took) {
+void LoadBalancer::OnRequestFinished(Milliseconds now, EndpointId id, const RequestTraits& run,
+                                     RequestOutcome how, Milliseconds took) {
   OnRequestAbandoned(now, id);
   Service& s = services_.at(id);
   s.answers += 1;
@@ -537,7 +537,7 @@
   return static_cast<double>(aside + 1) <= options_.max_ejected_fraction * static_cast<double>(up);
 }
 
-void LoadBalancer::Judge(FleetTime now, EndpointId id) {
+void LoadBalancer::Judge(Milliseconds now, EndpointId id) {
   Service& s = services_[id];
   if (s.standing != EndpointState::kHealthy && s.standing != EndpointState::kRecovering) return;
   if (s.answers < options_.min_responses / 2) return;
@@ -559,11 +559,11 @@
     PutAside(now, id, EjectionCause::kLatency);
 }
 
-void LoadBalancer::PutAside(FleetTime now, EndpointId id, EjectionCause fault) {
+void LoadBalancer::PutAside(Milliseconds now, EndpointId id, EjectionCause fault) {
   Service& s = services_[id];
   if (s.standing != EndpointState::kHalfOpen && !MayPutAside()) return;
   if (s.standing != EndpointState::kHalfOpen && now - s.good_since > s.aside_for * kForgiven)
-    s.aside_for = FleetTime(0);
+    s.aside_for = Milliseconds(0);
   s.aside_for = std::min(options_.max_ejection_time,
                          s.aside_for.count() > 0 ? s.aside_for * 2 : options_.base_ejection_time);
   // Nodes that judged alike do not come back alike.
@@ -577,7 +577,7 @@
   next_due_ = std::min(next_due_, s.aside_until);
 }
 
-void LoadBalancer::Tick(FleetTime now) {
+void LoadBalancer::Tick(Milliseconds now) {
   next_due_ = now + options_.max_unprobed_time / 4;
   for (const EndpointId id : in_use_) {
     Service& s = services_[id];
@@ -590,8 +590,8 @@
       s.errors = 0;
     }
     if (s.standing == EndpointState::kEjected) next_due_ = std::min(next_due_, s.aside_until);
-    const FleetTime patience =
-        std::max(options_.min_unresponsive_time, FleetTime(options_.unresponsive_latency_factor * run_ms_));
+    const Milliseconds patience = std::max(options_.min_unresponsive_time,
+                                           Milliseconds(options_.unresponsive_latency_factor * run_ms_));
     const bool judged = s.standing == EndpointState::kHealthy || s.standing == EndpointState::kRecovering ||
                         s.standing == EndpointState::kHalfOpen;
     if (judged && s.own > 0 && now - s.heard > patience) PutAside(now, id, EjectionCause::kUnresponsive);
@@ -602,7 +602,7 @@
 // ---- Width ----
 
 // A node whose whole subset is busy, or which alone fills its share of it, uses more; later fewer again.
-void LoadBalancer::MindWidth(FleetTime now) {
+void LoadBalancer::MindWidth(Milliseconds now) {
   if (now - widened_at_ < options_.expansion_interval || in_use_.empty()) return;
   // Not at each choice: it looks at all in use.
   if (now - width_seen_ < options_.expansion_interval / 4) return;
@@ -649,16 +649,16 @@
 
 // ---- Figures ----
 
-std::vector<EndpointId> LoadBalancer::EndpointsToPoll(FleetTime now) {
+std::vector<EndpointId> LoadBalancer::EndpointsToPoll(Milliseconds now) {
   std::vector<EndpointId> ask;
   const bool figures = options_.policy >= Policy::kTwoChoicesReportedLoad;
   const bool works = now - last_start_ < options_.idle_poll_interval;
   for (const EndpointId id : in_use_) {
     Service& s = services_[id];
     if (!s.up) continue;
-    const FleetTime each = figures && works && options_.policy != Policy::kProbePool
-                               ? options_.poll_interval
-                               : options_.idle_poll_interval;
+    const Milliseconds each = figures && works && options_.policy != Policy::kProbePool
+                                  ? options_.poll_interval
+                                  : options_.idle_poll_interval;
     if (now - s.asked_at < each) continue;
     // The first is followed sooner by the second, so that nodes that began together ask at times of their
     // own.
@@ -682,7 +682,7 @@
   return ask;
 }
 
-void LoadBalancer::OnLoadReport(FleetTime now, EndpointId id, double running, FleetTime asked_at) {
+void LoadBalancer::OnLoadReport(Milliseconds now, EndpointId id, double running, Milliseconds asked_at) {
   Service& s = services_.at(id);
   // Answers may overtake each other on the way through a new link.
   if (s.figure >= 0 && asked_at < s.figure_at) return;
@@ -698,7 +698,7 @@
   if (s.standing == EndpointState::kHealthy && s.own == 0) s.heard = now;
 }
 
-EndpointSnapshot LoadBalancer::Snapshot(FleetTime now, EndpointId id) const {
+EndpointSnapshot LoadBalancer::Snapshot(Milliseconds now, EndpointId id) const {
   const Service& s = services_.at(id);
   EndpointSnapshot look;
   look.name = s.record.name;
@@ -715,8 +715,8 @@
   look.not_executed = s.never_ran;
   look.ejections = s.asides;
   look.reported_load = s.figure;
-  look.report_age = s.figure < 0 ? FleetTime(-1) : now - s.figure_at;
-  look.last_request_age = s.starts == 0 ? FleetTime(-1) : now - s.tried;
+  look.report_age = s.figure < 0 ? Milliseconds(-1) : now - s.figure_at;
+  look.last_request_age = s.starts == 0 ? Milliseconds(-1) : now - s.tried;
   look.estimated_load = Believed(s, now);
   look.latency_ratio = s.slowness;
   look.mean_latency_ms = s.run_ms;
--- a/src/decide/load_balancing/load_balancer.h
+++ b/src/decide/load_balancing/load_balancer.h
@@ -22,7 +22,7 @@
 #include <vector>
 
 #include "decide/load_balancing/subsetting.h"
-#include "decide/membership.h"
+#include "decide/membership/membership.h"
 
 namespace hingelink::decide {
 
@@ -77,28 +77,28 @@
   std::size_t subset_size = 8;
   std::size_t max_active_endpoints = 64;  // With those by which it is widened.
   // Asked figures. One of `old` counts half, the rest of it is the mean of all.
-  FleetTime load_report_half_life{120};
-  FleetTime poll_interval{
+  Milliseconds load_report_half_life{120};
+  Milliseconds poll_interval{
       250};  // Each service in use, while there is work; the answer's own way comes on top.
-  FleetTime idle_poll_interval{2'000};
+  Milliseconds idle_poll_interval{2'000};
   // Probes (kProbePool).
   double probes_per_request = 2;
   std::size_t max_probe_uses = 3;
-  FleetTime max_probe_age{250};
+  Milliseconds max_probe_age{250};
   double hot_quantile = 0.75;  // Of the probes, by work; those above are hot.
   // Against herds.
-  double slow_start_responses = 12;  // So many answers until a service that is back has its whole share.
-  FleetTime max_slow_start{4'000};   // And at the latest.
+  double slow_start_responses = 12;    // So many answers until a service that is back has its whole share.
+  Milliseconds max_slow_start{4'000};  // And at the latest.
   double reaction_delay_factor =
       1.0;  // Of the time in which those that share it could fill it with one run each.
-  FleetTime max_reaction_delay{2'000};
+  Milliseconds max_reaction_delay{2'000};
   // Against idleness.
-  FleetTime max_unprobed_time{2'000};
+  Milliseconds max_unprobed_time{2'000};
   double unprobed_request_fraction = 0.05;  // Of the starts.
   double expansion_threshold = 0.9;  // All in use have so many runs a core, or this node alone fills so much
                                      // of its fair share of them.
-  FleetTime expansion_interval{100};
-  FleetTime contraction_delay{10'000};
+  Milliseconds expansion_interval{100};
+  Milliseconds contraction_delay{10'000};
   // Repeats of what never ran.
   double retry_budget_fraction = 0.1;
   double max_retry_budget = 10;
@@ -107,10 +107,10 @@
   double ejection_error_rate = 0.5;
   double ejection_latency_factor = 3.5;  // The median of the others.
   double min_responses = 8;
-  FleetTime min_unresponsive_time{1'500};
+  Milliseconds min_unresponsive_time{1'500};
   double unresponsive_latency_factor = 12;  // The mean time of a run.
-  FleetTime base_ejection_time{1'000};
-  FleetTime max_ejection_time{30'000};
+  Milliseconds base_ejection_time{1'000};
+  Milliseconds max_ejection_time{30'000};
   double half_open_successes = 3;
   std::size_t max_recent_choices = 256;
 };
@@ -143,14 +143,14 @@
   std::uint64_t local_in_flight = 0;  // This node's runs there now.
   std::uint64_t requests = 0, errors = 0, not_executed = 0, ejections = 0;
   double reported_load = -1;  // Runs there by its last word; below 0: none.
-  FleetTime report_age{-1}, last_request_age{-1};
+  Milliseconds report_age{-1}, last_request_age{-1};
   double estimated_load = 0;   // What a choice counts with now.
   double latency_ratio = 1;    // Its times over those of all.
   double mean_latency_ms = 0;  // Mean.
-  FleetTime ejection_time_left{0};
+  Milliseconds ejection_time_left{0};
 };
 struct ChoiceRecord {
-  FleetTime at{0};
+  Milliseconds at{0};
   EndpointId endpoint = kNoEndpoint, alternative = kNoEndpoint;
   ChoiceReason reason = ChoiceReason::kPolicy;
   double cost = 0, alternative_cost = 0;  // As the way of choosing has them: less is better.
@@ -163,43 +163,43 @@
 
 class LoadBalancer {
  public:
-  LoadBalancer(LoadBalancerOptions options, std::string self, std::string zone, Draw draw,
+  LoadBalancer(LoadBalancerOptions options, std::string self, std::string zone, RandomSource draw,
                SubsetFunction subset = {});
 
   // ---- Who is there ----
   // All services of the pool that this node may use; those that are no longer told are forgotten. New ones
   // are down until told otherwise.
-  void SetEndpoints(FleetTime now, const std::vector<SubsetEndpoint>& services);
+  void SetEndpoints(Milliseconds now, const std::vector<SubsetEndpoint>& services);
   // All nodes that share them, this one too (it is added where it is missing).
-  void SetNodes(FleetTime now, std::vector<SubsetNode> nodes);
-  void SetConnected(FleetTime now, EndpointId service, bool up);
+  void SetNodes(Milliseconds now, std::vector<SubsetNode> nodes);
+  void SetConnected(Milliseconds now, EndpointId service, bool up);
   EndpointId FindEndpoint(const std::string& name) const;
 
   // ---- Runs ----
   // Where it goes, counted there from now on; nothing where none is up. `not_at` is passed over while there
   // is another (kNoEndpoint: none).
-  std::optional<Choice> ChooseEndpoint(FleetTime now, const RequestTraits& run,
+  std::optional<Choice> ChooseEndpoint(Milliseconds now, const RequestTraits& run,
                                        EndpointId not_at = kNoEndpoint);
   // `took`: as the service tells it, from its start to its end.
-  void OnRequestFinished(FleetTime now, EndpointId service, const RequestTraits& run, RequestOutcome how,
-                         FleetTime took);
+  void OnRequestFinished(Milliseconds now, EndpointId service, const RequestTraits& run, RequestOutcome how,
+                         Milliseconds took);
   // It is no longer waited for there: moved, or its end will not be told.
-  void OnRequestAbandoned(FleetTime now, EndpointId service);
+  void OnRequestAbandoned(Milliseconds now, EndpointId service);
   // Whether what never ran may run elsewhere, which uses up some of the budget.
   bool TryConsumeRetry();
 
   // ---- Figures of services ----
   // Who is to be asked now, within the budgets.
-  std::vector<EndpointId> EndpointsToPoll(FleetTime now);
+  std::vector<EndpointId> EndpointsToPoll(Milliseconds now);
   // `running`: all that it has in hand, of all nodes; asked at, on the caller's clock.
-  void OnLoadReport(FleetTime now, EndpointId service, double running, FleetTime asked_at);
+  void OnLoadReport(Milliseconds now, EndpointId service, double running, Milliseconds asked_at);
 
   // What is due: judgements by silence, returns. At least each `untried` / 4 and at NextDue().
-  void Tick(FleetTime now);
-  FleetTime NextDue() const { return next_due_; }
+  void Tick(Milliseconds now);
+  Milliseconds NextDue() const { return next_due_; }
 
   // ---- For operators and advice ----
-  EndpointSnapshot Snapshot(FleetTime now, EndpointId service) const;
+  EndpointSnapshot Snapshot(Milliseconds now, EndpointId service) const;
   std::vector<EndpointId> endpoints() const;
   const std::vector<EndpointId>& active_endpoints() const { return in_use_; }
   // The next that it would be widened by.
@@ -218,13 +218,13 @@
     std::size_t sharers = 1;
     std::uint64_t own = 0, starts = 0, errors_all = 0, never_ran = 0, asides = 0;
     double figure = -1;
-    FleetTime figure_at{0};                              // When it was asked for: it is no younger.
-    FleetTime asked_at{-1e9};                            // The last question.
-    double net = 0;                                      // Own starts less own ends, of all time ...
-    double net_then = 0;                                 // ... and when the figure was asked for.
-    std::deque<std::pair<FleetTime, double>> questions;  // That are open: when, and `net` then.
-    int uses = 0;                                        // Of this figure, by choices.
-    double run_ms = 0;                                   // Mean of what it answered.
+    Milliseconds figure_at{0};                              // When it was asked for: it is no younger.
+    Milliseconds asked_at{-1e9};                            // The last question.
+    double net = 0;                                         // Own starts less own ends, of all time ...
+    double net_then = 0;                                    // ... and when the figure was asked for.
+    std::deque<std::pair<Milliseconds, double>> questions;  // That are open: when, and `net` then.
+    int uses = 0;                                           // Of this figure, by choices.
+    double run_ms = 0;                                      // Mean of what it answered.
     double slowness = 1;
     double slow_weight = 0;  // Answers behind it.
     double errors = 0;       // Share, lately.
@@ -232,9 +232,9 @@
     EndpointState standing = EndpointState::kHealthy;
     EjectionCause fault = EjectionCause::kNone;
     double back = 0;  // Answers since it is back.
-    FleetTime back_at{0}, open_at{0};
-    FleetTime aside_until{0}, aside_for{0}, good_since{0};
-    FleetTime tried{-1e9}, heard{0};  // Its last answer to a run, or since when one is owed.
+    Milliseconds back_at{0}, open_at{0};
+    Milliseconds aside_until{0}, aside_for{0}, good_since{0};
+    Milliseconds tried{-1e9}, heard{0};  // Its last answer to a run, or since when one is owed.
     std::size_t trial_runs = 0;
   };
   struct Kind {
@@ -242,29 +242,29 @@
     double weight = 0;
   };
 
-  void Rebuild(FleetTime now);
-  void Use(FleetTime now, EndpointId id, bool extra);
-  void SetBack(FleetTime now, Service& s);
-  bool Open(const Service& s, FleetTime now) const;
-  double Share(const Service& s, FleetTime now) const;
-  double Believed(const Service& s, FleetTime now) const;
-  double Cost(const Service& s, FleetTime now) const;
+  void Rebuild(Milliseconds now);
+  void Use(Milliseconds now, EndpointId id, bool extra);
+  void SetBack(Milliseconds now, Service& s);
+  bool Open(const Service& s, Milliseconds now) const;
+  double Share(const Service& s, Milliseconds now) const;
+  double Believed(const Service& s, Milliseconds now) const;
+  double Cost(const Service& s, Milliseconds now) const;
   double CostByOwn(const Service& s) const;
-  bool TooOld(const Service& s, FleetTime now) const;
-  EndpointId Pick(FleetTime now, const std::vector<EndpointId>& open, ChoiceRecord& decision);
-  EndpointId PickOfTwo(FleetTime now, const std::vector<EndpointId>& open, ChoiceRecord& decision);
-  EndpointId PickByProbes(FleetTime now, const std::vector<EndpointId>& open, ChoiceRecord& decision);
-  EndpointId Untried(FleetTime now, const std::vector<EndpointId>& open);
-  void Judge(FleetTime now, EndpointId id);
-  void PutAside(FleetTime now, EndpointId id, EjectionCause fault);
+  bool TooOld(const Service& s, Milliseconds now) const;
+  EndpointId Pick(Milliseconds now, const std::vector<EndpointId>& open, ChoiceRecord& decision);
+  EndpointId PickOfTwo(Milliseconds now, const std::vector<EndpointId>& open, ChoiceRecord& decision);
+  EndpointId PickByProbes(Milliseconds now, const std::vector<EndpointId>& open, ChoiceRecord& decision);
+  EndpointId Untried(Milliseconds now, const std::vector<EndpointId>& open);
+  void Judge(Milliseconds now, EndpointId id);
+  void PutAside(Milliseconds now, EndpointId id, EjectionCause fault);
   bool MayPutAside() const;
-  void MindWidth(FleetTime now);
-  double MeanFigure(FleetTime now) const;
+  void MindWidth(Milliseconds now);
+  double MeanFigure(Milliseconds now) const;
   double Part() { return static_cast<double>(draw_() >> 11) * 0x1.0p-53; }
 
   LoadBalancerOptions options_;
   std::string self_, zone_;
-  Draw draw_;
+  RandomSource draw_;
   SubsetFunction subset_;  // This node's row of it.
   std::vector<Service> services_;
   std::map<std::string, EndpointId> by_name_;
@@ -278,10 +278,10 @@
   // Of MeanFigure(), which each belief asks for: good for one moment and one state of the figures.
   std::uint64_t figures_ = 0;
   mutable std::uint64_t mean_of_ = UINT64_MAX;
-  mutable FleetTime mean_at_{-1};
+  mutable Milliseconds mean_at_{-1};
   mutable double mean_ = 0;
   std::uint64_t own_ = 0;
-  FleetTime last_start_{-1e9}, widened_at_{-1e9}, width_seen_{-1e9}, wide_since_{0}, next_due_{0};
+  Milliseconds last_start_{-1e9}, widened_at_{-1e9}, width_seen_{-1e9}, wide_since_{0}, next_due_{0};
   std::deque<ChoiceRecord> recent_;
   LoadBalancerCounters counts_;
 };
--- a/src/net/pool_group.cpp
+++ b/src/net/pool_group.cpp
@@ -9,14 +9,14 @@
 namespace {
 
 using namespace std::chrono_literals;
-using decide::FleetTime;
 using decide::LoadBalancer;
+using decide::Milliseconds;
 using decide::RequestOutcome;
 using decide::RequestTraits;
 
 constexpr auto kTickEach = 25ms;
 // Gauges of services are asked for more seldom than those of one pool of its own.
-constexpr FleetTime kGaugesGood{1'000};
+constexpr Milliseconds kGaugesGood{1'000};
 // Links beyond those of the services in use, so that there is something to widen to.
 constexpr std::size_t kSpare = 2;
 constexpr int kPlaceBits = 48;
@@ -171,9 +171,9 @@
   const Sent& sent = it->second;
   if (sent.service == id) {
     const RequestOutcome how =
-        run.end == proto::RunEnd::kComplete ? RequestOutcome::kSuccess : RequestOutcome::kError;
+        run.end == proto::RunOutcome::kComplete ? RequestOutcome::kSuccess : RequestOutcome::kError;
     spread_.OnRequestFinished(Now(), id, sent.run, how, run.elapsed);
-  } else if (run.end != proto::RunEnd::kComplete) {
+  } else if (run.end != proto::RunOutcome::kComplete) {
     // Where it was before it was moved: that it failed there decides nothing.
     return;
   } else {
@@ -221,7 +221,7 @@
 void PoolGroup::Unknown(Id id, std::uint64_t req) {
   const auto it = sent_.find(req);
   if (it == sent_.end() || it->second.service != id) return events_.spawn_unknown(req);
-  spread_.OnRequestFinished(Now(), id, it->second.run, RequestOutcome::kNotExecuted, FleetTime(0));
+  spread_.OnRequestFinished(Now(), id, it->second.run, RequestOutcome::kNotExecuted, Milliseconds(0));
   const bool only_there = it->second.before == decide::kNoEndpoint;
   if (it->second.tries == 1 && only_there && spread_.TryConsumeRetry()) return Again(req, it->second, true);
   Drop(it);
@@ -273,7 +273,7 @@
 void PoolGroup::MixGauges() {
   gauges_.clear();
   double cores = 0;
-  const FleetTime now = Now();
+  const Milliseconds now = Now();
   for (const Id id : spread_.active_endpoints()) {
     const Service& s = services_[id];
     if (!s.up || s.gauges.empty() || now - s.gauges_at > kGaugesGood) continue;
@@ -287,7 +287,7 @@
 
 void PoolGroup::Tick() {
   timer_.After(kTickEach);
-  const FleetTime now = Now();
+  const Milliseconds now = Now();
   spread_.Tick(now);
   for (const Id id : spread_.active_endpoints()) Connect(id);
   std::size_t spare = 0;
@@ -316,15 +316,15 @@
 
 // What waits at services that are away: it leaves if it may run twice, and ends where they stay away.
 void PoolGroup::SeeAway() {
-  const FleetTime now = Now();
+  const Milliseconds now = Now();
   std::vector<std::uint64_t> leave, lost;
   for (const auto& [req, sent] : sent_) {
     const Service& s = services_[sent.service];
     if (s.up) continue;
-    const FleetTime away = now - s.down_since;
-    if (away > FleetTime(options_.lost_after)) {
+    const Milliseconds away = now - s.down_since;
+    if (away > Milliseconds(options_.lost_after)) {
       lost.push_back(req);
-    } else if (sent.run.is_idempotent && sent.tries == 1 && away > FleetTime(options_.leave_after)) {
+    } else if (sent.run.is_idempotent && sent.tries == 1 && away > Milliseconds(options_.leave_after)) {
       leave.push_back(req);
     }
   }
@@ -338,7 +338,7 @@
   for (const std::uint64_t req : lost) {
     proto::RunFinished failed;
     failed.req = req;
-    failed.end = proto::RunEnd::kError;
+    failed.end = proto::RunOutcome::kError;
     Finished(sent_.at(req).service, failed);
   }
 }
--- a/tests/decide/load_balancing/load_balancer_test.cpp
+++ b/tests/decide/load_balancing/load_balancer_test.cpp
@@ -120,7 +120,7 @@
       : draw_(seed), spread_(options, "n0", "", [this] { return Next(); }) {
     spread_.SetEndpoints(now, Services(services));
     for (const EndpointId id : spread_.endpoints()) spread_.SetConnected(now, id, true);
-    Pass(FleetTime(5'000));
+    Pass(Milliseconds(5'000));
   }
   std::uint64_t Next() {
     draw_ += 0x9e3779b97f4a7c15ULL;
@@ -129,12 +129,12 @@
     z = (z ^ (z >> 27)) * 0x94d049bb133111ebULL;
     return z ^ (z >> 31);
   }
-  void Pass(FleetTime span) {
+  void Pass(Milliseconds span) {
     now += span;
     spread_.Tick(now);
   }
   // One run, answered after so long.
-  Choice Run(FleetTime took, RequestOutcome end = RequestOutcome::kSuccess, RequestTraits run = {}) {
+  Choice Run(Milliseconds took, RequestOutcome end = RequestOutcome::kSuccess, RequestTraits run = {}) {
     const auto start = spread_.ChooseEndpoint(now, run);
     now += took;
     spread_.OnRequestFinished(now, start->endpoint, run, end, took);
@@ -143,10 +143,10 @@
   }
   // Until all are well known.
   void Warm(std::size_t runs) {
-    for (std::size_t i = 0; i < runs; ++i) Run(FleetTime(10));
+    for (std::size_t i = 0; i < runs; ++i) Run(Milliseconds(10));
   }
   LoadBalancer& spread() { return spread_; }
-  FleetTime now{1e7};
+  Milliseconds now{1e7};
 
  private:
   std::uint64_t draw_;
@@ -164,7 +164,7 @@
     std::uint64_t starts = 0, repeats = 0;
     std::size_t aside_before = 0;
     for (int step = 0; step < 300; ++step) {
-      table.now += FleetTime(*rc::gen::inRange(0, 300));
+      table.now += Milliseconds(*rc::gen::inRange(0, 300));
       const auto any = [&] { return spread.endpoints()[table.Next() % spread.endpoints().size()]; };
       switch (*rc::gen::inRange(0, 8)) {
         case 0:
@@ -180,7 +180,7 @@
         }
         case 2:
           spread.OnLoadReport(table.now, any(), static_cast<double>(table.Next() % 20),
-                              table.now - FleetTime(5));
+                              table.now - Milliseconds(5));
           break;
         case 3:
           for (const EndpointId id : spread.EndpointsToPoll(table.now))
@@ -190,7 +190,7 @@
           if (!open.empty()) {
             spread.OnRequestFinished(table.now, open.back().first, open.back().second,
                                      static_cast<RequestOutcome>(table.Next() % 3),
-                                     FleetTime(static_cast<double>(table.Next() % 200)));
+                                     Milliseconds(static_cast<double>(table.Next() % 200)));
             open.pop_back();
           }
           break;
@@ -244,10 +244,10 @@
     const auto start = spread.ChooseEndpoint(table.now, {});
     const bool bad = start->endpoint == hole;
     at_hole += bad ? 1 : 0;
-    table.now += FleetTime(bad ? 0.2 : 10);
+    table.now += Milliseconds(bad ? 0.2 : 10);
     spread.OnRequestFinished(table.now, start->endpoint, {},
                              bad ? RequestOutcome::kError : RequestOutcome::kSuccess,
-                             FleetTime(bad ? 0.2 : 10));
+                             Milliseconds(bad ? 0.2 : 10));
     spread.OnLoadReport(table.now, hole, 0, table.now);
     spread.Tick(table.now);
   }
@@ -262,7 +262,7 @@
   Table table(8);
   table.Warm(200);
   for (int i = 0; i < 300; ++i)
-    table.Run(FleetTime(10), i % 3 != 0 ? RequestOutcome::kError : RequestOutcome::kSuccess);
+    table.Run(Milliseconds(10), i % 3 != 0 ? RequestOutcome::kError : RequestOutcome::kSuccess);
   EXPECT_EQ(table.spread().counters().ejections, 0u);
 }
 
@@ -273,7 +273,7 @@
   const EndpointId slow = spread.active_endpoints()[2];
   const auto run = [&](double factor) {
     const auto start = spread.ChooseEndpoint(table.now, {});
-    const FleetTime took(start->endpoint == slow ? 10 * factor : 10);
+    const Milliseconds took(start->endpoint == slow ? 10 * factor : 10);
     table.now += took;
     spread.OnRequestFinished(table.now, start->endpoint, {}, RequestOutcome::kSuccess, took);
     spread.Tick(table.now);
@@ -283,14 +283,14 @@
   for (int i = 0; i < 4'000 && spread.Snapshot(table.now, slow).state != EndpointState::kEjected; ++i) run(8);
   ASSERT_EQ(spread.Snapshot(table.now, slow).ejection_cause, EjectionCause::kLatency);
   // Writes are never trials.
-  table.now += FleetTime(1'300);
+  table.now += Milliseconds(1'300);
   spread.Tick(table.now);
   ASSERT_EQ(spread.Snapshot(table.now, slow).state, EndpointState::kHalfOpen);
   for (int i = 0; i < 30; ++i) {
     const RequestTraits write{0, false};
     const auto start = spread.ChooseEndpoint(table.now, write);
     EXPECT_NE(start->endpoint, slow);
-    spread.OnRequestFinished(table.now, start->endpoint, write, RequestOutcome::kSuccess, FleetTime(10));
+    spread.OnRequestFinished(table.now, start->endpoint, write, RequestOutcome::kSuccess, Milliseconds(10));
   }
   std::size_t trials = 0;
   for (int i = 0; i < 10; ++i) trials += run(1).reason == ChoiceReason::kHalfOpenProbe ? 1 : 0;
@@ -306,9 +306,9 @@
   const auto start = spread.ChooseEndpoint(table.now, {});
   for (int i = 0; i < 300; ++i) {
     const auto other = spread.ChooseEndpoint(table.now, {});
-    table.now += FleetTime(10);
+    table.now += Milliseconds(10);
     if (other->endpoint == start->endpoint) continue;
-    spread.OnRequestFinished(table.now, other->endpoint, {}, RequestOutcome::kSuccess, FleetTime(10));
+    spread.OnRequestFinished(table.now, other->endpoint, {}, RequestOutcome::kSuccess, Milliseconds(10));
     spread.Tick(table.now);
   }
   EXPECT_EQ(spread.Snapshot(table.now, start->endpoint).ejection_cause, EjectionCause::kUnresponsive);
@@ -325,7 +325,7 @@
       const auto start = spread.ChooseEndpoint(table.now, {});
       // All but the last are slow, by different times.
       const bool well = start->endpoint == spread.active_endpoints().back();
-      const FleetTime took(well ? 10 : 100);
+      const Milliseconds took(well ? 10 : 100);
       table.now += took;
       spread.OnRequestFinished(table.now, start->endpoint, {},
                                well ? RequestOutcome::kSuccess : RequestOutcome::kError, took);
@@ -349,7 +349,7 @@
   // Nobody answers.
   for (int i = 0; i < 60; ++i) {
     ASSERT_TRUE(spread.ChooseEndpoint(table.now, {0, false}).has_value());
-    table.Pass(FleetTime(100));
+    table.Pass(Milliseconds(100));
   }
   EXPECT_GT(spread.counters().all_ejected_choices, 10u);
 }
@@ -360,7 +360,7 @@
   table.Warm(300);
   const EndpointId back = spread.active_endpoints()[1];
   spread.SetConnected(table.now, back, false);
-  for (int i = 0; i < 50; ++i) EXPECT_NE(table.Run(FleetTime(10)).endpoint, back);
+  for (int i = 0; i < 50; ++i) EXPECT_NE(table.Run(Milliseconds(10)).endpoint, back);
   spread.SetConnected(table.now, back, true);
   // It says that it has nothing to do, and all others are busy.
   std::size_t open = 0, most_open = 0;
@@ -371,15 +371,15 @@
     if (start->endpoint == back) {
       most_open = std::max(most_open, ++open);
     } else {
-      spread.OnRequestFinished(table.now, start->endpoint, {}, RequestOutcome::kSuccess, FleetTime(10));
+      spread.OnRequestFinished(table.now, start->endpoint, {}, RequestOutcome::kSuccess, Milliseconds(10));
     }
-    table.now += FleetTime(1);
+    table.now += Milliseconds(1);
   }
   // It has answered nothing yet: one run at a time, whatever it says.
   EXPECT_LE(most_open, 1u);
   for (std::size_t i = 0; i < open; ++i)
-    spread.OnRequestFinished(table.now, back, {}, RequestOutcome::kSuccess, FleetTime(10));
-  for (int i = 0; i < 200; ++i) table.Run(FleetTime(10));
+    spread.OnRequestFinished(table.now, back, {}, RequestOutcome::kSuccess, Milliseconds(10));
+  for (int i = 0; i < 200; ++i) table.Run(Milliseconds(10));
   EXPECT_EQ(spread.Snapshot(table.now, back).state, EndpointState::kHealthy);
 }
 
@@ -430,12 +430,12 @@
   ASSERT_EQ(spread.active_endpoints().size(), 2u);
   for (int i = 0; i < 20; ++i) {
     for (const EndpointId id : spread.active_endpoints()) spread.OnLoadReport(table.now, id, 9, table.now);
-    table.Pass(FleetTime(60));
+    table.Pass(Milliseconds(60));
   }
   EXPECT_EQ(spread.active_endpoints().size(), 6u);
   for (int i = 0; i < 400; ++i) {
     for (const EndpointId id : spread.active_endpoints()) spread.OnLoadReport(table.now, id, 0, table.now);
-    table.Pass(FleetTime(100));
+    table.Pass(Milliseconds(100));
   }
   EXPECT_EQ(spread.active_endpoints().size(), 2u);
 }
@@ -447,12 +447,12 @@
     Table table(8, options);
     LoadBalancer& spread = table.spread();
     table.Warm(100);
-    std::map<EndpointId, FleetTime> touched;
+    std::map<EndpointId, Milliseconds> touched;
     for (const EndpointId id : spread.active_endpoints()) touched[id] = table.now;
-    FleetTime longest{0};
+    Milliseconds longest{0};
     // One says that it is full, and stays so.
     for (int i = 0; i < 3'000; ++i) {
-      touched[table.Run(FleetTime(5)).endpoint] = table.now;
+      touched[table.Run(Milliseconds(5)).endpoint] = table.now;
       for (const EndpointId id : spread.EndpointsToPoll(table.now)) {
         touched[id] = table.now;
         spread.OnLoadReport(table.now, id, id == spread.active_endpoints()[0] ? 50 : 0, table.now);
@@ -485,14 +485,14 @@
   LoadBalancer& spread = table.spread();
   table.Warm(200);
   const EndpointId bad = spread.active_endpoints()[4];
-  FleetTime longest{0};
+  Milliseconds longest{0};
   const auto runs = [&](int count, bool fails) {
     for (int i = 0; i < count; ++i) {
       const auto start = spread.ChooseEndpoint(table.now, {});
       const bool error = fails && start->endpoint == bad;
-      table.now += FleetTime(10);
+      table.now += Milliseconds(10);
       spread.OnRequestFinished(table.now, start->endpoint, {},
-                               error ? RequestOutcome::kError : RequestOutcome::kSuccess, FleetTime(10));
+                               error ? RequestOutcome::kError : RequestOutcome::kSuccess, Milliseconds(10));
       spread.Tick(table.now);
       longest = std::max(longest, spread.Snapshot(table.now, bad).ejection_time_left);
     }
@@ -500,7 +500,7 @@
   runs(1'500, true);
   EXPECT_GT(longest.count(), 3 * 1.25 * 1'000);
   runs(6'000, false);
-  longest = FleetTime(0);
+  longest = Milliseconds(0);
   for (int i = 0; i < 400 && longest.count() == 0; ++i) runs(1, true);
   EXPECT_GT(longest.count(), 500);
   EXPECT_LT(longest.count(), 1'251);
@@ -518,8 +518,8 @@
       // It refuses all: it never fails, and it does no work either.
       spread.OnRequestFinished(
           table.now, start->endpoint, {},
-          start->endpoint == bad ? RequestOutcome::kNotExecuted : RequestOutcome::kSuccess, FleetTime(10));
-      table.now += FleetTime(10);
+          start->endpoint == bad ? RequestOutcome::kNotExecuted : RequestOutcome::kSuccess, Milliseconds(10));
+      table.now += Milliseconds(10);
     }
     ASSERT_EQ(spread.Snapshot(table.now, bad).state, EndpointState::kEjected);
     times.insert(std::round(spread.Snapshot(table.now, bad).ejection_time_left.count() / 20));
@@ -538,7 +538,7 @@
   for (int i = 0; i < 12; ++i) {
     for (const EndpointId id : spread.active_endpoints()) spread.OnLoadReport(table.now, id, 0, table.now);
     spread.ChooseEndpoint(table.now, {});
-    table.now += FleetTime(200);
+    table.now += Milliseconds(200);
   }
   EXPECT_GT(spread.active_endpoints().size(), before + 1);
 }
@@ -549,9 +549,9 @@
   Table table(2, options);
   LoadBalancer& spread = table.spread();
   table.Warm(50);
-  table.now += FleetTime(5'000);
+  table.now += Milliseconds(5'000);
   spread.EndpointsToPoll(table.now);
-  const FleetTime asked = table.now;
+  const Milliseconds asked = table.now;
   const EndpointId one = spread.active_endpoints()[0], other = spread.active_endpoints()[1];
   std::uint64_t own = 0;
   for (int i = 0; i < 6; ++i) own += spread.ChooseEndpoint(table.now, {})->endpoint == one ? 1 : 0;
@@ -561,13 +561,13 @@
   // What was started since it was asked comes on top.
   EXPECT_NEAR(spread.Snapshot(table.now, one).estimated_load, 10 + static_cast<double>(own), 0.1);
   // An older answer that comes later changes nothing.
-  spread.OnLoadReport(table.now, one, 0, asked - FleetTime(50));
+  spread.OnLoadReport(table.now, one, 0, asked - Milliseconds(50));
   EXPECT_NEAR(spread.Snapshot(table.now, one).estimated_load, 10 + static_cast<double>(own), 0.1);
   // The mean that an old figure gives way to is of the newest figures, at the same moment, too.
-  table.now += FleetTime(600);
+  table.now += Milliseconds(600);
   spread.OnLoadReport(table.now, other, 20, table.now);
   const double high = spread.Snapshot(table.now, one).estimated_load;
-  table.now += FleetTime(0.001);
+  table.now += Milliseconds(0.001);
   spread.OnLoadReport(table.now, other, 20, table.now);
   static_cast<void>(spread.Snapshot(table.now, one));
   spread.OnLoadReport(table.now, other, 0, table.now);
@@ -582,7 +582,7 @@
   for (int i = 0; i < 60; ++i) {
     const auto start = spread.ChooseEndpoint(table.now, {}, first);
     EXPECT_NE(start->endpoint, first);
-    spread.OnRequestFinished(table.now, start->endpoint, {}, RequestOutcome::kSuccess, FleetTime(10));
+    spread.OnRequestFinished(table.now, start->endpoint, {}, RequestOutcome::kSuccess, Milliseconds(10));
   }
   const auto start = spread.ChooseEndpoint(table.now, {});
   const std::string name = spread.Snapshot(table.now, start->endpoint).name;
--- a/tests/net/pool_group_test.cpp
+++ b/tests/net/pool_group_test.cpp
@@ -39,7 +39,7 @@
     PoolEvents events;
     events.bound = [this](bool) { ++bound_; };
     events.finished = [this](const proto::RunFinished& run) {
-      ended_[run.req].push_back(run.end == proto::RunEnd::kComplete ? std::string(run.result) : "error");
+      ended_[run.req].push_back(run.end == proto::RunOutcome::kComplete ? std::string(run.result) : "error");
     };
     events.spawn_unknown = [this](std::uint64_t req) { ended_[req].push_back("unknown"); };
     events.settled = [this] {
@@ -175,7 +175,7 @@
   pools_[0].reset();
   ASSERT_TRUE(Until([&] { return ended_.size() >= 8 - writes.size() && again_ > 0; }));
   // Two seconds are more than enough for a write that would be sent anew.
-  const auto until = group_->Now() + decide::FleetTime(1'000);
+  const auto until = group_->Now() + decide::Milliseconds(1'000);
   Until([&] { return group_->Now() > until; });
   ExpectOneEndEach();
   for (const auto& [req, run] : runs_) {
