--- a/src/cli/control_of_node.cpp
+++ b/src/cli/control_of_node.cpp
@@ -119,7 +119,7 @@
     const fleet::Fleet::Snapshot snapshot = fleet_.TakeSnapshot();
     if (brief) {
       Json json = {{"self", {{"life", snapshot.self.version.process_epoch}}},
-                   {"cut_off", snapshot.holds_removals}};
+                   {"cut_off", snapshot.defers_removals}};
       Json& members = json["members"] = Json::array();
       for (const auto& other : snapshot.members) {
         members.push_back({{"name", log::Printable(other.record.name)},
@@ -130,14 +130,15 @@
     }
     Json json = {{"self", RecordJson(snapshot.self)},
                  {"linked", snapshot.is_transport_open},
-                 {"cut_off", snapshot.holds_removals},
+                 {"cut_off", snapshot.defers_removals},
                  {"health", snapshot.local_health}};
     json["members"] = Json::array();
     for (const auto& other : snapshot.members) {
       Json member = RecordJson(other.record);
       member["state"] = decide::MemberStateName(other.record.state);
-      member["held"] = other.is_removal_held;
-      if (other.last_heard_ago.count() >= 0) member["heard_ms"] = std::llround(other.last_heard_ago.count());
+      member["held"] = other.is_removal_deferred;
+      if (other.since_last_message.count() >= 0)
+        member["heard_ms"] = std::llround(other.since_last_message.count());
       if (!other.record.accuser.empty()) member["by"] = log::Printable(other.record.accuser);
       json["members"].push_back(std::move(member));
     }
@@ -159,7 +160,7 @@
     return Json{{"alive", by_state[0]},
                 {"suspect", by_state[1]},
                 {"gone", by_state[2]},
-                {"cut_off", snapshot.holds_removals},
+                {"cut_off", snapshot.defers_removals},
                 {"linked", snapshot.is_transport_open}}
         .dump();
   }
--- a/src/decide/membership/gossip_message.cpp
+++ b/src/decide/membership/gossip_message.cpp
@@ -4,16 +4,14 @@
 namespace {
 
 // Encoded sizes of the fixed parts, rounded up.
-constexpr std::size_t kRecordBytes = 40;
 constexpr std::size_t kMessageBytes = 40;
 constexpr std::size_t kBucketDigestBytes = 5;
-constexpr std::size_t kDifferingBucketBytes = 2;
 constexpr std::size_t kPayloadBytes = 5;
 
 }  // namespace
 
 std::size_t MaxEncodedSize(const MemberRecord& record) {
-  return kRecordBytes + record.name.size() + record.zone.size() + record.accuser.size();
+  return kRecordOverheadBytes + record.name.size() + record.zone.size() + record.accuser.size();
 }
 
 std::size_t MaxEncodedSize(const GossipMessage& message) {
--- a/src/decide/membership/gossip_message.h
+++ b/src/decide/membership/gossip_message.h
@@ -45,6 +45,11 @@
   bool operator==(const GossipMessage&) const = default;
 };
 
+// Of a record whose texts are empty.
+inline constexpr std::size_t kRecordOverheadBytes = 40;
+// Of one entry of GossipMessage::differing_buckets.
+inline constexpr std::size_t kDifferingBucketBytes = 2;
+
 // Upper bounds of the encoded size in bytes. The codec (fleet/codec.h) never exceeds them.
 [[nodiscard]] std::size_t MaxEncodedSize(const MemberRecord& record);
 [[nodiscard]] std::size_t MaxEncodedSize(const GossipMessage& message);
--- a/src/decide/membership/member.h
+++ b/src/decide/membership/member.h
@@ -18,13 +18,16 @@
 
 // What a node says of itself. The values are those on the wire.
 enum class MemberPhase : std::uint8_t { kJoining, kWarmingUp, kServing, kDraining, kLeft };
-// What other nodes hold of a member. The values are those on the wire.
+// The state of a member in the view of another node. The values are those on the wire.
 enum class MemberState : std::uint8_t { kAlive, kSuspect, kDead };
 
 // Names in the control protocol and on terminals.
 [[nodiscard]] const char* MemberPhaseName(MemberPhase phase);
 [[nodiscard]] const char* MemberStateName(MemberState state);
 
+// Whether the member takes part in the protocol as far as is known.
+[[nodiscard]] constexpr bool IsLive(MemberState state) { return state != MemberState::kDead; }
+
 // Orders the statements about one member: greater versions replace lesser ones.
 struct MemberVersion {
   // One start of the process; later processes of the same name have greater epochs.
--- a/src/decide/membership/membership.cpp
+++ b/src/decide/membership/membership.cpp
@@ -1,332 +1,178 @@
 #include "decide/membership/membership.h"
 
 #include <algorithm>
-#include <cmath>
-#include <functional>
-
-#include "decide/membership/membership_internal.h"
 
 namespace hingelink::decide {
 namespace {
 
-std::uint64_t Mix(std::uint64_t value) {
-  // The finalizer of SplitMix64: equal digests mean equal views but for one case in 2^32 a bucket.
-  value = (value ^ (value >> 30)) * 0xbf58476d1ce4e5b9ULL;
-  value = (value ^ (value >> 27)) * 0x94d049bb133111ebULL;
-  return value ^ (value >> 31);
-}
-
-// What two views must agree on: who is here, in which life and phase. Suspicions and the incarnations that
-// refute them come and go by themselves, and who has just come knows nothing of those that went before.
-std::uint64_t DigestOf(const MemberRecord& record) {
-  if (record.state == MemberState::kDead) return 0;
-  std::uint64_t digest = std::hash<std::string>{}(record.name);
-  for (const std::uint64_t part : {record.version.process_epoch, static_cast<std::uint64_t>(record.phase)}) {
-    digest = Mix(digest ^ part);
-  }
-  return digest;
-}
+// The first interval of each timer is cut by a random fraction, in so many steps.
+constexpr std::uint64_t kInitialDelaySteps = 1024;
+// Without work, the clock is read in this fraction of MembershipOptions::pause_threshold.
+constexpr double kMaxTickFraction = 0.5;
 
 }  // namespace
 
-Membership::Membership(MembershipOptions options, MemberRecord self, std::vector<PeerAddress> seeds,
-                       RandomSource draw)
-    : options_(options), self_(std::move(self)), seeds_(std::move(seeds)), draw_(std::move(draw)) {
-  self_.state = MemberState::kAlive;
-  self_.accuser.clear();
-  view_ = DigestOf(self_);
-  digests_[BucketOf(self_.name)] ^= static_cast<std::uint32_t>(view_);
-}
-
-// ---- Time ----
-
-void Membership::Notice(Milliseconds now) {
-  if (!started_) {
-    started_ = true;
-    began_ = now;
-    // Nodes that start together are not to act together.
-    const auto part = [this] { return static_cast<double>(Below(1024)) / 1024; };
-    next_probe_ = now + options_.probe_interval * part();
-    next_gossip_ = now + options_.gossip_interval * part();
-    next_compare_ = now + options_.sync_interval * part();
-    next_reconnect_ = now;
-    next_forget_ = now + kForgetEach;
-  } else if (now - last_seen_ > options_.pause_threshold) {
-    Thaw(now, now - last_seen_);
-  }
-  last_seen_ = std::max(last_seen_, now);
-}
-
-// It was this node that stood still: nobody else is to be held to what was due meanwhile.
-void Membership::Thaw(Milliseconds now, Milliseconds gap) {
-  ++counters_.pauses;
-  Report(MembershipEventKind::kPaused, self_.name, gap.count());
-  probe_.reset();
-  helped_.clear();
-  Postpone(now + options_.min_suspicion_timeout);
-  Health(options_.max_local_health);
-  doubts_until_ = now + options_.probe_interval * kDoubtPeriods;
-  next_probe_ = next_gossip_ = next_compare_ = now;
-  // It suspects itself first: others did so, most likely, and its word must be newer than theirs.
-  Refute(self_.version);
-}
+Membership::Membership(const MembershipOptions& options, MemberRecord self, std::vector<PeerAddress> seeds,
+                       const RandomSource& random)
+    : options_(options),
+      random_(random),
+      health_(options_.max_local_health),
+      table_(random_, digest_),
+      broadcasts_(options_.retransmit_factor),
+      self_(std::move(self), random_, digest_, table_, broadcasts_, gossip_timer_, health_, actions_),
+      sender_(options_.max_message_bytes, self_, digest_, table_, broadcasts_, actions_),
+      suspicion_timers_(options_),
+      guard_(options_, table_),
+      lifecycle_(options_, self_, table_, broadcasts_, suspicion_timers_, guard_, gossip_timer_, sender_,
+                 actions_),
+      retention_(options_, table_, broadcasts_, actions_),
+      merger_(self_, table_, retention_, lifecycle_, broadcasts_, actions_),
+      failure_detector_(options_, self_, table_, lifecycle_, sender_, health_),
+      indirect_probes_(options_, sender_),
+      gossip_rounds_(options_, self_, table_, broadcasts_, gossip_timer_, sender_),
+      anti_entropy_(options_, self_, table_, digest_, sender_),
+      reconnector_(options_, std::move(seeds), random_, table_, guard_, anti_entropy_, sender_) {}
 
 MembershipActions Membership::Tick(Milliseconds now) {
-  Notice(now);
-  TickHelped(now);
-  TickProbe(now);
-  TickSuspicions(now);
-  TickGossip(now);
-  TickCompare(now);
-  TickReconnect(now);
-  if (now >= next_forget_) Forget(now);
-  return TakeOut();
-}
-
-Milliseconds Membership::NextDue() const {
-  if (!started_) return Milliseconds(0);
-  Milliseconds due =
-      std::min({next_probe_, next_reconnect_, next_forget_, last_seen_ + options_.pause_threshold / 2});
-  if (probe_ && !probe_->answered) due = std::min(due, probe_->asked ? probe_->end_at : probe_->ask_at);
-  if (!queue_.empty() || self_left_ > 0) due = std::min(due, next_gossip_);
-  if (differs_) due = std::min(due, next_compare_);
-  if (!deadlines_.empty()) due = std::min(due, deadlines_.begin()->first);
-  for (const Helped& helped : helped_) due = std::min(due, helped.nacked ? helped.end_at : helped.nack_at);
-  return due;
-}
-
-// ---- The table ----
-
-Membership::Member* Membership::Find(const std::string& name) {
-  const auto it = members_.find(name);
-  return it == members_.end() ? nullptr : it->second.get();
-}
-
-void Membership::Count(MemberState belief, int step) {
-  if (belief == MemberState::kAlive) alive_ += static_cast<std::size_t>(step);
-  if (belief == MemberState::kSuspect) suspects_ += static_cast<std::size_t>(step);
-}
-
-// In or out, alike.
-void Membership::Fold(const Member& member) {
-  const std::uint64_t digest = DigestOf(member.record);
-  digests_[BucketOf(member.record.name)] ^= static_cast<std::uint32_t>(digest);
-  view_ ^= digest;
-}
-
-Membership::Member* Membership::Add(Milliseconds now, const MemberRecord& record) {
-  if (members_.size() >= options_.max_members) {
-    Forget(now);
-    if (members_.size() >= options_.max_members) {
-      ++counters_.table_full;
-      return nullptr;
-    }
+  AdvanceTo(now);
+  indirect_probes_.Tick(now);
+  failure_detector_.Tick(now);
+  lifecycle_.Tick(now);
+  gossip_rounds_.Tick(now);
+  anti_entropy_.Tick(now);
+  reconnector_.Tick(now);
+  retention_.Tick(now);
+  return actions_.ReleaseActions();
+}
+
+MembershipActions Membership::OnMessage(Milliseconds now, PeerAddress from, const GossipMessage& message) {
+  AdvanceTo(now);
+  if (message.records.empty()) return actions_.ReleaseActions();
+  const MemberRecord& sender_record = message.records.front();
+  if (sender_record.name == self_.name()) {
+    // A reflected message, or another process of this node's name.
+    merger_.Merge(now, sender_record);
+    return actions_.ReleaseActions();
   }
-  auto owned = std::make_unique<Member>();
-  Member& member = *owned;
-  member.record = record;
-  member.since = now;
-  member.place = order_.size();
-  members_.emplace(record.name, std::move(owned));
-  order_.push_back(&member);
-  // Into the turn at a random place, or newcomers would wait for its end.
-  const std::size_t other = Below(order_.size());
-  std::swap(order_[other], order_[member.place]);
-  order_[member.place]->place = member.place;
-  member.place = other;
-  Count(record.state, 1);
-  Fold(member);
-  return &member;
-}
-
-void Membership::Remove(Member& member) {
-  Fold(member);
-  Count(member.record.state, -1);
-  SetHeld(member, false);
-  deadlines_.erase({member.due, member.record.name});
-  if (member.queued) queue_.erase(*member.queued);
-  order_[member.place] = order_.back();
-  order_[member.place]->place = member.place;
-  order_.pop_back();
-  members_.erase(member.record.name);
-}
-
-void Membership::SetHeld(Member& member, bool held) {
-  if (member.held == held) return;
-  member.held = held;
-  held_ += held ? 1 : static_cast<std::size_t>(-1);
-}
-
-void Membership::SetRecord(Milliseconds now, Member& member, const MemberRecord& record) {
-  Fold(member);
-  Count(member.record.state, -1);
-  if (member.record.state == MemberState::kSuspect && record.state != MemberState::kSuspect) {
-    deadlines_.erase({member.due, member.record.name});
-    const bool was_held = std::exchange(member.held, false);
-    held_ -= was_held ? 1 : 0;
-    if (was_held && held_ == 0)
-      Report(MembershipEventKind::kRemovalsResumed, {}, (now - held_since_).count());
+  for (const MemberRecord& record : message.records) merger_.Merge(now, record);
+  membership::Member* sender = table_.Find(sender_record.name);
+  const bool is_current = sender != nullptr && sender_record.version == sender->record.version;
+  if (is_current && IsLive(sender->record.state)) OnMemberMessage(now, *sender);
+  HandleKind(now, from, message, sender != nullptr ? sender_record.name : std::string());
+  anti_entropy_.OnMessage(now, from, message, sender != nullptr);
+  return actions_.ReleaseActions();
+}
+
+void Membership::HandleKind(Milliseconds now, const PeerAddress& from, const GossipMessage& message,
+                            const std::string& sender) {
+  switch (message.kind) {
+    case GossipMessageKind::kPing: {
+      GossipMessage ack = sender_.Compose(GossipMessageKind::kAck, message.sequence_number);
+      ack.target = self_.name();
+      sender_.Send(from, std::move(ack), sender);
+      break;
+    }
+    case GossipMessageKind::kAck:
+      failure_detector_.OnAck(message);
+      indirect_probes_.OnAck(message);
+      break;
+    case GossipMessageKind::kIndirectPing:
+      indirect_probes_.OnRequest(now, from, message);
+      break;
+    case GossipMessageKind::kNack:
+      failure_detector_.OnNack(message);
+      break;
+    case GossipMessageKind::kGossip:
+      break;
+    case GossipMessageKind::kSyncRequest:
+      anti_entropy_.OnRequest(from, message, sender);
+      break;
+    case GossipMessageKind::kSyncResponse:
+      anti_entropy_.OnResponse(from, message, sender);
+      break;
   }
-  if (member.record.state != record.state) member.since = now;
-  member.record = record;
-  Count(record.state, 1);
-  Fold(member);
-  out_.view_changed = true;
 }
 
-void Membership::Queue(Member& member) {
-  if (member.queued) queue_.erase(*member.queued);
-  member.queued = QueueKey{0, ++last_queued_};
-  queue_.emplace(*member.queued, &member);
+MembershipActions Membership::SetPhase(Milliseconds now, MemberPhase phase) {
+  AdvanceTo(now);
+  if (phase == self_.record().phase) return actions_.ReleaseActions();
+  self_.SetPhase(phase);
+  gossip_timer_.Set(now);
+  gossip_rounds_.Tick(now);
+  return actions_.ReleaseActions();
 }
 
-unsigned Membership::Limit() const {
-  const double most =
-      std::ceil(options_.retransmit_factor * std::log(static_cast<double>(live_members()) + 1));
-  // Guards against a start or a heal of hundreds that fills the link for as long as each word is sent on as
-  // often as a single one: where there are many words, many nodes tell each, and comparing finds the rest.
-  const double crowd = std::max(1.0, static_cast<double>(queue_.size()) / kCrowd);
-  return static_cast<unsigned>(std::max(kLeastSent, most / crowd));
+Milliseconds Membership::NextDeadline() const {
+  if (!has_begun_) return Milliseconds(0);
+  Milliseconds deadline =
+      std::min({failure_detector_.NextDeadline(), reconnector_.next_deadline(), retention_.next_deadline(),
+                last_step_ + options_.pause_threshold * kMaxTickFraction});
+  if (gossip_rounds_.is_pending()) deadline = std::min(deadline, gossip_timer_.deadline());
+  if (!suspicion_timers_.empty()) deadline = std::min(deadline, suspicion_timers_.next_deadline());
+  deadline = std::min(deadline, anti_entropy_.NextDeadline().value_or(deadline));
+  return std::min(deadline, indirect_probes_.NextDeadline().value_or(deadline));
 }
 
-void Membership::Health(int step) { health_ = std::clamp(health_ + step, 0, options_.max_local_health); }
-
-Membership::Member* Membership::Any(const std::function<bool(const Member&)>& wanted,
-                                    const std::string& but) {
-  if (order_.empty()) return nullptr;
-  for (int i = 0; i < kDraws; ++i) {
-    Member* member = order_[Below(order_.size())];
-    if (member->record.name != but && wanted(*member)) return member;
-  }
-  return nullptr;
-}
-
-// ---- What is told ----
-
-void Membership::Adopt(Milliseconds now, const MemberRecord& record) {
-  if (record.name.empty() || record.name.size() > kMaxNameBytes || record.zone.size() > kMaxZoneBytes ||
-      record.accuser.size() > kMaxNameBytes) {
-    return;
-  }
-  if (record.name == self_.name) return HearOfSelf(now, record);
-  Member* member = Find(record.name);
-  const bool leaves = record.state == MemberState::kDead || record.phase == MemberPhase::kLeft;
-  if (member == nullptr) {
-    const auto tombstone = tombstones_.find(record.name);
-    // Guards against a word from before its end that comes behind it.
-    if (tombstone != tombstones_.end() && record.version <= tombstone->second) {
-      ++counters_.stale_records;
-      return;
-    }
-    // Of one that never was here, there is nobody to drop.
-    if (leaves) return;
-    MemberRecord fresh = record;
-    fresh.state = MemberState::kAlive;
-    fresh.accuser.clear();
-    member = Add(now, fresh);
-    if (member == nullptr) return;
-    out_.view_changed = true;
-    Queue(*member);
-    Report(MembershipEventKind::kMemberJoined, record.name);
-    if (record.state == MemberState::kSuspect) Suspect(now, *member, record.accuser);
-    return;
-  }
-  const MemberRecord& known = member->record;
-  if (record.version < known.version) {
-    ++counters_.stale_records;
-    return;
-  }
-  if (record.version > known.version) {
-    if (record.state == MemberState::kDead && Here(known.state) && record.phase != MemberPhase::kLeft) {
-      // It was alive in between, and then it went: known as alive first, so that the guard is asked.
-      MemberRecord fresh = record;
-      fresh.state = MemberState::kAlive;
-      SetRecord(now, *member, fresh);
-      return Drop(now, *member);
-    }
-    const MemberState before = known.state;
-    const bool another_life = record.version.process_epoch > known.version.process_epoch;
-    if (before == MemberState::kSuspect) ++counters_.withdrawn_suspicions;
-    MemberRecord fresh = record;
-    if (fresh.state == MemberState::kSuspect) {
-      fresh.state = MemberState::kAlive;
-      fresh.accuser.clear();
-    }
-    if (before == MemberState::kDead && Here(fresh.state) && fresh.phase != MemberPhase::kLeft) {
-      ++counters_.returned;
-      Report(MembershipEventKind::kMemberReturned, record.name, (now - member->since).count());
-    } else if (another_life) {
-      Report(MembershipEventKind::kMemberRestarted, record.name);
-    } else if (before == MemberState::kSuspect) {
-      Report(MembershipEventKind::kSuspicionWithdrawn, record.name, (now - member->since).count());
-    }
-    if (fresh.phase == MemberPhase::kLeft && fresh.state != MemberState::kDead) {
-      fresh.state = MemberState::kDead;
-      if (Here(before)) Report(MembershipEventKind::kMemberLeft, record.name);
-    }
-    SetRecord(now, *member, fresh);
-    Queue(*member);
-    if (record.state == MemberState::kSuspect) Suspect(now, *member, record.accuser);
-    return;
+std::vector<MemberView> Membership::Members(Milliseconds now) const {
+  std::vector<MemberView> views;
+  views.reserve(table_.size());
+  for (const membership::Member* member : table_.members()) {
+    const bool has_sent = member->last_message_at.count() >= 0;
+    views.push_back({member->record, has_sent ? now - member->last_message_at : Milliseconds(-1),
+                     member->is_removal_deferred});
   }
-  // The same version: only what is worse is news.
-  if (record.state == MemberState::kSuspect && Here(known.state)) Suspect(now, *member, record.accuser);
-  if (record.state == MemberState::kDead && Here(known.state)) Drop(now, *member);
+  return views;
 }
 
-void Membership::HearOfSelf(Milliseconds now, const MemberRecord& record) {
-  if (record.version.process_epoch > self_.version.process_epoch) {
-    // An earlier life whose clock ran ahead, or another process of this name. Guards against two that raise
-    // each other without end.
-    if (now - raised_at_ < kRaiseEach) return;
-    raised_at_ = now;
-    if (++raised_ == kRaisesOfAName) Report(MembershipEventKind::kNameConflict, self_.name);
-    MemberRecord raised = self_;
-    raised.version = {record.version.process_epoch + 1 + Below(1024), 0};
-    SetSelf(raised);
-    Report(MembershipEventKind::kProcessEpochRaised, self_.name);
-    return;
+void Membership::AdvanceTo(Milliseconds now) {
+  if (!has_begun_) {
+    Begin(now);
+  } else if (now - last_step_ > options_.pause_threshold) {
+    OnPaused(now, now - last_step_);
   }
-  const bool accused = record.state != MemberState::kAlive && self_.phase != MemberPhase::kLeft;
-  if (record.version.process_epoch < self_.version.process_epoch ||
-      record.version.incarnation < self_.version.incarnation)
-    return;
-  if (!accused && record.version == self_.version) return;
-  ++counters_.refutations;
-  if (accused) {
-    Report(MembershipEventKind::kAccused, record.accuser.empty() ? self_.name : record.accuser,
-           static_cast<double>(record.state));
-    Health(1);
+  last_step_ = std::max(last_step_, now);
+}
+
+void Membership::Begin(Milliseconds now) {
+  has_begun_ = true;
+  // Nodes that start together are not to act together.
+  const auto random_fraction = [this] {
+    return static_cast<double>(UniformRandom(random_, kInitialDelaySteps)) / kInitialDelaySteps;
+  };
+  failure_detector_.Begin(now + options_.probe_interval * random_fraction());
+  gossip_timer_.Set(now + options_.gossip_interval * random_fraction());
+  anti_entropy_.Begin(now, now + options_.sync_interval * random_fraction());
+  reconnector_.Begin(now);
+  retention_.Begin(now);
+}
+
+void Membership::OnPaused(Milliseconds now, Milliseconds gap) {
+  ++actions_.counters().pauses;
+  actions_.Report(MembershipEventKind::kPaused, self_.name(), gap.count());
+  indirect_probes_.Clear();
+  PostponeSuspicions(now);
+  health_.SetWorst();
+  failure_detector_.OnPaused(now);
+  gossip_timer_.Set(now);
+  anti_entropy_.RequestSync(now);
+  // Others suspect this node by now, most likely; the refutation must be newer than that.
+  self_.Refute(now, self_.record().version);
+}
+
+void Membership::OnMemberMessage(Milliseconds now, membership::Member& member) {
+  const auto since_last_message = guard_.SinceLastMessage(now);
+  if (since_last_message && *since_last_message > options_.isolation_threshold) {
+    // This node was isolated: its suspects get the time to refute.
+    actions_.Report(MembershipEventKind::kIsolated, self_.name(), since_last_message->count());
+    PostponeSuspicions(now);
+    self_.Refute(now, self_.record().version);
   }
-  Refute(record.version);
+  member.last_message_at = now;
+  guard_.OnMessage(now, member.record.name);
 }
 
-void Membership::Refute(MemberVersion above) {
-  MemberRecord fresh = self_;
-  fresh.version.incarnation = std::max(above.incarnation, self_.version.incarnation) + 1;
-  SetSelf(fresh);
-  next_gossip_ = std::min(next_gossip_, last_seen_);
-}
-
-void Membership::SetSelf(const MemberRecord& fresh) {
-  const std::uint64_t change = DigestOf(self_) ^ DigestOf(fresh);
-  view_ ^= change;
-  digests_[BucketOf(self_.name)] ^= static_cast<std::uint32_t>(change);
-  self_ = fresh;
-  self_left_ = Limit();
-  out_.view_changed = true;
-}
-
-// ---- Suspicion ----
-
-std::vector<MemberView> Membership::Members(Milliseconds now) const {
-  std::vector<MemberView> looks;
-  looks.reserve(order_.size());
-  for (const Member* member : order_) {
-    looks.push_back(
-        {member->record, member->heard.count() < 0 ? Milliseconds(-1) : now - member->heard, member->held});
-  }
-  return looks;
+void Membership::PostponeSuspicions(Milliseconds now) {
+  suspicion_timers_.PostponeAll(now + options_.min_suspicion_timeout);
 }
 
 }  // namespace hingelink::decide
--- a/src/decide/membership/membership_event.cpp
+++ b/src/decide/membership/membership_event.cpp
@@ -18,7 +18,7 @@
       return "suspicion-withdrawn";
     case MembershipEventKind::kAccused:
       return "accused";
-    case MembershipEventKind::kRemovalsHeld:
+    case MembershipEventKind::kRemovalsDeferred:
       return "cut-off";
     case MembershipEventKind::kRemovalsResumed:
       return "heard-again";
--- a/src/decide/membership/membership_event.h
+++ b/src/decide/membership/membership_event.h
@@ -9,18 +9,18 @@
 
 enum class MembershipEventKind : std::uint8_t {
   kMemberJoined,
-  kMemberRestarted,      // The same name with a greater process epoch.
-  kMemberReturned,       // A dead member is alive. Value: ms since it was declared dead.
-  kMemberLeft,           // It announced its end.
-  kMemberDead,           // Its suspicion timed out.
-  kSuspicionWithdrawn,   // It refuted the suspicion. Value: ms of suspicion.
-  kAccused,              // `member` suspects this node. Value: the MemberState that it holds.
-  kRemovalsHeld,         // The mass failure guard holds removals. Value: suspects.
-  kRemovalsResumed,      // It holds none any more. Value: ms that it did.
-  kIsolated,             // This node heard nobody. Value: ms.
-  kPaused,               // This process was paused. Value: ms.
-  kNameConflict,         // Another process uses this node's name.
-  kProcessEpochRaised,   // An earlier process of this name had a greater epoch.
+  kMemberRestarted,     // The same name with a greater process epoch.
+  kMemberReturned,      // A dead member is alive. Value: ms since it was declared dead.
+  kMemberLeft,          // It announced its end.
+  kMemberDead,          // Its suspicion timed out.
+  kSuspicionWithdrawn,  // It refuted the suspicion. Value: ms of suspicion.
+  kAccused,             // `member` suspects this node. Value: this node's MemberState in its view.
+  kRemovalsDeferred,    // The mass failure guard defers removals. Value: suspects.
+  kRemovalsResumed,     // It defers none any more. Value: ms that it did.
+  kIsolated,            // This node received no message. Value: ms.
+  kPaused,              // This process was paused. Value: ms.
+  kNameConflict,        // Another process uses this node's name.
+  kProcessEpochRaised,  // An earlier process of this name had a greater epoch.
 };
 
 // The code in the log, without the prefix of the component.
--- a/src/decide/membership/membership_options.h
+++ b/src/decide/membership/membership_options.h
@@ -27,7 +27,7 @@
   // ---- Suspicion (Lifeguard) ----
   // The timeout of a suspicion that `suspicion_confirmations` others have confirmed.
   Milliseconds min_suspicion_timeout{2'500};
-  // The timeout of a suspicion that nobody has confirmed, as a multiple of min_suspicion_timeout.
+  // The timeout of a suspicion without confirmations, as a multiple of min_suspicion_timeout.
   double max_suspicion_factor = 2.4;
   std::size_t suspicion_confirmations = 3;
   // The suspect is probed once more this long before its suspicion times out.
@@ -54,8 +54,8 @@
   Milliseconds join_interval{400};
   // Between two probes of a dead member ...
   Milliseconds reconnect_interval{2'000};
-  // ... and of one whose removal is held.
-  Milliseconds held_reconnect_interval{300};
+  // ... and of one whose removal is deferred.
+  Milliseconds deferred_reconnect_interval{300};
 
   // ---- Faults of this node itself ----
   // Without a tick for this long, the process was paused.
@@ -64,13 +64,13 @@
   Milliseconds isolation_threshold{2'000};
 
   // ---- Mass failure guard ----
-  // If more than this fraction of the members is silent within the window, removals are held.
+  // If more than this fraction of the members is silent within the window, removals are deferred.
   double mass_failure_fraction = 0.4;
   Milliseconds mass_failure_window{10'000};
-  // A member is removed only if this many others (or all) were heard since it fell silent.
-  std::size_t min_recently_heard = 3;
-  // After this long removals are held no more, if other members are heard.
-  Milliseconds max_removal_hold{60'000};
+  // A member is removed only if messages of this many others (or all) were received since it fell silent.
+  std::size_t min_recent_senders = 3;
+  // After this long removals are deferred no more, if messages of other members are received.
+  Milliseconds max_removal_deferral{60'000};
 
   // ---- Bounds of the member table ----
   // How long a dead member is listed.
--- a/src/decide/random_source.h
+++ b/src/decide/random_source.h
@@ -10,6 +10,11 @@
 // Returns the next random number, uniformly distributed over 64 bits.
 using RandomSource = std::function<std::uint64_t()>;
 
+// A number in [0, bound). Takes none from the source and returns 0 if `bound` is 0.
+[[nodiscard]] inline std::uint64_t UniformRandom(const RandomSource& random, std::uint64_t bound) {
+  return bound == 0 ? 0 : random() % bound;
+}
+
 }  // namespace hingelink::decide
 
 #endif  // HINGELINK_DECIDE_RANDOM_SOURCE_H_
--- a/src/fleet/fleet.cpp
+++ b/src/fleet/fleet.cpp
@@ -54,7 +54,7 @@
 // Whether the event is logged as a warning.
 bool NeedsAttention(decide::MembershipEventKind kind) {
   switch (kind) {
-    case decide::MembershipEventKind::kRemovalsHeld:
+    case decide::MembershipEventKind::kRemovalsDeferred:
     case decide::MembershipEventKind::kMemberDead:
     case decide::MembershipEventKind::kNameConflict:
     case decide::MembershipEventKind::kPaused:
@@ -161,7 +161,7 @@
   Carry(members_->OnMessage(now, FromSocket(from), *message));
   topics_.Dispatch(now, *message);
   timer_.After(std::max<net::Steady::duration>(
-      std::chrono::duration_cast<net::Steady::duration>(members_->NextDue() - Now()), kLeastWait));
+      std::chrono::duration_cast<net::Steady::duration>(members_->NextDeadline() - Now()), kLeastWait));
 }
 
 void Fleet::Tick() {
@@ -169,7 +169,7 @@
   Carry(members_->Tick(Now()));
   SetPhase();
   timer_.After(std::max<net::Steady::duration>(
-      std::chrono::duration_cast<net::Steady::duration>(members_->NextDue() - Now()), kLeastWait));
+      std::chrono::duration_cast<net::Steady::duration>(members_->NextDeadline() - Now()), kLeastWait));
 }
 
 void Fleet::SetPhase() {
@@ -244,7 +244,7 @@
   std::sort(snapshot.members.begin(), snapshot.members.end(),
             [](const auto& a, const auto& b) { return a.record.name < b.record.name; });
   snapshot.local_health = members_->local_health();
-  snapshot.holds_removals = members_->holds_removals();
+  snapshot.defers_removals = members_->defers_removals();
   snapshot.counters = members_->counters();
   return snapshot;
 }
@@ -269,13 +269,13 @@
   for (const auto& other : snapshot.members) {
     ++by_state[static_cast<std::size_t>(other.record.state)];
     if (other.record.state != MemberState::kDead)
-      quiet = std::max(quiet, other.last_heard_ago.count() / 1000);
+      quiet = std::max(quiet, other.since_last_message.count() / 1000);
   }
   const auto number = [](std::uint64_t value) { return static_cast<double>(value); };
   add("members", MetricType::Gauge, "Members by what this node holds of them, itself among the alive.",
       {{"alive", by_state[0]}, {"suspect", by_state[1]}, {"gone", by_state[2]}}, "state");
   add("cut_off", MetricType::Gauge, "1 while this node holds its view, as too many are silent.",
-      {{"", snapshot.holds_removals ? 1 : 0}}, nullptr);
+      {{"", snapshot.defers_removals ? 1 : 0}}, nullptr);
   add("health", MetricType::Gauge, "0: well; up to 8: slow to accuse others.", {{"", snapshot.local_health}},
       nullptr);
   add("quiet_seconds", MetricType::Gauge, "Since the member that was quiet longest was heard itself.",
--- a/src/fleet/fleet.h
+++ b/src/fleet/fleet.h
@@ -39,7 +39,7 @@
     decide::MemberRecord self;
     std::vector<decide::MemberView> members;  // By name.
     int local_health = 0;
-    bool holds_removals = false;
+    bool defers_removals = false;
     bool is_transport_open = false;
     decide::MembershipCounters counters;
     net::GossipTransport::Counters transport;
--- a/src/lab/sim/network.cpp
+++ b/src/lab/sim/network.cpp
@@ -323,7 +323,7 @@
 
   void Schedule(std::size_t i) {
     Node& node = nodes_[i];
-    const Milliseconds due = node.membership->NextDue();
+    const Milliseconds due = node.membership->NextDeadline();
     // A loop has its grain: nothing is due at the very moment at which it was asked.
     const Millis in = std::max(Millis(1), (due - ClockOf(node)) / node.pace);
     Push({.at = now_ + in, .what = What::kTick, .node = i, .mark = ++node.tick});
@@ -351,7 +351,7 @@
 
   void Take(std::size_t i, decide::MembershipActions actions) {
     for (const decide::MembershipEvent& word : actions.events) Hear(i, word);
-    if (nodes_[i].membership->holds_removals()) result_.was_cut_off[i] = true;
+    if (nodes_[i].membership->defers_removals()) result_.was_cut_off[i] = true;
     for (decide::OutgoingMessage& send : actions.messages) Send(i, std::move(send));
     result_.most_queued = std::max(result_.most_queued, nodes_[i].membership->queued_broadcasts());
     if (nodes_[i].membership->queued_broadcasts() > nodes_.size())
