--- a/src/cli/control_of_node.cpp
+++ b/src/cli/control_of_node.cpp
@@ -3,7 +3,7 @@
 #include <arpa/inet.h>
 #include <unistd.h>
 
-#include "background/keeper.h"
+#include "background/learned_state_persister.h"
 #include "control/server.h"
 #include "fleet/fleet.h"
 #include "log/log.h"
@@ -19,13 +19,14 @@
           const FleetOfNode* fleet, const ServicesOfNode* services)
       : server_(node.base(), {.path = path},
                 [&node, generation, fleet] {
-                  Json json = control::SnapshotJson(node.See(), {HINGELINK_VERSION, getpid(), generation});
+                  Json json =
+                      control::SnapshotJson(node.TakeSnapshot(), {HINGELINK_VERSION, getpid(), generation});
                   if (fleet != nullptr) json["fleet"] = Json::parse(fleet->Short());
                   return json;
                 },
                 {{"drain",
                   [&node](const nlohmann::json&) {
-                    return Json{{"already", !node.Leave()}};
+                    return Json{{"already", !node.StartDrain()}};
                   }},
                  {"reload",
                   [&node](const nlohmann::json&) {
@@ -36,12 +37,12 @@
                  {"connections",
                   [&node](const nlohmann::json& args) {
                     Json list = Json::array();
-                    for (const auto& c : node.SeeConnections(args.value("most", std::size_t{64}))) {
+                    for (const auto& c : node.TakeConnectionSnapshots(args.value("most", std::size_t{64}))) {
                       list.push_back({{"id", c.id},
                                       {"requests", c.requests},
-                                      {"open", c.open},
+                                      {"open", c.open_requests},
                                       {"unsent_bytes", c.unsent_bytes},
-                                      {"quiet_ms", c.quiet.count()}});
+                                      {"quiet_ms", c.idle.count()}});
                     }
                     return Json{{"connections", std::move(list)}};
                   }},
@@ -85,29 +86,29 @@
 class KeptState : public StateOfNode {
  public:
   KeptState(node::Node& node, const std::string& folder)
-      : keeper_(node, state::SystemFiles(), {.folder = folder}) {}
+      : keeper_(node, state::SystemFileSystem(), {.directory = folder}) {}
   void Finish() override { keeper_.Finish(); }
   std::string Jobs() const override {
     static constexpr const char* kStates[] = {"resting", "due", "running"};
     Json jobs = Json::array();
-    for (const background::JobLook& job : keeper_.LookAt()) {
+    for (const background::JobReport& job : keeper_.JobReports()) {
       jobs.push_back({{"name", job.name},
                       {"priority", job.priority},
-                      {"state", kStates[static_cast<int>(job.look.state)]},
-                      {"runs", job.look.runs},
-                      {"failures", job.look.failures},
-                      {"starved", job.look.starved},
-                      {"cancelled", job.look.cancelled},
-                      {"due_for_ms", job.look.due_for.count()},
-                      {"last_took_ms", job.look.last_took.count()},
-                      {"cpu_ms", job.look.cpu.count()},
-                      {"bytes", job.look.bytes}});
+                      {"state", kStates[static_cast<int>(job.stats.state)]},
+                      {"runs", job.stats.runs},
+                      {"failures", job.stats.failures},
+                      {"starved", job.stats.starvation_runs},
+                      {"cancelled", job.stats.cancelled},
+                      {"due_for_ms", job.stats.overdue_by.count()},
+                      {"last_took_ms", job.stats.last_duration.count()},
+                      {"cpu_ms", job.stats.cpu.count()},
+                      {"bytes", job.stats.bytes}});
     }
     return jobs.dump();
   }
 
  private:
-  background::Keeper keeper_;
+  background::LearnedStatePersister keeper_;
 };
 
 class MembersOfFleet : public FleetOfNode {
--- a/tests/compatibility/stored_formats_test.cpp
+++ b/tests/compatibility/stored_formats_test.cpp
@@ -3,17 +3,17 @@
 #include <nlohmann/json.hpp>
 #include <string>
 
-#include "benchlink/settings_parser.h"
 #include "control/protocol.h"
-#include "decide/recall.h"
+#include "decide/learned/learned_state_import.h"
 #include "fixtures.h"
 #include "fleet/codec.h"
 #include "lab/scenario/scenario.h"
 #include "log/log.h"
 #include "node/config.h"
 #include "schema/schema.h"
+#include "simulator_adapter/settings_parser.h"
 #include "state/learned_store.h"
-#include "state/plan_store.h"
+#include "state/supervisor_state_store.h"
 
 namespace hingelink {
 namespace {
@@ -55,36 +55,36 @@
   snapshot.uptime = std::chrono::milliseconds(12345);
   node::ClassSnapshot of_class;
   of_class.name = "usage-view";
-  of_class.held = 1;
+  of_class.queued = 1;
   of_class.running = 2;
   of_class.served = 3;
-  of_class.refused = 4;
+  of_class.rejected = 4;
   of_class.failed = 5;
   snapshot.classes = {of_class};
   node::GatewaySnapshot gateway;
-  gateway.via = 6;
-  gateway.open = 7;
+  gateway.gateway_id = 6;
+  gateway.open_requests = 7;
   gateway.requests = 8;
   gateway.served = 9;
-  gateway.refused = 10;
+  gateway.rejected = 10;
   gateway.failed = 11;
   snapshot.gateways = {gateway};
-  snapshot.gateways_known = 12;
+  snapshot.gateway_count = 12;
   node::LoopSnapshot loop;
   loop.connections = 13;
-  loop.told_waiting = 14;
-  loop.orders_waiting = 15;
-  loop.busy = 0.5;
-  loop.taken = 16;
-  loop.hung = true;
+  loop.pending_messages = 14;
+  loop.pending_commands = 15;
+  loop.cpu_fraction = 0.5;
+  loop.connections_received = 16;
+  loop.stalled = true;
   snapshot.loops = {loop};
-  snapshot.owed = 17;
+  snapshot.unanswered = 17;
   snapshot.connections = 18;
-  snapshot.runs = 19;
-  snapshot.pool_bound = true;
+  snapshot.executions = 19;
+  snapshot.pool_connected = true;
   snapshot.pool_address = "127.0.0.1:9300";
-  snapshot.pool_busy = 0.75;
-  snapshot.registry_good = true;
+  snapshot.pool_cpu_busy = 0.75;
+  snapshot.registry_healthy = true;
   snapshot.registry_address = "127.0.0.1:8761";
   snapshot.drain = node::DrainSnapshot{std::chrono::milliseconds(2000), 20};
   return snapshot;
@@ -100,20 +100,20 @@
 }
 
 TEST(ControlSnapshot, NamesTheStatesOfANode) {
-  EXPECT_STREQ(node::StateName(node::NodeState::kStarting), "starting");
-  EXPECT_STREQ(node::StateName(node::NodeState::kServing), "serving");
-  EXPECT_STREQ(node::StateName(node::NodeState::kHandedOver), "handed-over");
-  EXPECT_STREQ(node::StateName(node::NodeState::kDraining), "draining");
+  EXPECT_STREQ(node::NodeStateName(node::NodeState::kStarting), "starting");
+  EXPECT_STREQ(node::NodeStateName(node::NodeState::kServing), "serving");
+  EXPECT_STREQ(node::NodeStateName(node::NodeState::kHandedOver), "handed-over");
+  EXPECT_STREQ(node::NodeStateName(node::NodeState::kDraining), "draining");
 }
 
 TEST(LearnedState, IsReadAndWrittenAgainWithTheSameBytes) {
   for (const char* name : {"learned/learned.state", "learned/learned.state.1"}) {
     const std::string bytes = ReadFixture(name);
     const state::DecodedLearned decoded = state::DecodeLearned(bytes, false);
-    ASSERT_EQ(decoded.what, state::DecodedLearned::What::kWhole) << name;
+    ASSERT_EQ(decoded.status, state::DecodedLearned::Status::kValid) << name;
     EXPECT_EQ(decoded.bytes, bytes.size());
-    EXPECT_EQ(state::EncodeLearned(decoded.stored, false), bytes) << name;
-    EXPECT_FALSE(decoded.stored.remembered.learned.classes.empty());
+    EXPECT_EQ(state::EncodeLearned(decoded.entry, false), bytes) << name;
+    EXPECT_FALSE(decoded.entry.record.learned.classes.empty());
   }
   std::string_view log_bytes;
   const std::string log = ReadFixture("learned/learned.log");
@@ -121,8 +121,8 @@
   std::string again;
   while (!log_bytes.empty()) {
     const state::DecodedLearned decoded = state::DecodeLearned(log_bytes, true);
-    ASSERT_EQ(decoded.what, state::DecodedLearned::What::kWhole);
-    again += state::EncodeLearned(decoded.stored, true);
+    ASSERT_EQ(decoded.status, state::DecodedLearned::Status::kValid);
+    again += state::EncodeLearned(decoded.entry, true);
     log_bytes.remove_prefix(decoded.bytes);
   }
   EXPECT_EQ(again, log);
@@ -131,10 +131,10 @@
 TEST(SupervisorPlan, IsReadAndWrittenAgainWithTheSameBytes) {
   const std::string text = ReadFixture("plan.json");
   const std::string boot = json::parse(text).at("boot").get<std::string>();
-  const state::FoundPlan found = state::PlanStore::Decode(text, boot);
-  ASSERT_EQ(found.what, state::FoundPlan::What::kGood);
-  EXPECT_TRUE(found.plan.current);
-  EXPECT_EQ(state::PlanStore::Encode(found.plan, boot), text);
+  const state::LoadedSupervisorState found = state::SupervisorStateStore::Decode(text, boot);
+  ASSERT_EQ(found.status, state::LoadedSupervisorState::Status::kValid);
+  EXPECT_TRUE(found.state.current);
+  EXPECT_EQ(state::SupervisorStateStore::Encode(found.state, boot), text);
 }
 
 TEST(Scenarios, AreReadAndWrittenAgainWithTheSameBytes) {
@@ -210,16 +210,17 @@
 
 // Every key with a value of its own, none of them its default.
 TEST(SettingsKeys, AreReadFromTheFlatForm) {
-  ExpectFixture("settings-read.txt", Describe(benchlink::ParseSettings(ReadFixture("settings.txt"))));
+  ExpectFixture("settings-read.txt", Describe(simulator_adapter::ParseSettings(ReadFixture("settings.txt"))));
 }
 
 TEST(SettingsKeys, AreReadFromTheNodesConfiguration) {
   const node::Config config = node::ReadConfig(FixturePath("node-config.json"));
   ExpectFixture("node-config-read.txt",
-                config.name + ' ' + config.listen + ' ' + config.pool + ' ' + config.registry + ' ' +
-                    config.store + ' ' + config.ops + ' ' + std::to_string(config.seed) + ' ' +
-                    std::to_string(config.stop.count()) + ' ' + std::to_string(config.sockets) + ' ' +
-                    std::to_string(config.memory_mb) + '\n' + Describe(config.settings));
+                config.name + ' ' + config.listen_address + ' ' + config.pool_address + ' ' +
+                    config.registry_address + ' ' + config.store_address + ' ' + config.admin_address + ' ' +
+                    std::to_string(config.seed) + ' ' + std::to_string(config.drain_timeout.count()) + ' ' +
+                    std::to_string(config.max_descriptors) + ' ' + std::to_string(config.memory_limit_mb) +
+                    '\n' + Describe(config.settings));
 }
 
 TEST(SettingsKeys, AreNamedByErrors) {
@@ -233,7 +234,7 @@
     std::string bad = good;
     bad.replace(start, line.size(), key + "=?");
     try {
-      benchlink::ParseSettings(bad);
+      simulator_adapter::ParseSettings(bad);
       errors += key + ": taken\n";
     } catch (const std::exception& error) {
       errors += key + ": " + error.what() + '\n';
