--- /dev/null
+++ b/tests/node/admin_integration_test.cpp
@@ -0,0 +1,87 @@
+// The admin server of a whole node: readiness, metrics, malformed calls.
+#include <gtest/gtest.h>
+
+#include <string>
+#include <vector>
+
+#include "integration_fixture.h"
+
+namespace {
+
+using namespace node_tests;
+
+class NodeAdminServerTest : public NodeIntegrationTest {};
+
+INSTANTIATE_TEST_SUITE_P(Threads, NodeAdminServerTest, kThreadCounts, ThreadCountName);
+
+// Calls come in any pieces; callers that complete no call keep out nobody.
+TEST_P(NodeAdminServerTest, ServesReadinessAndMetricsDespiteIncompleteAndMalformedCalls) {
+  RunningNode node(Options());
+  std::vector<Gateway> idle;
+  for (int i = 0; i < 20; ++i) idle.emplace_back(node.admin_port());
+  Gateway half(node.admin_port());
+  half.Write("GET /ops/readiness HT");
+  ASSERT_TRUE(node.Get("/ops/readiness").starts_with("HTTP/1.1 503 "));  // The worker pool is not up.
+  PoolLink link(node.pool, 0);
+  AcceptCommands(link);
+  Gateway gateway(node.port());
+  gateway.Write(Gateway::Request(1, kFirst, "x"));
+  link.Command();
+  half.Write("TP/1.1\r\nHost: n3\r\n\r");
+  half.Write("\n");
+  ASSERT_TRUE(half.socket().Rest().starts_with("HTTP/1.1 200 "));
+  ASSERT_TRUE(node.Get("/ops/stats?all").starts_with("HTTP/1.1 200 "));
+  ASSERT_TRUE(node.Get("/ops").starts_with("HTTP/1.1 404 "));
+  ASSERT_TRUE(node.Ask("POST /ops/stats HTTP/1.1\r\n\r\n").starts_with("HTTP/1.1 405 "));
+  for (const char* malformed :
+       {"nonsense\r\n\r\n", "GET  HTTP/1.1\r\n\r\n", "GET / HTTP/1.1\r\nno field\r\n\r\n"}) {
+    ASSERT_TRUE(node.Ask(malformed).starts_with("HTTP/1.1 400 "));
+  }
+  ASSERT_TRUE(node.Ask("GET /" + std::string(9000, 'x')).starts_with("HTTP/1.1 400 "));
+  for (Gateway& caller : idle) ASSERT_TRUE(caller.socket().Closed());  // By the deadline at the latest.
+  node.Leave();
+  ASSERT_EQ(gateway.Read().type, kStopNewRequestsFrame);
+  ASSERT_TRUE(node.Get("/ops/readiness").starts_with("HTTP/1.1 503 "));
+}
+
+// Metrics by class and outcome, from 0 on.
+TEST_P(NodeAdminServerTest, CountsEachOutcomeOnceWhereItsAnswerIsWritten) {
+  RunningNode node(Options());
+  Gateway gateway(node.port());
+  gateway.Write(Gateway::Request(1, kFirst, "x"));  // Rejected: no worker pool yet.
+  gateway.ReadAnswer(1, kRejected);
+  PoolLink link(node.pool, 0);
+  AcceptCommands(link);
+  std::string metrics = node.Get("/ops/stats");
+  ASSERT_TRUE(HasLine(metrics, "edge_node_calls{tier=\"usage-view\",code=\"success\"} 0"));  // From 0 on.
+  gateway.Write(Gateway::Request(2, kFirst, "x"));
+  link.Command();
+  ASSERT_TRUE(HasLine(node.Get("/ops/stats"), "edge_node_inflight 1"));
+  link.Finish(1, kFirst, "complete", "y");
+  gateway.ReadAnswer(2, kServed);
+  gateway.Write(Gateway::Request(3, kSecond, "x"));
+  link.Command();
+  link.Finish(2, kSecond, "error", "");
+  gateway.ReadAnswer(3, kFailed);
+  gateway.Write(Gateway::Request(4, kSecond, "x"));  // One attempt id a second time.
+  gateway.ReadAnswer(4, kFailed);
+  gateway.Write(Gateway::Request(5, kThird, "x", {{"via", "none"}}));  // Malformed.
+  gateway.ReadAnswer(5, kRejected);
+  gateway.Write(Gateway::Request(6, kThird, "x", {{"kind", "no-such"}}));  // Of no class: not counted.
+  gateway.ReadAnswer(6, kRejected);
+  gateway.Write(Gateway::Request(7, kThird, "x"));
+  link.Command();
+  gateway.Write(peers::Number(1, 4) + std::string(5, '\0'));  // A framing error fails open requests.
+  gateway.ReadAnswer(7, kFailed);
+  gateway.ReadAnswer(0, kFailed);
+  // A loop reports the failed request after its answer.
+  do {
+    metrics = node.Get("/ops/stats");
+  } while (!HasLine(metrics, "edge_node_inflight 0"));
+  ASSERT_TRUE(HasLine(metrics, "edge_node_calls{tier=\"order-lodge\",code=\"success\"} 1"));
+  ASSERT_TRUE(HasLine(metrics, "edge_node_calls{tier=\"order-lodge\",code=\"busy\"} 2"));
+  ASSERT_TRUE(HasLine(metrics, "edge_node_calls{tier=\"order-lodge\",code=\"failure\"} 3"));
+  ASSERT_TRUE(HasLine(metrics, "edge_node_backend_calls 3"));
+}
+
+}  // namespace
--- /dev/null
+++ b/tests/node/connection_integration_test.cpp
@@ -0,0 +1,180 @@
+// Gateway connections of a whole node: framing errors, slow peers, the descriptor limit.
+#include <gtest/gtest.h>
+
+#include <cstddef>
+#include <cstdint>
+#include <random>
+#include <string>
+#include <vector>
+
+#include "integration_fixture.h"
+
+namespace {
+
+using namespace node_tests;
+
+// Keeps `connection` in use for so long.
+void SendHealthChecks(Gateway& connection, std::uint64_t duration_ms) {
+  for (const std::uint64_t began = Gateway::UnixMs(); Gateway::UnixMs() < began + duration_ms;) {
+    connection.Write(kHealthCheck);
+    ASSERT_EQ(connection.Read().type, kHealthResponseFrame);
+  }
+}
+
+class NodeConnectionTest : public NodeIntegrationTest {};
+
+INSTANTIATE_TEST_SUITE_P(Threads, NodeConnectionTest, kThreadCounts, ThreadCountName);
+
+// It is reported on stream 0. Random bytes, the same in every run, do not end the node.
+TEST_P(NodeConnectionTest, AFramingErrorEndsItsConnectionAndNoOther) {
+  RunningNode node(Options());
+  PoolLink link(node.pool, 0);
+  AcceptCommands(link);
+  Gateway good(node.port());
+  const std::string faults[] = {
+      peers::Number(4, 4) + std::string(5, '\0'),
+      peers::Number(262'145, 4) + std::string(5, '\0'),
+      Gateway::Encode(3, 1, ""),
+      Gateway::Request(0, kFirst, "x"),
+      Gateway::Encode(1, 1, ""),
+  };
+  for (const std::string& fault : faults) {
+    Gateway gateway(node.port());
+    gateway.Write(fault);
+    gateway.ReadAnswer(0, kFailed);
+    ASSERT_TRUE(gateway.socket().Closed());
+  }
+  // Random bytes: whatever they are answered, the node serves on.
+  std::mt19937_64 draw(7);
+  for (int round = 0; round < 200; ++round) {
+    Gateway gateway(node.port());
+    std::string noise = Gateway::Request(1, kSecond, "noise", {{"timeout", "1"}});
+    for (int flips = 0; flips < 4; ++flips) noise[draw() % noise.size()] = static_cast<char>(draw());
+    gateway.Write(noise);
+  }
+  good.Write(Gateway::Request(1, kFirst, "x"));
+  while (link.Command().find(kFirst) == std::string::npos) {
+  }
+  link.Finish(1, kFirst, "complete", "y");
+  ASSERT_EQ(good.ReadAnswer(1, kServed).body, "y");
+}
+
+// The open requests of the connection are answered as well.
+TEST_P(NodeConnectionTest, AFramingErrorIsReportedWhileThePeerIsStillSending) {
+  ServingNode serving(Options());
+  auto& [node, link, gateway] = serving;
+  gateway.Write(Gateway::Request(1, kFirst, "x"));
+  link.Command();
+  gateway.Write(peers::Number(60'000'000, 4) + std::string(3'000'000, 'x'));
+  gateway.ReadAnswer(1, kFailed);
+  gateway.ReadAnswer(0, kFailed);
+  ASSERT_TRUE(gateway.socket().Finished());
+}
+
+// Without an idle one the new connection is closed. Descriptors of the pool and the registry are reserved.
+TEST_P(NodeConnectionTest, AtTheDescriptorLimitAnIdleConnectionIsEvictedLeastUsefulFirst) {
+  NodeOptions options = Options();
+  options.max_descriptors = DescriptorLimit(64);
+  RunningNode node(options);
+  PoolLink link(node.pool, 0);
+  AcceptCommands(link);
+  Gateway served(node.port());
+  served.Write(Gateway::Request(1, kFirst, "x"));
+  link.Command();
+  link.Finish(1, kFirst, "complete", "y");
+  served.ReadAnswer(1, kServed);
+  Gateway checks(node.port());
+  checks.Write(kHealthCheck);
+  ASSERT_EQ(checks.Read().type, kHealthResponseFrame);
+  std::vector<Gateway> silent;
+  for (int i = 0; i < 30; ++i) silent.emplace_back(node.port());
+  // The new connections evict the silent ones in turn, then the one that was not served.
+  std::vector<Gateway> more;
+  for (int i = 0; i < 31; ++i) {
+    more.emplace_back(node.port());
+    more.back().Write(kHealthCheck);
+    ASSERT_EQ(more.back().Read().type, kHealthResponseFrame);
+    ASSERT_TRUE((i < 30 ? silent[i] : checks).socket().Closed());
+  }
+  served.Write(kHealthCheck);
+  ASSERT_EQ(served.Read().type, kHealthResponseFrame);
+}
+
+// A peer whose frames are complete may be idle.
+TEST_P(NodeConnectionTest, APeerWithoutACompleteFrameIsDisconnected) {
+  RunningNode node(Options());
+  Gateway idle(node.port());
+  Gateway silent(node.port());
+  Gateway half(node.port());
+  Gateway endless(node.port());
+  idle.Write(kHealthCheck);
+  ASSERT_EQ(idle.Read().type, kHealthResponseFrame);
+  half.Write(kHealthCheck.substr(0, 7));
+  Gateway used(node.port());
+  used.Write(kHealthCheck + kHealthCheck.substr(0, 7));
+  ASSERT_EQ(used.Read().type, kHealthResponseFrame);
+  endless.Write(peers::Number(200'000, 4) + peers::Number(1, 5) + std::string(50'000, 'x'));
+  endless.ReadAnswer(1, kRejected);
+  const std::uint64_t began = Gateway::UnixMs();
+  ASSERT_TRUE(silent.socket().Closed());
+  ASSERT_TRUE(half.socket().Closed());
+  ASSERT_TRUE(endless.socket().Closed());
+  ASSERT_LT(Gateway::UnixMs() - began, 3000u);
+  ASSERT_TRUE(used.socket().Closed());
+  idle.Write(kHealthCheck);
+  ASSERT_EQ(idle.Read().type, kHealthResponseFrame);
+}
+
+// A first frame that comes in pieces, and a pause within a later one.
+TEST_P(NodeConnectionTest, ASlowClientWithFramesInPiecesIsServed) {
+  RunningNode node(Options());
+  Gateway clock(node.port());
+  Gateway pieces(node.port());
+  Gateway pause(node.port());
+  pause.Write(kHealthCheck + kHealthCheck.substr(0, 7));
+  ASSERT_EQ(pause.Read().type, kHealthResponseFrame);
+  for (std::size_t at = 0; at < kHealthCheck.size(); at += 4) {
+    pieces.Write(kHealthCheck.substr(at, 4));
+    SendHealthChecks(clock, 1000);
+  }
+  ASSERT_EQ(pieces.Read().type, kHealthResponseFrame);
+  pause.Write(kHealthCheck.substr(7));
+  ASSERT_EQ(pause.Read().type, kHealthResponseFrame);
+}
+
+// A connection with complete frames keeps its place.
+TEST_P(NodeConnectionTest, IncompleteFramesThatFillTheDescriptorLimitAreEvictedOldestFirst) {
+  NodeOptions options = Options();
+  options.max_descriptors = DescriptorLimit(64);
+  RunningNode node(options);
+  Gateway clock(node.port());
+  std::vector<Gateway> half;
+  for (int i = 0; i < 31; ++i) {
+    half.emplace_back(node.port());
+    half.back().Write(kHealthCheck.substr(0, 7));
+  }
+  SendHealthChecks(clock, 1300);
+  Gateway next(node.port());
+  next.Write(kHealthCheck);
+  ASSERT_EQ(next.Read().type, kHealthResponseFrame);
+  clock.Write(kHealthCheck);  // Not evicted.
+  ASSERT_EQ(clock.Read().type, kHealthResponseFrame);
+}
+
+// Backpressure is per connection.
+TEST_P(NodeConnectionTest, AGatewayThatNeverReadsIsNoLongerReadAndDelaysNobody) {
+  RunningNode node(Options());
+  PoolLink link(node.pool, 0);
+  AcceptCommands(link);
+  Gateway slow(node.port());
+  std::string checks;
+  while (checks.size() < 100'000) checks += kHealthCheck;
+  // Until the sockets are full: the node has stopped reading.
+  while (send(slow.socket().fd(), checks.data(), checks.size(), MSG_NOSIGNAL | MSG_DONTWAIT) > 0) {
+  }
+  Gateway good(node.port());
+  good.Write(kHealthCheck);
+  ASSERT_EQ(good.Read().type, kHealthResponseFrame);
+}
+
+}  // namespace
--- a/tests/node/gate.h
+++ b/tests/node/gate.h
@@ -1,4 +1,4 @@
-// A gate at which a thread of a story waits until the test opens it. Guards those that wait by a bound.
+// A gate at which a thread waits until the test opens it, for a bounded time.
 #ifndef HINGELINK_TESTS_NODE_GATE_H_
 #define HINGELINK_TESTS_NODE_GATE_H_
 
--- a/tests/node/node_lifecycle_test.cpp
+++ b/tests/node/node_lifecycle_test.cpp
@@ -22,13 +22,7 @@
 const std::string kOne = "00000000000000a1", kTwo = "00000000000000a2", kThree = "00000000000000a3";
 const std::string kCheck = Gateway::Encode(6, 1, std::string(1, '\0'));
 
-// What a test changes of its node's configuration ends with it.
-class NodeLifecycle : public testing::Test {
- protected:
-  void TearDown() override {
-    peers::edit_config = [](std::string text) { return text; };
-  }
-};
+class NodeLifecycle : public testing::Test {};
 
 struct BoundLink : PoolLink {
   explicit BoundLink(const peers::Listener& pool, std::uint64_t last_notice = 0)
@@ -43,7 +37,7 @@
 // A notice to leave before the worker pool was ever up: what came is refused, and the node ends by itself in
 // good order.
 TEST_F(NodeLifecycle, ANoticeToLeaveBeforeThePoolIsUpIsCarriedOut) {
-  RunningNode node(300);
+  RunningNode node({.drain_timeout_ms = 300});
   Gateway gateway(node.port());
   gateway.Write(Gateway::Request(1, kOne, "early"));
   gateway.ReadAnswer(1, 1);
@@ -58,7 +52,7 @@
 // The link to the pool breaks in the middle of a drain, and none comes any more: the execution in flight is
 // failed, not refused, and a request that was held is answered as well.
 TEST_F(NodeLifecycle, ADrainWithABrokenPoolLinkAnswersAllThatWasRead) {
-  RunningNode node(500);
+  RunningNode node({.drain_timeout_ms = 500});
   Gateway gateway(node.port());
   {
     BoundLink link(node.pool);
@@ -85,7 +79,7 @@
 // A gateway that goes on sending, against the wish, until the node is gone: each request that was read is
 // answered, none of them runs, and the end is no reset.
 TEST_F(NodeLifecycle, TheExitUnderRequestsThatStillComeIsNoReset) {
-  RunningNode node(400);
+  RunningNode node({.drain_timeout_ms = 400});
   BoundLink link(node.pool);
   Gateway gateway(node.port());
   gateway.Write(kCheck);
@@ -121,13 +115,13 @@
 // A caller that breaks the connection under its keyed request: the key outlives it, and a later try gets the
 // result.
 TEST_F(NodeLifecycle, AKeyOutlivesTheConnectionThatBroughtIt) {
-  peers::edit_config = [](std::string text) {
+  const auto edit = [](const std::string& text) {
     json config = json::parse(text);
     config["settings"]["requestClasses"][1]["repeat"] = "keyed";
     config["settings"]["requestClasses"][1]["windowMs"] = 20000.0;
     return config.dump();
   };
-  RunningNode node;
+  RunningNode node({.edit_config = edit});
   BoundLink link(node.pool);
   const std::map<std::string, std::string> keyed = {{"opkey", kOne + kTwo}};
   {
@@ -184,7 +178,7 @@
 // A registry that hangs, and idle clients that fill all descriptors meanwhile: once it answers, reports go
 // out again.
 TEST_F(NodeLifecycle, IdleClientsThatFillTheDescriptorsKeepNoReportFromTheRegistry) {
-  RunningNode node(600, peers::Sockets(64, 1));
+  RunningNode node({.max_descriptors = 64});
   BoundLink link(node.pool);
   peers::Socket hanging = node.registry.Accept();
   std::vector<Gateway> idle;
@@ -229,7 +223,7 @@
 // class, and the names of the settings before mean nothing.
 TEST_F(NodeLifecycle, ServesOtherCustomersSettingsAndKeepsNothingOfThem) {
   constexpr int kClasses = 150;
-  peers::edit_config = [](std::string text) {
+  const auto edit = [](const std::string& text) {
     json config = json::parse(text);
     config["settings"]["requestClasses"] = json::array({{{"name", "zeta"},
                                                          {"goalTimeMs", 300.0},
@@ -238,7 +232,7 @@
                                                          {"worth", 2.0}}});
     return config.dump();
   };
-  RunningNode node;
+  RunningNode node({.edit_config = edit});
   BoundLink link(node.pool);
   Gateway gateway(node.port());
   EXPECT_EQ(Serve(gateway, link, 1, 1, "zeta"), "spawn " + ReqOf(1) + " zeta 4");
--- /dev/null
+++ b/tests/node/reconfiguration_integration_test.cpp
@@ -0,0 +1,140 @@
+// A whole node that drains or reloads its configuration while requests are in flight.
+#include <gtest/gtest.h>
+
+#include <cstddef>
+#include <cstdint>
+#include <string>
+
+#include "integration_fixture.h"
+
+namespace {
+
+using namespace node_tests;
+
+// `text` with the first `from` behind `behind` replaced.
+std::string With(std::string text, const std::string& behind, const std::string& from,
+                 const std::string& to) {
+  const std::size_t at = text.find(from, text.find(behind));
+  EXPECT_NE(at, std::string::npos) << from;
+  return text.replace(at, from.size(), to);
+}
+
+class NodeReconfigurationTest : public NodeIntegrationTest {};
+
+INSTANTIATE_TEST_SUITE_P(Threads, NodeReconfigurationTest, kThreadCounts, ThreadCountName);
+
+// To gateways and the registry. What arrived after the notice is rejected.
+TEST_P(NodeReconfigurationTest, ADrainIsAnnouncedAndEveryRequestThatWasReadIsAnswered) {
+  NodeOptions options = Options();
+  options.drain_timeout_ms = 2000;
+  RunningNode node(options);
+  PoolLink link(node.pool, 0);
+  AcceptCommands(link);
+  peers::Socket registry = node.registry.Accept();
+  ASSERT_EQ(registry.Line(), "PUT /v1/instances/n3 HTTP/1.1");
+  while (registry.Line() != "") {
+  }
+  ASSERT_EQ(registry.Bytes(17), R"({"state":"ready"})");
+  Gateway gateway(node.port());
+  gateway.Write(Gateway::Request(1, kFirst, "held"));
+  link.Command();
+  node.Leave();
+  ASSERT_EQ(gateway.Read().type, kStopNewRequestsFrame);
+  // The report in flight completes first; the new state follows at once, not a report interval later.
+  registry.Write("HTTP/1.1 204 No Content\r\n\r\n");
+  while (registry.Line() != "") {
+  }
+  ASSERT_EQ(registry.Bytes(20), R"({"state":"draining"})");
+  // Arrived after the grace period of the notice, which is 0 here.
+  gateway.Write(Gateway::Request(2, kSecond, "late", {{"ts", std::to_string(Gateway::UnixMs() + 1)}}));
+  gateway.ReadAnswer(2, kRejected);
+  gateway.ReadAnswer(1, kFailed);  // Its execution never finishes: failed before the kill.
+  node.Join();
+  ASSERT_TRUE(gateway.socket().Closed());
+}
+
+// An invalid configuration changes nothing.
+TEST_P(NodeReconfigurationTest, AReloadMovesToNewAddressesAndKeepsRequestsInFlight) {
+  RunningNode node(Options());
+  peers::Listener pool;
+  peers::Listener registry;
+  peers::Listener second_pool;
+  peers::Listener second_registry;
+  PoolLink old(node.pool, 0);
+  AcceptCommands(old);
+  Gateway gateway(node.port());
+  gateway.Write(Gateway::Request(1, kFirst, "first"));
+  old.Command();
+  const std::string moved = node.Moved(pool, registry);
+  const std::string moved_again = node.Moved(second_pool, second_registry);
+  node.Reload("{\"pool\":");
+  // The old link still carries commands.
+  old.Finish(1, kFirst, "complete", "old");
+  ASSERT_EQ(gateway.ReadAnswer(1, kServed).body, "old");
+  gateway.Write(Gateway::Request(2, kSecond, "second"));
+  ASSERT_TRUE(old.Command().starts_with("spawn " + kSecond));
+  node.Reload(moved);
+  peers::Socket reports = registry.Accept();
+  ASSERT_TRUE(reports.Line().starts_with("PUT "));
+  PoolLink fresh(pool, 1);
+  // A second reload before the new link carries commands.
+  node.Reload(moved_again);
+  ASSERT_TRUE(second_registry.Accept().Line().starts_with("PUT "));
+  PoolLink link(second_pool, 1);
+  link.Bound();
+  const std::string barrier = link.Line();
+  ASSERT_TRUE(barrier.starts_with("poll "));
+  // The execution went on meanwhile: its notice is replayed, and it is not sent again.
+  link.Finish(2, kSecond, "complete", "moved");
+  link.AnswerPoll(barrier);
+  ASSERT_EQ(gateway.ReadAnswer(2, kServed).body, "moved");
+  gateway.Write(Gateway::Request(3, kThird, "third"));
+  ASSERT_TRUE(link.Command().starts_with("spawn " + kThird));
+}
+
+// Requests are open in a class that is removed.
+TEST_P(NodeReconfigurationTest, AReloadOfClassesIsAppliedWholeOrNotAtAll) {
+  ServingNode serving(Options());
+  auto& [node, link, gateway] = serving;
+  const std::string first = node.config();
+  int failed = 0;
+  const auto await_metric = [&](const std::string& metric, int count) {
+    while (!HasLine(node.Get("/ops/stats"), metric + ' ' + std::to_string(count))) {
+    }
+  };
+  const std::string order_class = "order-lodge";
+  for (const std::string& invalid :
+       {std::string(), first.substr(0, first.size() - 1), With(first, order_class, ",\"worth\":5.0", ""),
+        With(first, "rules", "\"fallMs\":1500.0,", ""), With(first, "{", "\"ops\":\"127.0.0.1:0\",", ""),
+        With(first, order_class, "\"repeat\":\"unsafe\",", ""),
+        With(first, order_class, "4900.0", "\"4900.0\""), With(first, order_class, "4900.0", "null"),
+        With(first, order_class, "4900.0", "0"), With(first, order_class, "4900.0", "-1"),
+        With(first, order_class, "4900.0", "1e999"), With(first, "", order_class, "usage-view"),
+        With(first, "specifics", "\"cpus\":1", "\"cpus\":\"1\""),
+        With(With(first, "", order_class, "order-new"), "order-new", "\"goalTimeMs\":2000.0,", "")}) {
+    node.Reload(invalid);
+    await_metric("edge_node_reconfig_failed", ++failed);
+  }
+  gateway.Write(Gateway::Request(1, kFirst, "x"));
+  link.Command();
+  // Of two requests with one arrival time either may start first.
+  gateway.Write(Gateway::Request(2, kSecond, "held", {{"ts", std::to_string(Gateway::UnixMs() - 100)}}));
+  gateway.Write(Gateway::HealthCheck(9));
+  ASSERT_EQ(gateway.Read().type, kHealthResponseFrame);  // Both have been read.
+  node.Reload(With(With(first, "", order_class, "order-new"), "", "usage-view", "usage-new"));
+  await_metric("edge_node_reconfig_ok", 1);
+  gateway.Write(Gateway::Request(3, kThird, "x"));
+  gateway.ReadAnswer(3, kRejected);  // Of a class that was removed.
+  gateway.Write(Gateway::Request(4, kFourth, "x", {{"kind", "order-new"}}));
+  link.Finish(1, kFirst, "complete", "y");
+  ASSERT_EQ(gateway.ReadAnswer(1, kServed).body, "y");
+  ASSERT_EQ(link.Command(), "spawn " + kSecond + " order-lodge 4");
+  link.Finish(2, kSecond, "complete", "z");
+  ASSERT_EQ(gateway.ReadAnswer(2, kServed).body, "z");
+  ASSERT_EQ(link.Command(), "spawn " + kFourth + " order-new 1");
+  const std::string metrics = node.Get("/ops/stats");
+  ASSERT_TRUE(HasLine(metrics, "edge_node_calls{tier=\"usage-new\",code=\"busy\"} 0"));
+  ASSERT_TRUE(HasLine(metrics, "edge_node_calls{tier=\"order-lodge\",code=\"success\"} 2"));
+}
+
+}  // namespace
--- /dev/null
+++ b/tests/node/request_integration_test.cpp
@@ -0,0 +1,283 @@
+// Requests through a whole node: answers, rejections, shared reads, keyed requests, deadlines.
+#include <gtest/gtest.h>
+
+#include <cstddef>
+#include <cstdint>
+#include <map>
+#include <string>
+#include <utility>
+#include <vector>
+
+#include "integration_fixture.h"
+#include "proto/pool_lines.h"
+
+namespace {
+
+using namespace node_tests;
+
+// With tenants, a keyed class, an upstream store, and callers that send no remaining wait.
+std::string WithKeyedClass(std::string json, const std::string& store_address) {
+  const auto replace = [&json](const std::string& what, const std::string& with) {
+    const std::size_t at = json.find(what);
+    ASSERT_NE(at, std::string::npos) << what;
+    json.replace(at, what.size(), with);
+  };
+  replace(R"("requestClasses":[)",
+          R"("requestClasses":[{"name":"claim","goalTimeMs":2000.0,"hardLimitMs":4900.0,
+      "repeat":"keyed","windowMs":20000.0,"worth":1.0},)");
+  replace(R"("tenants":[])", R"("tenants":[{"name":"north","portion":0.5,"quotaRps":90.0},
+      {"name":"west","portion":0.5,"quotaRps":90.0}])");
+  replace(R"("passesDeadline":true)", R"("passesDeadline":false)");
+  replace(R"("dependsOn":"silent")",
+          R"("dependsOn":"shared","callShare":8.0,"callsOverMs":5000.0,"lingersMs":200.0,
+      "classCalls":[true,true,false],"worthWithout":[0.0,0.5,0.0])");
+  replace(R"("pool":)", R"("store":")" + store_address + R"(","pool":)");
+  return json;
+}
+
+class NodeRequestTest : public NodeIntegrationTest {};
+
+INSTANTIATE_TEST_SUITE_P(Threads, NodeRequestTest, kThreadCounts, ThreadCountName);
+
+// Any bytes pass through unchanged, and answers go to their streams whatever their order.
+TEST_P(NodeRequestTest, AnswersEachRequestOnItsStreamWithTheBytesOfItsExecution) {
+  RunningNode node(Options());
+  Gateway checks(node.port());
+  checks.Write(Gateway::HealthCheck(1));
+  Frame health = checks.Read();
+  ASSERT_EQ(health.type, kHealthResponseFrame);
+  ASSERT_EQ(health.code, 0);  // Before the pool is up, too.
+  PoolLink link(node.pool, 0);
+  AcceptCommands(link);
+  Gateway gateway(node.port());
+  const std::string body("a\r\n\0b", 5);
+  const std::string result("\0finished 9\r\n", 13);
+  // One arrival time for both, as the older one starts first.
+  const std::map<std::string, std::string> now = {{"ts", std::to_string(Gateway::UnixMs())}};
+  gateway.Write(Gateway::Request(1, kFirst, body, now) + Gateway::Request(2, kSecond, "", now));
+  // One core: the second waits for the first.
+  std::string spawned_body;
+  ASSERT_EQ(link.Command(&spawned_body), "spawn " + kFirst + " order-lodge 5");
+  ASSERT_EQ(spawned_body, body);
+  link.Finish(1, kFirst, "complete", result);
+  ASSERT_EQ(gateway.ReadAnswer(1, kServed).body, result);
+  ASSERT_EQ(link.Command(), "spawn " + kSecond + " order-lodge 0");
+  link.Finish(2, kSecond, "error", "");
+  gateway.ReadAnswer(2, kFailed);
+}
+
+// A fault of one request answers its stream alone; the connection goes on.
+TEST_P(NodeRequestTest, RejectsInvalidRequestsAndKeepsTheConnection) {
+  ServingNode serving(Options());
+  auto& [node, link, gateway] = serving;
+  const std::map<std::string, std::string> faults[] = {
+      {{"kind", "no-such"}}, {{"req", "xyz"}},    {{"ts", "-1"}},       {{"timeout", "1e3"}},
+      {{"need", "0"}},       {{"need", "nan"}},   {{"need", "2000"}},   {{"level", "1"}},
+      {{"ms", "inf"}},       {{"ms", "-4"}},      {{"subject", "0x1"}}, {{"via", "99999999999"}},
+      {{"resent", "2"}},     {{"opkey", kFirst}}, {{"owner", ""}},      {{"timeout", "(none)"}},
+  };
+  std::uint32_t stream = 0;
+  for (const auto& fault : faults) {
+    gateway.Write(Gateway::Request(++stream, kFirst, "x", fault));
+    gateway.ReadAnswer(stream, kRejected);
+  }
+  gateway.Write(Gateway::Request(++stream, kFirst, std::string(2049, 'x')));
+  gateway.ReadAnswer(stream, kRejected);
+  gateway.Write(Gateway::Request(++stream, kFirst, std::string(200'000, 'x')));  // Skipped as it comes.
+  gateway.ReadAnswer(stream, kRejected);
+  gateway.Write(Gateway::Encode(0, ++stream, "\5"));  // Fields that run past the frame.
+  gateway.ReadAnswer(stream, kRejected);
+  gateway.Write(Gateway::Request(++stream, kFirst, "good"));
+  link.Command();
+  link.Finish(1, kFirst, "complete", "done");
+  gateway.ReadAnswer(stream, kServed);
+}
+
+TEST_P(NodeRequestTest, ClosesAConnectionThatSendsOnlyInvalidRequests) {
+  ServingNode serving(Options());
+  Gateway bad(serving.node.port());
+  for (std::uint32_t stream = 1; stream <= 64; ++stream) {
+    bad.Write(Gateway::Request(stream, "xyz", ""));
+    bad.ReadAnswer(stream, kRejected);
+  }
+  bad.ReadAnswer(0, kFailed);
+  ASSERT_TRUE(bad.socket().Finished());
+}
+
+// Failed, not rejected: a rejection would promise that no attempt with this id ran.
+TEST_P(NodeRequestTest, FailsASecondRequestWithTheIdOfOneThatRunsOrRan) {
+  ServingNode serving(Options());
+  auto& [node, link, gateway] = serving;
+  constexpr std::uint32_t stream = 1;
+  gateway.Write(Gateway::Request(stream, kFirst, "good"));
+  link.Command();
+  gateway.Write(Gateway::Request(50, kFirst, "again"));
+  gateway.ReadAnswer(50, kFailed);
+  link.Finish(1, kFirst, "complete", "done");
+  gateway.ReadAnswer(stream, kServed);
+  gateway.Write(Gateway::Request(51, kFirst, "again"));
+  gateway.ReadAnswer(51, kFailed);
+}
+
+TEST_P(NodeRequestTest, RejectsTheThirtyThirdOpenRequestOfAConnection) {
+  ServingNode serving(Options());
+  auto& [node, link, gateway] = serving;
+  // Until the node has read that its pool is connected, it rejects everything.
+  gateway.Write(Gateway::Request(1, kFirst, "x"));
+  link.Command();
+  link.Finish(1, kFirst, "complete", "done");
+  gateway.ReadAnswer(1, kServed);
+  for (std::uint32_t stream = 100; stream <= 132; ++stream) {
+    gateway.Write(Gateway::Request(stream, hingelink::proto::ReqText(stream), "x", {{"need", "0.1"}}));
+  }
+  gateway.ReadAnswer(132, kRejected);
+}
+
+// While its result is fresh; a failed execution is not shared.
+TEST_P(NodeRequestTest, ReadsOfOneSubjectShareTheExecutionOfTheFirst) {
+  ServingNode serving(Options());
+  auto& [node, link, gateway] = serving;
+  const std::map<std::string, std::string> read = {{"kind", "usage-view"}, {"subject", "7f3a9c21e0b4d655"}};
+  gateway.Write(Gateway::Request(1, kFirst, "x", read));
+  link.Command();
+  gateway.Write(Gateway::Request(2, kSecond, "x", read));
+  link.Finish(1, kFirst, "error", "");
+  gateway.ReadAnswer(1, kFailed);
+  ASSERT_EQ(link.Command(), "spawn " + kSecond + " usage-view 1");  // The first failed: the next runs itself.
+  link.Finish(2, kSecond, "complete", "usage");
+  ASSERT_EQ(gateway.ReadAnswer(2, kServed).body, "usage");
+  gateway.Write(Gateway::Request(3, kThird, "x", read));
+  ASSERT_EQ(gateway.ReadAnswer(3, kServed).body, "usage");
+  // Another subject runs for itself.
+  gateway.Write(Gateway::Request(4, kFourth, "x", {{"kind", "usage-view"}, {"subject", kFirst}}));
+  ASSERT_NE(link.Command().find("a4"), std::string::npos);
+}
+
+// The configuration has tenants, a keyed class, an upstream store, and callers that send no remaining wait.
+TEST_P(NodeRequestTest, AKeyedRequestRunsOnceAcrossItsRetriesAndUpstreamCalls) {
+  const peers::Listener store;
+  NodeOptions options = Options();
+  options.edit_config = [&store](const std::string& json) { return WithKeyedClass(json, store.Address()); };
+  ServingNode serving(options);
+  auto& [node, link, gateway] = serving;
+  const std::string key = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211";
+  const auto claim = [&](std::map<std::string, std::string> with = {}) {
+    std::map<std::string, std::string> fields = {
+        {"kind", "claim"}, {"timeout", "(none)"}, {"owner", "west"}, {"opkey", key}};
+    for (const auto& [name, value] : with) fields[name] = value;
+    return fields;
+  };
+  // What the configuration requires of every request, missing or invalid.
+  std::uint32_t stream = 100;
+  for (const auto& [name, value] : std::vector<std::pair<std::string, std::string>>{
+           {"opkey", "(none)"}, {"owner", "(none)"}, {"opkey", "x" + key.substr(1)}, {"owner", "nobody"}}) {
+    gateway.Write(Gateway::Request(++stream, kFourth, "x", claim({{name, value}})));
+    ASSERT_EQ(gateway.ReadAnswer(stream, kRejected).fields.at("nomore"), "1");
+  }
+  gateway.Write(Gateway::Request(1, kFirst, "body", claim()));
+  ASSERT_EQ(link.Command(), "spawn " + kFirst + " claim 4");
+  link.Write("blocked 1 " + kFirst + " 4\r\nc\r\nd\r\n");
+  peers::Socket calls = store.Accept();
+  const std::string call = calls.Line();
+  ASSERT_TRUE(call.starts_with("CALL " + kFirst + ' '));
+  ASSERT_TRUE(call.ends_with(" 4"));
+  ASSERT_EQ(calls.Bytes(6), "c\r\nd\r\n");
+  // A retry while the first waits for its upstream call: it waits, and does not run.
+  gateway.Write(Gateway::Request(2, kSecond, "body", claim({{"resent", "1"}})));
+  calls.Write(kFirst + " OK 5\r\nr\r\n+1\r\n");
+  std::string reply;
+  ASSERT_EQ(link.Command(&reply), "supply " + kFirst + " 5");
+  ASSERT_EQ(reply, "r\r\n+1");
+  link.Finish(2, kFirst, "complete", "claimed");
+  ASSERT_EQ(gateway.ReadAnswer(1, kServed).body, "claimed");
+  ASSERT_EQ(gateway.ReadAnswer(2, kServed).body, "claimed");
+  // So does one after the end, over another connection; but none with another body.
+  Gateway other(node.port());
+  other.Write(Gateway::Request(1, kThird, "body", claim({{"resent", "1"}})));
+  ASSERT_EQ(other.ReadAnswer(1, kServed).body, "claimed");
+  other.Write(Gateway::Request(2, "00000000000000b5", "other", claim()));
+  other.ReadAnswer(2, kFailed);
+  // A read whose upstream call fails uses its fallback.
+  gateway.Write(
+      Gateway::Request(3, kFourth, "x", {{"kind", "usage-view"}, {"timeout", "(none)"}, {"owner", "north"}}));
+  link.Command();
+  link.Write("blocked 3 " + kFourth + " 1\r\nc\r\n");
+  ASSERT_TRUE(calls.Line().starts_with("CALL " + kFourth));
+  calls.Bytes(3);
+  calls.Write(kFourth + " LATE\r\n");
+  ASSERT_EQ(link.PassedOn(), "pass " + kFourth + " 3");
+  link.Finish(4, kFourth, "complete", "poorer");
+  ASSERT_EQ(gateway.ReadAnswer(3, kServed).body, "poorer");
+  const std::string metrics = node.Get("/ops/stats");
+  ASSERT_NE(metrics.find("edge_node_key_replays 2"), std::string::npos);
+  ASSERT_NE(metrics.find("edge_node_store_calls{outcome=\"ok\"} 1"), std::string::npos);
+  ASSERT_NE(metrics.find("edge_node_key_mismatches 1"), std::string::npos);
+}
+
+// Timers do not wait for the pool. A disconnected caller gets no answer.
+TEST_P(NodeRequestTest, AnOverdueExecutionFailsByItsDeadlineAndItsLaterResultIsDropped) {
+  ServingNode serving(Options());
+  auto& [node, link, gateway] = serving;
+  const std::uint64_t sent = Gateway::UnixMs();
+  gateway.Write(Gateway::Request(1, kFirst, "x", {{"timeout", "900"}, {"ms", "1"}}));
+  link.Command();
+  gateway.ReadAnswer(1, kFailed);  // No poll is answered meanwhile.
+  ASSERT_LE(Gateway::UnixMs(), sent + 1000);
+  link.Finish(1, kFirst, "complete", "late");
+  // A request that has expired on arrival is rejected at once.
+  gateway.Write(Gateway::Request(2, kSecond, "x", {{"ts", std::to_string(sent - 5000)}}));
+  gateway.ReadAnswer(2, kRejected);
+  // No answer to a caller that disconnected: the next answer is the next request's.
+  gateway.Write(Gateway::Request(3, kThird, "x"));
+  link.Command();
+  gateway.Write(Gateway::Encode(2, 3, "") + Gateway::HealthCheck(9));
+  ASSERT_EQ(gateway.Read().type, kHealthResponseFrame);  // The node has read the cancellation.
+  link.Finish(2, kThird, "complete", "unheard");
+  gateway.Write(Gateway::Request(4, kFourth, "x", {{"ts", std::to_string(sent - 5000)}}));
+  gateway.ReadAnswer(4, kRejected);
+}
+
+// They never reach admission control.
+TEST_P(NodeRequestTest, RequestsCancelledInTheSegmentThatSendsThemEvictNobody) {
+  RunningNode node(Options());
+  PoolLink link(node.pool, 0);
+  AcceptCommands(link);
+  Gateway gateway(node.port());
+  Gateway other(node.port());
+  gateway.Write(Gateway::Request(1, kFirst, "x"));
+  link.Command();
+  gateway.Write(Gateway::Request(2, kSecond, "held", {{"kind", "usage-view"}, {"subject", kSecond}}));
+  gateway.Write(Gateway::HealthCheck(1));
+  ASSERT_EQ(gateway.Read().type, kHealthResponseFrame);
+  std::string requests;
+  std::string cancellations;
+  for (std::uint32_t stream = 1; stream <= 16; ++stream) {
+    requests += Gateway::Request(stream, hingelink::proto::ReqText(stream), "x");
+    cancellations += Gateway::Encode(2, stream, "");
+  }
+  other.Write(requests + cancellations + Gateway::HealthCheck(17));
+  ASSERT_EQ(other.Read().type, kHealthResponseFrame);
+  link.Finish(1, kFirst, "complete", "y");
+  ASSERT_EQ(gateway.ReadAnswer(1, kServed).body, "y");
+  ASSERT_EQ(link.Command(), "spawn " + kSecond + " usage-view 4");
+}
+
+// The last report said that the cores are idle.
+TEST_P(NodeRequestTest, AStalledPoolStopsNewExecutionsOnceItsGaugesAreOutOfDate) {
+  ServingNode serving(Options());
+  auto& [node, link, gateway] = serving;
+  const auto ask = [&gateway](std::uint32_t stream) {
+    gateway.Write(Gateway::Request(stream, hingelink::proto::ReqText(stream), "x",
+                                   {{"kind", "usage-view"}, {"timeout", "1200"}, {"need", "0.1"}}));
+  };
+  for (std::uint32_t stream = 1; stream <= 3; ++stream) {
+    ask(stream);
+    link.Command();  // Answers polls: the cores are idle, so a second and a third may run.
+  }
+  for (std::uint32_t stream = 4; stream <= 7; ++stream) ask(stream);
+  int rejected = 0;
+  for (int answers = 0; answers < 7; ++answers) rejected += gateway.Read().code == kRejected ? 1 : 0;
+  ASSERT_GE(rejected, 2);
+}
+
+}  // namespace
--- a/tests/node/scripted_peers.h
+++ b/tests/node/scripted_peers.h
@@ -17,6 +17,7 @@
 #include <chrono>
 #include <csignal>
 #include <cstdint>
+#include <functional>
 #include <map>
 #include <string>
 #include <string_view>
@@ -139,6 +140,19 @@
   Socket socket_;
 };
 
+// Types of frames.
+inline constexpr int kRequestFrame = 0;
+inline constexpr int kAnswerFrame = 1;
+inline constexpr int kHealthCheckFrame = 6;
+inline constexpr int kHealthResponseFrame = 7;
+inline constexpr int kStopNewRequestsFrame = 9;
+
+// Codes of answers.
+inline constexpr int kServed = 0;
+inline constexpr int kRejected = 1;
+inline constexpr int kFailed = 2;
+
+// `value` in so many bytes, most significant first.
 inline std::string Number(std::uint64_t value, int bytes) {
   std::string out;
   while (bytes-- > 0) out.push_back(static_cast<char>(value >> (8 * bytes)));
@@ -185,6 +199,10 @@
     std::string frame = Number(5 + payload.size(), 4) + Number(type, 1) + Number(stream, 4);
     return frame.append(payload);
   }
+  // A health check that does not ask whether work gets done.
+  static std::string HealthCheck(std::uint32_t stream) {
+    return Encode(kHealthCheckFrame, stream, std::string(1, '\0'));
+  }
   static std::uint64_t UnixMs() {
     const auto now = std::chrono::system_clock::now().time_since_epoch();
     return std::chrono::duration_cast<std::chrono::milliseconds>(now).count();
@@ -206,7 +224,7 @@
     for (const auto& [name, value] : fields) {
       payload += Number(name.size(), 1) + name + Number(value.size(), 2) + value;
     }
-    return Encode(0, stream, payload.append(body));
+    return Encode(kRequestFrame, stream, payload.append(body));
   }
 
   Frame Read() {
@@ -223,7 +241,7 @@
       payload.erase(0, count);
       return taken;
     };
-    if (frame.type == 9) return frame;
+    if (frame.type == kStopNewRequestsFrame) return frame;
     frame.code = static_cast<int>(Value(take(1)));
     for (std::uint64_t left = Value(take(1)); left > 0; --left) {
       const std::string name = take(Value(take(1)));
@@ -234,7 +252,7 @@
   }
   Frame ReadAnswer(std::uint32_t stream, int code) {
     Frame frame = Read();
-    assert(frame.type == 1 && frame.stream == stream && frame.code == code);
+    assert(frame.type == kAnswerFrame && frame.stream == stream && frame.code == code);
     return frame;
   }
   void Write(std::string_view bytes) const { socket_.Write(bytes); }
@@ -303,25 +321,30 @@
   return Ask(port, "GET " + path + " HTTP/1.1\r\nHost: n3\r\n\r\n");
 }
 
-// How many threads the first node of a story has, and each that follows it.
-inline std::size_t node_threads = 1, successor_threads = 1;
-// What a story changes of the configuration of its nodes.
-inline std::string (*edit_config)(std::string json) = [](std::string json) { return json; };
-// So many descriptors as leave the gateways of `processes` nodes what `sockets` leave them with one thread
-// each.
-inline int Sockets(int sockets, int processes) {
-  const std::size_t loops = std::max(node_threads, successor_threads) - 1;
-  return sockets + 3 * processes * static_cast<int>(loops);
+// The descriptor limit that leaves the gateways of `processes` nodes what `limit` leaves them with one thread
+// each. `threads`: the most that one of the nodes has.
+inline int DescriptorLimit(int limit, int processes, std::size_t threads) {
+  constexpr int kDescriptorsPerLoop = 3;
+  return limit + kDescriptorsPerLoop * processes * static_cast<int>(threads - 1);
 }
 
+struct NodeOptions {
+  int drain_timeout_ms = 600;
+  int max_descriptors = 1024;
+  // One decides; the others carry the connections.
+  std::size_t threads = 1;
+  // Changes the configuration before the node reads it.
+  std::function<std::string(std::string json)> edit_config = [](std::string json) { return json; };
+};
+
 // A node in a thread of its own, told to leave at the end.
 class RunningNode {
  public:
-  explicit RunningNode(int stop_ms = 600, int sockets = 1024)
-      : config_(Json(pool, registry, stop_ms, sockets)),
+  explicit RunningNode(const NodeOptions& options = {})
+      : config_(options.edit_config(Json(pool, registry, options.drain_timeout_ms, options.max_descriptors))),
         node_(
             hingelink::node::ParseConfig(config_), [this] { return hingelink::node::ParseConfig(config_); },
-            {}, node_threads),
+            {}, options.threads),
         thread_([this] { node_.Run(); }) {}
   ~RunningNode() {
     if (thread_.joinable()) Leave();
@@ -357,11 +380,10 @@
       "specifics":{"cpus":1,"memoryKb":16998.0,"runFactor":4.0,"signal":"window","heardForMs":100.0,
       "idleMs":30000.0,"passesDeadline":true,"tellsGone":true,"clientsTotal":3,"dependsOn":"silent",
       "freshMs":60000.0,"keyKb":1.0,"gauges":["cpu_busy","runnable","mem_used","sockets"]}})";
-    return edit_config(R"({"name":"n3","listen":"127.0.0.1:0","ops":"127.0.0.1:0","pool":")" +
-                       pool.Address() + R"(","registry":")" + registry.Address() +
-                       R"(","seed":"8c1f30d27a5be964","stop_ms":)" + std::to_string(stop_ms) +
-                       R"(,"limits":{"cores":1.0,"memory_mb":192,"sockets":)" + std::to_string(sockets) +
-                       R"(},"settings":)" + settings + "}");
+    return R"({"name":"n3","listen":"127.0.0.1:0","ops":"127.0.0.1:0","pool":")" + pool.Address() +
+           R"(","registry":")" + registry.Address() + R"(","seed":"8c1f30d27a5be964","stop_ms":)" +
+           std::to_string(stop_ms) + R"(,"limits":{"cores":1.0,"memory_mb":192,"sockets":)" +
+           std::to_string(sockets) + R"(},"settings":)" + settings + "}";
   }
 
   Listener pool, registry;
@@ -372,22 +394,25 @@
   std::thread thread_;
 };
 
-// A node in a process of its own, which takes over from those that share the folder.
+struct ProcessOptions {
+  int max_descriptors = 1024;
+  std::size_t threads = 1;
+};
+
+// A node in a process of its own, which takes over from those that share the directory.
 class ForkedNode {
  public:
-  explicit ForkedNode(const std::string& folder, int sockets = 1024) {
-    static bool first = true;
-    const std::size_t threads = std::exchange(first, false) ? node_threads : successor_threads;
+  ForkedNode(const std::string& directory, const ProcessOptions& options) {
     int ends[2];
     assert(pipe(ends) == 0);
     pid_ = fork();
     assert(pid_ >= 0);
     if (pid_ == 0) {
-      prctl(PR_SET_PDEATHSIG, SIGKILL);  // Guards against a node that outlives a story that failed.
+      prctl(PR_SET_PDEATHSIG, SIGKILL);  // The node must not outlive a test that failed.
       {
-        const std::string json = RunningNode::Json(pool, registry, 600, sockets);
+        const std::string json = RunningNode::Json(pool, registry, 600, options.max_descriptors);
         const auto config = [&json] { return hingelink::node::ParseConfig(json); };
-        hingelink::node::Node node(config(), config, folder, threads);
+        hingelink::node::Node node(config(), config, directory, options.threads);
         const std::uint16_t ports[] = {node.port(), node.admin_port()};
         assert(write(ends[1], ports, sizeof ports) == sizeof ports);
         node.Run();
