--- a/src/cli/lab_rig.cpp
+++ b/src/cli/lab_rig.cpp
@@ -2,8 +2,8 @@
 
 #include "cli/sample_config.h"
 #include "control/client.h"
-#include "decide/subset.h"
-#include "net/peers.h"
+#include "decide/load_balancing/subsetting.h"
+#include "net/gossip_transport.h"
 
 namespace hingelink::cli {
 
@@ -11,17 +11,17 @@
   lab::RigOptions rig;
   rig.program = program;
   rig.folder = folder;
-  rig.new_key = net::NewPeerKey;
+  rig.new_key = net::GenerateGossipKey;
   rig.services_of = [](const lab::Scenario& scenario, std::size_t size) {
     const lab::Fleet& fleet = scenario.fleet;
     std::vector<decide::SubsetNode> nodes;
-    std::vector<decide::SubsetService> services;
+    std::vector<decide::SubsetEndpoint> services;
     for (std::size_t i = 0; i < fleet.nodes; ++i)
       nodes.push_back({"n" + std::to_string(i), fleet.zones[i % fleet.zones.size()]});
     for (std::size_t s = 0; s < fleet.services; ++s)
       services.push_back(
           {"s" + std::to_string(s), fleet.zones[s % fleet.zones.size()], static_cast<double>(fleet.cores)});
-    return decide::Subsets(nodes, services, size);
+    return decide::AssignSubsets(nodes, services, size);
   };
   rig.classes = SampleLoad();
   rig.capacity = SampleCapacity;
--- a/tests/compatibility/stored_formats_test.cpp
+++ b/tests/compatibility/stored_formats_test.cpp
@@ -3,17 +3,17 @@
 #include <nlohmann/json.hpp>
 #include <string>
 
-#include "benchlink/settings_parser.h"
 #include "control/protocol.h"
-#include "decide/recall.h"
+#include "decide/learned/learned_state_import.h"
 #include "fixtures.h"
 #include "fleet/codec.h"
 #include "lab/scenario/scenario.h"
 #include "log/log.h"
 #include "node/config.h"
 #include "schema/schema.h"
+#include "simulator_adapter/settings_parser.h"
 #include "state/learned_store.h"
-#include "state/plan_store.h"
+#include "state/supervisor_state_store.h"
 
 namespace hingelink {
 namespace {
@@ -29,20 +29,20 @@
   member.address = {0x7f000001, 9000};
   member.version = {1796153535000, 4};
   member.phase = decide::MemberPhase::kDraining;
-  member.belief = decide::Belief::kSuspect;
+  member.state = decide::MemberState::kSuspect;
   member.zone = "a";
   member.weight = 4;
-  member.by = "n2";
-  decide::PeerMessage message;
-  message.kind = decide::MessageKind::kDiffer;
-  message.number = 77;
-  message.subject = "n3";
-  message.address = {0x7f000002, 9001};
-  message.view = 0x0123456789abcdef;
-  message.digests = {0x01020304, 0xfffefdfc};
-  message.differing = {1, 127};
+  member.accuser = "n2";
+  decide::GossipMessage message;
+  message.kind = decide::GossipMessageKind::kSyncResponse;
+  message.sequence_number = 77;
+  message.target = "n3";
+  message.target_address = {0x7f000002, 9001};
+  message.view_digest = 0x0123456789abcdef;
+  message.bucket_digests = {0x01020304, 0xfffefdfc};
+  message.differing_buckets = {1, 127};
   message.records = {member};
-  message.parcels = {{3, "parcel"}};
+  message.payloads = {{3, "parcel"}};
   ExpectFixture("gossip-message.cbor", fleet::Encode(message));
   EXPECT_EQ(fleet::Decode(ReadFixture("gossip-message.cbor")), message);
 }
@@ -110,10 +110,10 @@
   for (const char* name : {"learned/learned.state", "learned/learned.state.1"}) {
     const std::string bytes = ReadFixture(name);
     const state::DecodedLearned decoded = state::DecodeLearned(bytes, false);
-    ASSERT_EQ(decoded.what, state::DecodedLearned::What::kWhole) << name;
+    ASSERT_EQ(decoded.status, state::DecodedLearned::Status::kValid) << name;
     EXPECT_EQ(decoded.bytes, bytes.size());
-    EXPECT_EQ(state::EncodeLearned(decoded.stored, false), bytes) << name;
-    EXPECT_FALSE(decoded.stored.remembered.learned.classes.empty());
+    EXPECT_EQ(state::EncodeLearned(decoded.entry, false), bytes) << name;
+    EXPECT_FALSE(decoded.entry.record.learned.classes.empty());
   }
   std::string_view log_bytes;
   const std::string log = ReadFixture("learned/learned.log");
@@ -121,8 +121,8 @@
   std::string again;
   while (!log_bytes.empty()) {
     const state::DecodedLearned decoded = state::DecodeLearned(log_bytes, true);
-    ASSERT_EQ(decoded.what, state::DecodedLearned::What::kWhole);
-    again += state::EncodeLearned(decoded.stored, true);
+    ASSERT_EQ(decoded.status, state::DecodedLearned::Status::kValid);
+    again += state::EncodeLearned(decoded.entry, true);
     log_bytes.remove_prefix(decoded.bytes);
   }
   EXPECT_EQ(again, log);
@@ -131,10 +131,10 @@
 TEST(SupervisorPlan, IsReadAndWrittenAgainWithTheSameBytes) {
   const std::string text = ReadFixture("plan.json");
   const std::string boot = json::parse(text).at("boot").get<std::string>();
-  const state::FoundPlan found = state::PlanStore::Decode(text, boot);
-  ASSERT_EQ(found.what, state::FoundPlan::What::kGood);
-  EXPECT_TRUE(found.plan.current);
-  EXPECT_EQ(state::PlanStore::Encode(found.plan, boot), text);
+  const state::LoadedSupervisorState found = state::SupervisorStateStore::Decode(text, boot);
+  ASSERT_EQ(found.status, state::LoadedSupervisorState::Status::kValid);
+  EXPECT_TRUE(found.state.current);
+  EXPECT_EQ(state::SupervisorStateStore::Encode(found.state, boot), text);
 }
 
 TEST(Scenarios, AreReadAndWrittenAgainWithTheSameBytes) {
@@ -210,7 +210,7 @@
 
 // Every key with a value of its own, none of them its default.
 TEST(SettingsKeys, AreReadFromTheFlatForm) {
-  ExpectFixture("settings-read.txt", Describe(benchlink::ParseSettings(ReadFixture("settings.txt"))));
+  ExpectFixture("settings-read.txt", Describe(simulator_adapter::ParseSettings(ReadFixture("settings.txt"))));
 }
 
 TEST(SettingsKeys, AreReadFromTheNodesConfiguration) {
@@ -234,7 +234,7 @@
     std::string bad = good;
     bad.replace(start, line.size(), key + "=?");
     try {
-      benchlink::ParseSettings(bad);
+      simulator_adapter::ParseSettings(bad);
       errors += key + ": taken\n";
     } catch (const std::exception& error) {
       errors += key + ": " + error.what() + '\n';
--- a/tests/node/request_integration_test.cpp
+++ b/tests/node/request_integration_test.cpp
@@ -128,7 +128,7 @@
   link.Finish(1, kFirst, "complete", "done");
   gateway.ReadAnswer(1, kServed);
   for (std::uint32_t stream = 100; stream <= 132; ++stream) {
-    gateway.Write(Gateway::Request(stream, hingelink::proto::ReqText(stream), "x", {{"need", "0.1"}}));
+    gateway.Write(Gateway::Request(stream, hingelink::proto::FormatRequestId(stream), "x", {{"need", "0.1"}}));
   }
   gateway.ReadAnswer(132, kRejected);
 }
@@ -252,7 +252,7 @@
   std::string requests;
   std::string cancellations;
   for (std::uint32_t stream = 1; stream <= 16; ++stream) {
-    requests += Gateway::Request(stream, hingelink::proto::ReqText(stream), "x");
+    requests += Gateway::Request(stream, hingelink::proto::FormatRequestId(stream), "x");
     cancellations += Gateway::Encode(2, stream, "");
   }
   other.Write(requests + cancellations + Gateway::HealthCheck(17));
@@ -267,7 +267,7 @@
   ServingNode serving(Options());
   auto& [node, link, gateway] = serving;
   const auto ask = [&gateway](std::uint32_t stream) {
-    gateway.Write(Gateway::Request(stream, hingelink::proto::ReqText(stream), "x",
+    gateway.Write(Gateway::Request(stream, hingelink::proto::FormatRequestId(stream), "x",
                                    {{"kind", "usage-view"}, {"timeout", "1200"}, {"need", "0.1"}}));
   };
   for (std::uint32_t stream = 1; stream <= 3; ++stream) {
