--- a/tests/node/request_integration_test.cpp
+++ b/tests/node/request_integration_test.cpp
@@ -128,7 +128,8 @@
   link.Finish(1, kFirst, "complete", "done");
   gateway.ReadAnswer(1, kServed);
   for (std::uint32_t stream = 100; stream <= 132; ++stream) {
-    gateway.Write(Gateway::Request(stream, hingelink::proto::FormatRequestId(stream), "x", {{"need", "0.1"}}));
+    gateway.Write(
+        Gateway::Request(stream, hingelink::proto::FormatRequestId(stream), "x", {{"need", "0.1"}}));
   }
   gateway.ReadAnswer(132, kRejected);
 }
