--- a/src/appliance/config.cpp
+++ b/src/appliance/config.cpp
@@ -43,6 +43,43 @@
   }
 }
 
+// A successor takes up to this long to take over; a drain must not end before.
+constexpr double kHandoverMs = 3700;
+// The node's own deadlines end this long before the kill.
+constexpr double kKillMarginMs = 500;
+
+// Maps the words of the file to the fields of SupervisorOptions.
+void ReadSupervisorOptions(const Json& json, Config& config, std::vector<std::string>& faults) {
+  decide::SupervisorOptions& options = config.supervisor;
+  decide::CrashBackoffOptions& backoff = options.crash_backoff;
+  const auto read_ms = [&json](const char* key, decide::SupervisorTime& field) {
+    field = decide::SupervisorTime(json.value(key, field.count()));
+  };
+  read_ms("backoff_first_ms", backoff.initial_backoff);
+  read_ms("backoff_most_ms", backoff.max_backoff);
+  read_ms("good_after_ms", options.stable_after);
+  backoff.crash_loop_threshold = json.value("loop_crashes", backoff.crash_loop_threshold);
+  read_ms("loop_rest_ms", backoff.crash_loop_backoff);
+  read_ms("answer_within_ms", options.startup_timeout);
+  options.unresponsive_threshold = json.value("silent_looks", options.unresponsive_threshold);
+  read_ms("upgrade_within_ms", options.upgrade_timeout);
+  const double min_drain_ms = std::max(kHandoverMs, config.node["stop_ms"].get<double>()) + kKillMarginMs;
+  options.drain_timeout = decide::SupervisorTime(json.value("drain_within_ms", min_drain_ms));
+  if (options.drain_timeout.count() < min_drain_ms) {
+    char wanted[160];
+    std::snprintf(
+        wanted, sizeof wanted,
+        "/supervisor/drain_within_ms: found %.0f; wanted at least %.0f (/node/stop_ms, or 3700, and 500): "
+        "the node needs that to answer what it has read",
+        options.drain_timeout.count(), min_drain_ms);
+    faults.push_back(wanted);
+  }
+  if (backoff.max_backoff < backoff.initial_backoff) {
+    faults.push_back(
+        "/supervisor/backoff_most_ms: found less than backoff_first_ms; wanted at least as much");
+  }
+}
+
 }  // namespace
 
 ConfigError::ConfigError(std::vector<std::string> faults)
@@ -88,32 +125,7 @@
   config.log_level = log.value("level", config.log_level);
   config.log_bytes = log.value("rotate_bytes", config.log_bytes);
   config.log_keep = log.value("keep", config.log_keep);
-  const Json supervisor = json.value("supervisor", Json::object());
-  decide::SupervisorOptions& limits = config.limits;
-  limits.initial_backoff = supervisor.value("backoff_first_ms", limits.initial_backoff);
-  limits.max_backoff = supervisor.value("backoff_most_ms", limits.max_backoff);
-  limits.stable_after = supervisor.value("good_after_ms", limits.stable_after);
-  limits.crash_loop_threshold = supervisor.value("loop_crashes", limits.crash_loop_threshold);
-  limits.crash_loop_backoff = supervisor.value("loop_rest_ms", limits.crash_loop_backoff);
-  limits.startup_timeout = supervisor.value("answer_within_ms", limits.startup_timeout);
-  limits.unresponsive_threshold = supervisor.value("silent_looks", limits.unresponsive_threshold);
-  limits.upgrade_timeout = supervisor.value("upgrade_within_ms", limits.upgrade_timeout);
-  // Behind a successor a node may take 3.7 s; a drain takes stop_ms. The kill must not come before.
-  const double least = std::max(3700.0, config.node["stop_ms"].get<double>()) + 500;
-  limits.drain_timeout = supervisor.value("drain_within_ms", least);
-  if (limits.drain_timeout < least) {
-    char wanted[160];
-    std::snprintf(
-        wanted, sizeof wanted,
-        "/supervisor/drain_within_ms: found %.0f; wanted at least %.0f (/node/stop_ms, or 3700, and 500): "
-        "the node needs that to answer what it has read",
-        limits.drain_timeout, least);
-    faults.push_back(wanted);
-  }
-  if (limits.max_backoff < limits.initial_backoff) {
-    faults.push_back(
-        "/supervisor/backoff_most_ms: found less than backoff_first_ms; wanted at least as much");
-  }
+  ReadSupervisorOptions(json.value("supervisor", Json::object()), config, faults);
   CheckAddresses(config.pool, "/node/pool", true, faults);
   CheckAddresses(config.ops, "/node/ops", true, faults);
   CheckAddresses({config.node["listen"].get<std::string>()}, "/node/listen", false, faults);
--- a/src/appliance/config.h
+++ b/src/appliance/config.h
@@ -32,7 +32,7 @@
   nlohmann::ordered_json peers;   // By deploy/schema/peers.json; null where the node joins nobody.
   std::string log_format = "text", log_level = "info";
   std::size_t log_bytes = 1 << 20, log_keep = 5;
-  decide::SupervisorOptions limits;
+  decide::SupervisorOptions supervisor;
 
   // The configuration of one start, in the platform's form.
   std::string NodeJson(std::uint64_t generation, std::uint64_t seed) const;
--- a/src/appliance/processes.h
+++ b/src/appliance/processes.h
@@ -8,7 +8,7 @@
 #include <string>
 #include <vector>
 
-#include "decide/supervision/supervisor.h"
+#include "decide/supervision/supervisor_state.h"
 #include "net/event.h"
 
 namespace hingelink::appliance {
--- a/src/appliance/supervisor.cpp
+++ b/src/appliance/supervisor.cpp
@@ -150,7 +150,7 @@
       config_(ReadConfig(options_.config)),
       base_(net::MakeBase()),
       store_(state::SystemFileSystem(), options_.folder, state::BootId()),
-      decide_(config_.limits, options_.seed),
+      decide_(config_.supervisor, options_.seed),
       tick_(base_.get(), [this] { Take(decide::TimerExpired{}); }),
       look_(base_.get(), [this] { Look(); }) {
   std::filesystem::create_directories(Path("run"));
@@ -186,10 +186,11 @@
 
 Supervisor::~Supervisor() { held_.clear(); }
 
-decide::TimeMs Supervisor::Now() const {
+decide::SupervisorTime Supervisor::Now() const {
   timespec now{};
   clock_gettime(CLOCK_BOOTTIME, &now);
-  return static_cast<double>(now.tv_sec) * 1e3 + static_cast<double>(now.tv_nsec) / 1e6;
+  return decide::SupervisorTime(static_cast<double>(now.tv_sec) * 1e3 +
+                                static_cast<double>(now.tv_nsec) / 1e6);
 }
 
 std::string Supervisor::SocketOf(std::uint64_t generation) const {
@@ -326,14 +327,14 @@
         } else if constexpr (std::is_same_v<A, decide::RedirectControlSocket>) {
           Point(a.generation);
         } else if constexpr (std::is_same_v<A, decide::SetTimer>) {
-          const double in = std::max(0.0, a.at - Now());
+          const double in = std::max(0.0, (a.at - Now()).count());
           tick_.After(std::chrono::duration_cast<net::Steady::duration>(
               std::chrono::duration<double, std::milli>(in + 1)));
         } else if constexpr (std::is_same_v<A, decide::LogEvent>) {
           last_report_ = a.code;
-          if (a.restart_in > 0) {
+          if (a.restart_in.count() > 0) {
             log::Warn(a.code, {{"generation", a.generation},
-                               {"again_in_ms", static_cast<std::int64_t>(a.restart_in)}});
+                               {"again_in_ms", static_cast<std::int64_t>(a.restart_in.count())}});
           } else {
             log::Info(a.code, {{"generation", a.generation}});
           }
@@ -519,7 +520,7 @@
                {"current", life(plan.current)},
                {"successor", life(plan.successor)},
                {"predecessor", life(plan.predecessor)}};
-  if (decide_.restart_at()) json["start_in_ms"] = std::max(0.0, *decide_.restart_at() - Now());
+  if (decide_.restart_at()) json["start_in_ms"] = std::max(0.0, (*decide_.restart_at() - Now()).count());
   return json;
 }
 
--- a/src/appliance/supervisor.h
+++ b/src/appliance/supervisor.h
@@ -80,7 +80,7 @@
   std::string Path(const std::string& name) const { return options_.folder + '/' + name; }
   std::string SocketOf(std::uint64_t generation) const;
   bool EndedWell(std::uint64_t generation) const;
-  decide::TimeMs Now() const;
+  decide::SupervisorTime Now() const;
 
   SupervisorOptions options_;
   state::DirectoryLock lock_;
--- /dev/null
+++ b/src/decide/supervision/crash_backoff.h
@@ -0,0 +1,44 @@
+// How long the restart of a crashed node is delayed.
+#ifndef HINGELINK_DECIDE_SUPERVISION_CRASH_BACKOFF_H_
+#define HINGELINK_DECIDE_SUPERVISION_CRASH_BACKOFF_H_
+
+#include <cstdint>
+
+#include "decide/supervision/supervisor_events.h"
+
+namespace hingelink::decide {
+
+struct CrashBackoffOptions {
+  SupervisorTime initial_backoff{200};  // After the first crash; doubles with each consecutive one.
+  SupervisorTime max_backoff{30'000};
+  // Fraction of a backoff that is added or subtracted at random.
+  double jitter_fraction = 0.2;
+  // Consecutive crashes that make a crash loop.
+  std::uint32_t crash_loop_threshold = 5;
+  // Least backoff in a crash loop.
+  SupervisorTime crash_loop_backoff{300'000};
+};
+
+// Exponential backoff with jitter. Not thread-safe.
+class CrashBackoff {
+ public:
+  // `seed` determines the jitter.
+  CrashBackoff(const CrashBackoffOptions& options, std::uint64_t seed)
+      : options_(options), random_state_(seed) {}
+
+  [[nodiscard]] bool IsCrashLoop(std::uint32_t consecutive_crashes) const {
+    return consecutive_crashes >= options_.crash_loop_threshold;
+  }
+  // The delay after this many consecutive crashes, at least 1. Draws one random number.
+  [[nodiscard]] SupervisorTime NextDelay(std::uint32_t consecutive_crashes);
+
+ private:
+  double DrawFraction();
+
+  CrashBackoffOptions options_;
+  std::uint64_t random_state_;
+};
+
+}  // namespace hingelink::decide
+
+#endif  // HINGELINK_DECIDE_SUPERVISION_CRASH_BACKOFF_H_
--- a/src/state/supervisor_state_store.h
+++ b/src/state/supervisor_state_store.h
@@ -10,7 +10,7 @@
 
 #include <string>
 
-#include "decide/supervision/supervisor.h"
+#include "decide/supervision/supervisor_state.h"
 #include "state/file_system.h"
 
 namespace hingelink::state {
--- a/tests/appliance/appliance_test.cpp
+++ b/tests/appliance/appliance_test.cpp
@@ -161,7 +161,7 @@
   EXPECT_EQ(rig.Say("drain"), "already");
   kill(node, SIGKILL);
   ASSERT_TRUE(rig.AwaitPhase("drained"));
-  EXPECT_NE(rig.LogOf("supervisor.log").find("drain-cut-short"), std::string::npos);
+  EXPECT_NE(rig.LogOf("supervisor.log").find("drain-incomplete"), std::string::npos);
   EXPECT_TRUE(rig.Nodes().empty());
   EXPECT_EQ(rig.Say("up"), "done");
   ASSERT_TRUE(rig.AwaitReady());
@@ -268,7 +268,7 @@
   ASSERT_TRUE(Await([&] { return rig.Account().Sum().served > 5; }));
   EXPECT_EQ(rig.Say("upgrade"), "done");
   ASSERT_TRUE(
-      rig.AwaitStatus([](const json& s) { return s.value("last_report", "") == "upgrade-went-back"; }));
+      rig.AwaitStatus([](const json& s) { return s.value("last_report", "") == "upgrade-rolled-back"; }));
   const std::uint64_t served = rig.Account().Sum().served;
   EXPECT_TRUE(Await([&] { return rig.Account().Sum().served > served + 20; }));
   EXPECT_EQ(Generation(*rig.Status()), 1);
@@ -305,7 +305,7 @@
     return s["current"].is_object() && s["current"].value("pid", 0) != node &&
            s["current"].value("ready", false);
   }));
-  EXPECT_NE(rig.LogOf("supervisor.log").find("hangs"), std::string::npos);
+  EXPECT_NE(rig.LogOf("supervisor.log").find("unresponsive"), std::string::npos);
 }
 
 }  // namespace
--- a/tests/appliance/config_test.cpp
+++ b/tests/appliance/config_test.cpp
@@ -51,7 +51,7 @@
   EXPECT_EQ(first["ops"], "127.0.0.1:10251");
   EXPECT_EQ(first["seed"], "00000000000000ff");
   EXPECT_EQ(first["listen"], second["listen"]);
-  EXPECT_EQ(config.limits.drain_timeout, 4200);
+  EXPECT_EQ(config.supervisor.drain_timeout.count(), 4200);
   EXPECT_EQ(config.threads, 1u);
   EXPECT_TRUE(config.learned);
 }
