--- a/tests/compatibility/stored_formats_test.cpp
+++ b/tests/compatibility/stored_formats_test.cpp
@@ -3,7 +3,6 @@
 #include <nlohmann/json.hpp>
 #include <string>
 
-#include "benchlink/settings_parser.h"
 #include "control/protocol.h"
 #include "decide/learned/learned_state_import.h"
 #include "fixtures.h"
@@ -12,6 +11,7 @@
 #include "log/log.h"
 #include "node/config.h"
 #include "schema/schema.h"
+#include "simulator_adapter/settings_parser.h"
 #include "state/learned_store.h"
 #include "state/supervisor_state_store.h"
 
@@ -29,20 +29,20 @@
   member.address = {0x7f000001, 9000};
   member.version = {1796153535000, 4};
   member.phase = decide::MemberPhase::kDraining;
-  member.belief = decide::Belief::kSuspect;
+  member.state = decide::MemberState::kSuspect;
   member.zone = "a";
   member.weight = 4;
-  member.by = "n2";
-  decide::PeerMessage message;
-  message.kind = decide::MessageKind::kDiffer;
-  message.number = 77;
-  message.subject = "n3";
-  message.address = {0x7f000002, 9001};
-  message.view = 0x0123456789abcdef;
-  message.digests = {0x01020304, 0xfffefdfc};
-  message.differing = {1, 127};
+  member.accuser = "n2";
+  decide::GossipMessage message;
+  message.kind = decide::GossipMessageKind::kSyncResponse;
+  message.sequence_number = 77;
+  message.target = "n3";
+  message.target_address = {0x7f000002, 9001};
+  message.view_digest = 0x0123456789abcdef;
+  message.bucket_digests = {0x01020304, 0xfffefdfc};
+  message.differing_buckets = {1, 127};
   message.records = {member};
-  message.parcels = {{3, "parcel"}};
+  message.payloads = {{3, "parcel"}};
   ExpectFixture("gossip-message.cbor", fleet::Encode(message));
   EXPECT_EQ(fleet::Decode(ReadFixture("gossip-message.cbor")), message);
 }
@@ -210,7 +210,7 @@
 
 // Every key with a value of its own, none of them its default.
 TEST(SettingsKeys, AreReadFromTheFlatForm) {
-  ExpectFixture("settings-read.txt", Describe(benchlink::ParseSettings(ReadFixture("settings.txt"))));
+  ExpectFixture("settings-read.txt", Describe(simulator_adapter::ParseSettings(ReadFixture("settings.txt"))));
 }
 
 TEST(SettingsKeys, AreReadFromTheNodesConfiguration) {
@@ -233,7 +233,7 @@
     std::string bad = good;
     bad.replace(start, line.size(), key + "=?");
     try {
-      benchlink::ParseSettings(bad);
+      simulator_adapter::ParseSettings(bad);
       errors += key + ": taken\n";
     } catch (const std::exception& error) {
       errors += key + ": " + error.what() + '\n';
