--- a/src/background/learned_state_persister.cpp
+++ b/src/background/learned_state_persister.cpp
@@ -35,7 +35,7 @@
       log::Info("learned-taken", {{"classes", imported.classes},
                                   {"faith_percent", std::lround(imported.confidence * 100)},
                                   {"records", found.log_records}});
-      node.Recall(imported.learned);
+      node.ImportLearned(imported.learned);
     }
   } catch (const std::exception& fault) {
     log::Warn("learned-unread", {{"what", fault.what()}});
@@ -60,12 +60,12 @@
   jobs[1].prepare = [this](bool) { return Record(true); };
   job_runner_ = std::make_unique<JobRunner>(
       node.base(), options.budgets, std::move(jobs),
-      JobRunner::NodeConditions{.under_pressure = [&node] { return node.Holds(); },
-                                .draining = [&node] { return node.leaving(); }});
-  node.Join(*this);
+      JobRunner::NodeConditions{.under_pressure = [&node] { return node.HasQueuedRequests(); },
+                                .draining = [&node] { return node.draining(); }});
+  node.AddExtension(*this);
 }
 
-std::string LearnedStatePersister::Figures() const {
+std::string LearnedStatePersister::MetricsText() const {
   using prometheus::MetricType;
   std::vector<prometheus::MetricFamily> families;
   const std::vector<JobReport> jobs = JobReports();
@@ -97,7 +97,7 @@
 
 JobFunction LearnedStatePersister::Record(bool snapshot) {
   state::LearnedEntry entry{
-      0, decide::MakeLearnedRecord(node_.name(), UnixNow(), node_.settings(), node_.Tell())};
+      0, decide::MakeLearnedRecord(node_.name(), UnixNow(), node_.settings(), node_.ExportLearned())};
   return [writer = writer_, entry = std::move(entry), snapshot](const std::atomic<bool>& cancelled) mutable {
     JobResult result;
     // Nothing learned yet, or given up before it began: what is there stays.
