--- a/src/standin/store.cpp
+++ b/src/standin/store.cpp
@@ -192,7 +192,7 @@
   }
   std::vector<std::uint64_t> late;
   for (const auto& [id, call] : calls_) {
-    if (call.connection != 0 && call.until <= now) late.push_back(id);
+    if (options_.answers_late && call.connection != 0 && call.until <= now) late.push_back(id);
   }
   for (const std::uint64_t id : late) {
     ++counts_.late;
--- a/src/standin/store.h
+++ b/src/standin/store.h
@@ -32,6 +32,9 @@
   Millis down{3000};   // How long it is away once it has died.
   Millis linger{200};  // A call given up stays in hand this long at most.
   double errors = 0;   // Share of calls that end with ERR, having run.
+  // Whether a call that reaches its caller's time limit is answered with LATE, or worked on until it is
+  // dropped.
+  bool answers_late = true;
   std::uint64_t seed = 1;
 };
 
--- a/tests/net/store_client_test.cpp
+++ b/tests/net/store_client_test.cpp
@@ -90,12 +90,19 @@
   EXPECT_EQ(store.counts().twice, 0u);
 }
 
-TEST_F(StoreClientTest, ACallPastItsLimitIsGivenUpAtTheStoreToo) {
+// A store that works on a call until it is told to drop it: only the client can end the call.
+class StoreWithoutLimitsTest : public StoreClientTest {
+ protected:
+  StoreWithoutLimitsTest() : StoreClientTest({.answers_late = false}) {}
+};
+
+TEST_F(StoreWithoutLimitsTest, ACallPastItsLimitIsDroppedAtTheStoreToo) {
   store.SetStill(true);
   Call(1, 40ms);
   Turn([&] { return ends.size() == 1; });
   EXPECT_EQ(ends[1].outcome, Outcome::kTimeout);
   Turn([&] { return store.counts().dropped == 1; });
+  EXPECT_EQ(store.counts().late, 0u);
 }
 
 TEST_F(StoreClientTest, ARefusedConnectionProvesThatNothingRanAndABrokenOneProvesNothing) {
