--- a/src/decide/membership/membership_event.h
+++ b/src/decide/membership/membership_event.h
@@ -14,10 +14,10 @@
   kMemberLeft,          // It announced its end.
   kMemberDead,          // Its suspicion timed out.
   kSuspicionWithdrawn,  // It refuted the suspicion. Value: ms of suspicion.
-  kAccused,             // `member` suspects this node. Value: the MemberState that it holds.
-  kRemovalsHeld,        // The mass failure guard holds removals. Value: suspects.
-  kRemovalsResumed,     // It holds none any more. Value: ms that it did.
-  kIsolated,            // This node heard nobody. Value: ms.
+  kAccused,             // `member` suspects this node. Value: this node's MemberState in its view.
+  kRemovalsDeferred,    // The mass failure guard defers removals. Value: suspects.
+  kRemovalsResumed,     // It defers none any more. Value: ms that it did.
+  kIsolated,            // This node received no message. Value: ms.
   kPaused,              // This process was paused. Value: ms.
   kNameConflict,        // Another process uses this node's name.
   kProcessEpochRaised,  // An earlier process of this name had a greater epoch.
