--- a/src/cli/control_of_node.cpp
+++ b/src/cli/control_of_node.cpp
@@ -117,7 +117,7 @@
       : fleet_(node, [path] { return fleet::ReadFleetConfig(path); }) {}
   void Finish() override { fleet_.AnnounceLeave(); }
   std::string Members(bool brief) const override {
-    const fleet::Fleet::Snapshot snapshot = fleet_.TakeSnapshot();
+    const fleet::FleetSnapshot snapshot = fleet_.TakeSnapshot();
     if (brief) {
       Json json = {{"self", {{"life", snapshot.self.version.process_epoch}}},
                    {"cut_off", snapshot.defers_removals}};
@@ -155,7 +155,7 @@
     return json.dump();
   }
   std::string Short() const override {
-    const fleet::Fleet::Snapshot snapshot = fleet_.TakeSnapshot();
+    const fleet::FleetSnapshot snapshot = fleet_.TakeSnapshot();
     std::size_t by_state[3] = {1, 0, 0};
     for (const auto& other : snapshot.members) ++by_state[static_cast<std::size_t>(other.record.state)];
     return Json{{"alive", by_state[0]},
@@ -167,7 +167,7 @@
   }
 
   std::vector<std::pair<std::string, std::string>> Here() const override {
-    const fleet::Fleet::Snapshot snapshot = fleet_.TakeSnapshot();
+    const fleet::FleetSnapshot snapshot = fleet_.TakeSnapshot();
     std::vector<std::pair<std::string, std::string>> here = {{snapshot.self.name, snapshot.self.zone}};
     for (const auto& other : snapshot.members) {
       // Suspects may be back any moment: what moves for them moves twice.
--- a/src/fleet/codec.cpp
+++ b/src/fleet/codec.cpp
@@ -1,109 +1,154 @@
 #include "fleet/codec.h"
 
+#include <cstdint>
+#include <limits>
 #include <nlohmann/json.hpp>
+#include <utility>
+#include <vector>
 
 namespace hingelink::fleet {
 namespace {
 
-using Json = nlohmann::json;
 using decide::GossipMessage;
 using decide::MemberRecord;
+using decide::Payload;
+using Json = nlohmann::json;
+using Bytes = std::vector<std::uint8_t>;
 
-// Beyond what a datagram can hold; guards against lists that are all heads and no bodies.
-constexpr std::size_t kMostRecords = 64, kMostParcels = 16;
+// More than fit into a datagram; lists of many empty elements are rejected.
+constexpr std::size_t kMaxRecords = 64;
+constexpr std::size_t kMaxPayloads = 16;
+// Elements of the arrays; later versions may append further ones.
+constexpr std::size_t kRecordElements = 10;
+constexpr std::size_t kMessageElements = 10;
+constexpr std::size_t kDigestBytes = 4;
+constexpr auto kLastMessageKind = static_cast<std::uint8_t>(decide::GossipMessageKind::kSyncResponse);
+constexpr auto kLastPhase = static_cast<std::uint8_t>(decide::MemberPhase::kLeft);
+constexpr auto kLastState = static_cast<std::uint8_t>(decide::MemberState::kDead);
 
-Json ToJson(const MemberRecord& r) {
-  return Json::array({r.name, r.address.ip, r.address.port, r.version.process_epoch, r.version.incarnation,
-                      static_cast<unsigned>(r.phase), static_cast<unsigned>(r.state), r.zone, r.weight,
-                      r.accuser});
+// ---- Encoding ----
+
+Json EncodeRecord(const MemberRecord& record) {
+  return Json::array({record.name, record.address.ip, record.address.port, record.version.process_epoch,
+                      record.version.incarnation, static_cast<unsigned>(record.phase),
+                      static_cast<unsigned>(record.state), record.zone, record.weight, record.accuser});
 }
 
-Json Binary(const void* data, std::size_t bytes) {
-  const auto* from = static_cast<const std::uint8_t*>(data);
-  return Json::binary(std::vector<std::uint8_t>(from, from + bytes));
+Json EncodePayload(const Payload& payload) {
+  return Json::array({payload.topic, Json::binary(Bytes(payload.body.begin(), payload.body.end()))});
+}
+
+// Big-endian.
+Bytes EncodeDigests(const std::vector<std::uint32_t>& digests) {
+  Bytes bytes;
+  bytes.reserve(digests.size() * kDigestBytes);
+  for (const std::uint32_t digest : digests) {
+    for (int shift = 24; shift >= 0; shift -= 8) bytes.push_back(static_cast<std::uint8_t>(digest >> shift));
+  }
+  return bytes;
 }
 
-// Throws Json::exception, as at() and get() do, where a value is another one than wanted.
+// ---- Decoding: functions throw Json::exception if a value has another type or is out of bounds. ----
+
+[[noreturn]] void ThrowOutOfBounds(const char* what) { throw Json::out_of_range::create(401, what, nullptr); }
+
 template <class Number>
-Number Get(const Json& json, std::uint64_t most = std::numeric_limits<Number>::max()) {
-  if (!json.is_number_unsigned() || json.get<std::uint64_t>() > most)
-    throw Json::out_of_range::create(401, "number", nullptr);
+Number DecodeNumber(const Json& json, std::uint64_t max = std::numeric_limits<Number>::max()) {
+  if (!json.is_number_unsigned() || json.get<std::uint64_t>() > max) ThrowOutOfBounds("number");
   return static_cast<Number>(json.get<std::uint64_t>());
 }
-std::string GetText(const Json& json, std::size_t most) {
+
+std::string DecodeText(const Json& json, std::size_t max_bytes) {
   std::string text = json.get<std::string>();
-  if (text.size() > most) throw Json::out_of_range::create(401, "text", nullptr);
+  if (text.size() > max_bytes) ThrowOutOfBounds("text");
   return text;
 }
-const std::vector<std::uint8_t>& GetBinary(const Json& json) { return json.get_ref<const Json::binary_t&>(); }
-
-MemberRecord ToRecord(const Json& json) {
-  if (!json.is_array() || json.size() < 10) throw Json::out_of_range::create(401, "record", nullptr);
-  MemberRecord r;
-  r.name = GetText(json[0], decide::kMaxNameBytes);
-  r.address = {Get<std::uint32_t>(json[1]), Get<std::uint16_t>(json[2])};
-  r.version = {Get<std::uint64_t>(json[3]), Get<std::uint32_t>(json[4])};
-  r.phase = static_cast<decide::MemberPhase>(Get<std::uint8_t>(json[5], 4));
-  r.state = static_cast<decide::MemberState>(Get<std::uint8_t>(json[6], 2));
-  r.zone = GetText(json[7], decide::kMaxZoneBytes);
-  r.weight = Get<std::uint16_t>(json[8]);
-  r.accuser = GetText(json[9], decide::kMaxNameBytes);
-  return r;
+
+const Bytes& DecodeBinary(const Json& json, std::size_t max_bytes = std::numeric_limits<std::size_t>::max()) {
+  const Bytes& bytes = json.get_ref<const Json::binary_t&>();
+  if (bytes.size() > max_bytes) ThrowOutOfBounds("binary");
+  return bytes;
 }
 
-}  // namespace
+const Json& DecodeArray(const Json& json, std::size_t min_elements,
+                        std::size_t max_elements = std::numeric_limits<std::size_t>::max()) {
+  if (!json.is_array() || json.size() < min_elements || json.size() > max_elements) ThrowOutOfBounds("array");
+  return json;
+}
 
-std::string Encode(const GossipMessage& m) {
-  Json records = Json::array(), parcels = Json::array();
-  for (const MemberRecord& record : m.records) records.push_back(ToJson(record));
-  for (const decide::Payload& parcel : m.payloads) {
-    parcels.push_back(Json::array({parcel.topic, Binary(parcel.body.data(), parcel.body.size())}));
-  }
-  std::vector<std::uint8_t> digests;
-  for (const std::uint32_t digest : m.bucket_digests) {
-    for (int shift = 24; shift >= 0; shift -= 8)
-      digests.push_back(static_cast<std::uint8_t>(digest >> shift));
+std::vector<std::uint32_t> DecodeDigests(const Json& json) {
+  const Bytes& bytes = DecodeBinary(json, kDigestBytes * decide::kDigestBuckets);
+  if (bytes.size() % kDigestBytes != 0) ThrowOutOfBounds("digests");
+  std::vector<std::uint32_t> digests;
+  digests.reserve(bytes.size() / kDigestBytes);
+  for (std::size_t at = 0; at < bytes.size(); at += kDigestBytes) {
+    std::uint32_t digest = 0;
+    for (std::size_t i = 0; i < kDigestBytes; ++i) digest = digest << 8 | bytes[at + i];
+    digests.push_back(digest);
   }
-  const Json json = Json::array(
-      {static_cast<unsigned>(m.kind), m.sequence_number, m.target, m.target_address.ip, m.target_address.port,
-       m.view_digest, Json::binary(digests), Binary(m.differing_buckets.data(), m.differing_buckets.size()),
-       std::move(records), std::move(parcels)});
+  return digests;
+}
+
+MemberRecord DecodeRecord(const Json& json) {
+  DecodeArray(json, kRecordElements);
+  MemberRecord record;
+  record.name = DecodeText(json[0], decide::kMaxNameBytes);
+  record.address = {DecodeNumber<std::uint32_t>(json[1]), DecodeNumber<std::uint16_t>(json[2])};
+  record.version = {DecodeNumber<std::uint64_t>(json[3]), DecodeNumber<std::uint32_t>(json[4])};
+  record.phase = static_cast<decide::MemberPhase>(DecodeNumber<std::uint8_t>(json[5], kLastPhase));
+  record.state = static_cast<decide::MemberState>(DecodeNumber<std::uint8_t>(json[6], kLastState));
+  record.zone = DecodeText(json[7], decide::kMaxZoneBytes);
+  record.weight = DecodeNumber<std::uint16_t>(json[8]);
+  record.accuser = DecodeText(json[9], decide::kMaxNameBytes);
+  return record;
+}
+
+Payload DecodePayload(const Json& json) {
+  const Bytes& body = DecodeBinary(json.at(1));
+  return {DecodeNumber<std::uint8_t>(json.at(0)), std::string(body.begin(), body.end())};
+}
+
+GossipMessage DecodeMessage(const Json& json) {
+  DecodeArray(json, kMessageElements);
+  GossipMessage message;
+  message.kind =
+      static_cast<decide::GossipMessageKind>(DecodeNumber<std::uint8_t>(json[0], kLastMessageKind));
+  message.sequence_number = DecodeNumber<std::uint32_t>(json[1]);
+  message.target = DecodeText(json[2], decide::kMaxNameBytes);
+  message.target_address = {DecodeNumber<std::uint32_t>(json[3]), DecodeNumber<std::uint16_t>(json[4])};
+  message.view_digest = DecodeNumber<std::uint64_t>(json[5]);
+  message.bucket_digests = DecodeDigests(json[6]);
+  message.differing_buckets = DecodeBinary(json[7], decide::kDigestBuckets);
+  for (const Json& record : DecodeArray(json[8], 1, kMaxRecords))
+    message.records.push_back(DecodeRecord(record));
+  for (const Json& payload : DecodeArray(json[9], 0, kMaxPayloads))
+    message.payloads.push_back(DecodePayload(payload));
+  // The sender's own record.
+  if (message.records.front().name.empty()) ThrowOutOfBounds("name");
+  return message;
+}
+
+}  // namespace
+
+std::string Encode(const GossipMessage& message) {
+  Json records = Json::array();
+  for (const MemberRecord& record : message.records) records.push_back(EncodeRecord(record));
+  Json payloads = Json::array();
+  for (const Payload& payload : message.payloads) payloads.push_back(EncodePayload(payload));
+  const Json json =
+      Json::array({static_cast<unsigned>(message.kind), message.sequence_number, message.target,
+                   message.target_address.ip, message.target_address.port, message.view_digest,
+                   Json::binary(EncodeDigests(message.bucket_digests)),
+                   Json::binary(message.differing_buckets), std::move(records), std::move(payloads)});
   std::string bytes;
   Json::to_cbor(json, bytes);
   return bytes;
 }
 
 std::optional<GossipMessage> Decode(std::string_view bytes) {
-  // The library throws for a list of an impossible size, also where it is told to throw nothing.
+  // Besides Json::exception the library throws std::length_error for a list of an impossible size.
   try {
-    const Json json = Json::from_cbor(bytes, true, false);
-    if (!json.is_array() || json.size() < 10) return std::nullopt;
-    GossipMessage m;
-    m.kind = static_cast<decide::GossipMessageKind>(Get<std::uint8_t>(json[0], 6));
-    m.sequence_number = Get<std::uint32_t>(json[1]);
-    m.target = GetText(json[2], decide::kMaxNameBytes);
-    m.target_address = {Get<std::uint32_t>(json[3]), Get<std::uint16_t>(json[4])};
-    m.view_digest = Get<std::uint64_t>(json[5]);
-    const auto& digests = GetBinary(json[6]);
-    if (digests.size() % 4 != 0 || digests.size() > 4 * decide::kDigestBuckets) return std::nullopt;
-    for (std::size_t i = 0; i < digests.size(); i += 4) {
-      m.bucket_digests.push_back(static_cast<std::uint32_t>(digests[i]) << 24 |
-                                 static_cast<std::uint32_t>(digests[i + 1]) << 16 |
-                                 static_cast<std::uint32_t>(digests[i + 2]) << 8 | digests[i + 3]);
-    }
-    m.differing_buckets = GetBinary(json[7]);
-    const Json &records = json[8], &parcels = json[9];
-    if (!records.is_array() || records.empty() || records.size() > kMostRecords || !parcels.is_array() ||
-        parcels.size() > kMostParcels || m.differing_buckets.size() > decide::kDigestBuckets) {
-      return std::nullopt;
-    }
-    for (const Json& record : records) m.records.push_back(ToRecord(record));
-    for (const Json& parcel : parcels) {
-      const auto& body = GetBinary(parcel.at(1));
-      m.payloads.push_back({Get<std::uint8_t>(parcel.at(0)), std::string(body.begin(), body.end())});
-    }
-    if (m.records.front().name.empty()) return std::nullopt;
-    return m;
+    return DecodeMessage(Json::from_cbor(bytes, true, false));
   } catch (const std::exception&) {
     return std::nullopt;
   }
--- a/src/fleet/codec.h
+++ b/src/fleet/codec.h
@@ -1,5 +1,4 @@
-// What the members tell each other as CBOR, and back. Arrays by place; decide::MaxEncodedSize() bounds the
-// size.
+// The wire format of gossip messages: CBOR (RFC 8949), arrays whose elements are identified by position.
 #ifndef HINGELINK_FLEET_CODEC_H_
 #define HINGELINK_FLEET_CODEC_H_
 
@@ -7,13 +6,14 @@
 #include <string>
 #include <string_view>
 
-#include "decide/membership/membership.h"
+#include "decide/membership/gossip_message.h"
 
 namespace hingelink::fleet {
 
-std::string Encode(const decide::GossipMessage& message);
-// Nothing where the bytes are no such message, or one out of bounds.
-std::optional<decide::GossipMessage> Decode(std::string_view bytes);
+// At most decide::MaxEncodedSize(message) bytes.
+[[nodiscard]] std::string Encode(const decide::GossipMessage& message);
+// None if the bytes are no message, or one with a value out of bounds. Never throws.
+[[nodiscard]] std::optional<decide::GossipMessage> Decode(std::string_view bytes);
 
 }  // namespace hingelink::fleet
 
--- /dev/null
+++ b/src/fleet/fleet_snapshot.h
@@ -0,0 +1,28 @@
+// What a node knows of its fleet at one moment, and its figures for the metrics endpoint.
+#ifndef HINGELINK_FLEET_FLEET_SNAPSHOT_H_
+#define HINGELINK_FLEET_FLEET_SNAPSHOT_H_
+
+#include <string>
+#include <vector>
+
+#include "decide/membership/membership.h"
+#include "net/gossip_transport.h"
+
+namespace hingelink::fleet {
+
+struct FleetSnapshot {
+  decide::MemberRecord self;
+  std::vector<decide::MemberView> members;  // All others, by name.
+  int local_health = 0;                     // decide::Membership::local_health().
+  bool defers_removals = false;             // decide::Membership::defers_removals().
+  bool is_transport_open = false;
+  decide::MembershipCounters counters;
+  net::GossipTransport::Counters transport;
+};
+
+// In the Prometheus text format.
+[[nodiscard]] std::string MetricsTextOf(const FleetSnapshot& snapshot);
+
+}  // namespace hingelink::fleet
+
+#endif  // HINGELINK_FLEET_FLEET_SNAPSHOT_H_
--- a/src/net/gossip_transport.h
+++ b/src/net/gossip_transport.h
@@ -1,104 +1,105 @@
-// The link between nodes: datagrams under a key that all of them hold. It carries bodies and knows none of
-// them.
+// Authenticated datagrams between the nodes of a fleet, over UDP. Bodies are opaque.
 //
 //   offset  bytes
 //   0       2      "HL"
 //   2       1      version, 1
-//   3       1      which key: the first byte of its own hash
-//   4       8      the sender's sender_id: a number drawn at its start, big-endian
-//   12      8      counts the sender's datagrams, from 1, big-endian
-//   20      16     BLAKE2b of all before and behind it, under the key
-//   36      ...    the body, at most kMaxBodyBytes
+//   3       1      key id: the first byte of the BLAKE2b hash of the key
+//   4       8      sender id: a random number of the sending process, big-endian
+//   12      8      counter of the sender's datagrams, from 1, big-endian
+//   20      16     MAC: BLAKE2b of the header up to here and of the body, under the key
+//   36      ...    body, at most kMaxBodyBytes
 //
-// Guards: what is not under one of the keys (two at once, so that a key can be replaced in service), what
-// came before (a window of 1,024 behind the newest of each sender_id) and what is too long is counted and
-// dropped. All work on what arrives is bounded to a share of a core, and what is sent to bytes a second:
-// beyond that datagrams are lost, as on any link.
-#ifndef HINGELINK_NET_PEERS_H_
-#define HINGELINK_NET_PEERS_H_
+// Datagrams that are malformed, not authentic or replayed are counted and dropped. Two keys are accepted at
+// once, so that a key can be replaced in service. The work on received datagrams is limited to a fraction of
+// a core, and what is sent to a number of bytes a second; beyond that datagrams are lost, as on any network.
+#ifndef HINGELINK_NET_GOSSIP_TRANSPORT_H_
+#define HINGELINK_NET_GOSSIP_TRANSPORT_H_
 
-#include <array>
-#include <bitset>
+#include <cstddef>
 #include <cstdint>
 #include <functional>
-#include <string>
 #include <string_view>
-#include <unordered_map>
 #include <vector>
 
 #include "net/event.h"
+#include "net/gossip_keys.h"
+#include "net/replay_filter.h"
 
 namespace hingelink::net {
 
-using GossipKey = std::array<unsigned char, 32>;
-
-// A file with one key a line, 64 hex digits each: the first signs, both are believed. Throws
-// std::runtime_error that names file and line and says what is wanted.
-std::vector<GossipKey> ReadGossipKeys(const std::string& path);
-// A key drawn now, as a line of such a file.
-std::string GenerateGossipKey();
-
+// All calls on the thread of the event base.
 class GossipTransport {
  public:
-  static constexpr std::size_t kHeaderBytes = 36, kMaxBodyBytes = 1'300;
+  static constexpr std::size_t kHeaderBytes = 36;
+  static constexpr std::size_t kMaxBodyBytes = 1'300;
+
   struct Options {
     sockaddr_in listen{};
-    std::vector<GossipKey> keys;
-    double max_core_fraction = 0.1;          // Of all work on what arrives, at most.
-    double send_bytes_per_second = 64'000;   // Sent; two seconds of it may be saved up.
-    std::size_t max_replay_windows = 8'192;  // Windows kept; the one that was quiet longest gives way.
+    std::vector<GossipKey> keys;  // The first one signs.
+    // Upper bound of the work on received datagrams, as a fraction of a core.
+    double max_core_fraction = 0.1;
+    // Upper bound of what is sent; up to two seconds of it may accumulate.
+    double send_bytes_per_second = 64'000;
+    // Upper bound of the senders whose replay windows are kept.
+    std::size_t max_replay_windows = 8'192;
   };
   struct Counters {
-    std::uint64_t sent = 0, sent_bytes = 0, received = 0, received_bytes = 0;
-    std::uint64_t malformed = 0;        // Neither header nor length of this link.
-    std::uint64_t unauthenticated = 0;  // No key of that name, or the MAC is another one.
-    std::uint64_t replayed = 0;         // Seen before, or too old to tell.
+    std::uint64_t sent = 0;
+    std::uint64_t sent_bytes = 0;
+    std::uint64_t received = 0;
+    std::uint64_t received_bytes = 0;
+    std::uint64_t malformed = 0;        // Another header or length.
+    std::uint64_t unauthenticated = 0;  // An unknown key, or a wrong MAC.
+    std::uint64_t replayed = 0;         // Received before, or too old to tell.
     std::uint64_t reflected = 0;        // This node's own.
-    std::uint64_t unsent = 0;           // Over the bytes a second, or the system would not take it.
-    std::uint64_t read_pauses = 0;      // Times that reading rested, as its share of the core was used up.
+    std::uint64_t unsent = 0;           // Over the bound, too long, or rejected by the system.
+    std::uint64_t read_pauses = 0;      // Reading paused, as the fraction of the core was used up.
   };
-  using Hear = std::function<void(const sockaddr_in& from, std::string_view body)>;
+  // Receives the body of each datagram that is accepted.
+  using OnDatagram = std::function<void(const sockaddr_in& from, std::string_view body)>;
 
-  // Throws std::runtime_error where it cannot listen.
-  GossipTransport(event_base* base, Options options, Hear hear);
+  // `base` must outlive the object. Throws std::runtime_error if the address cannot be bound.
+  GossipTransport(event_base* base, Options options, OnDatagram on_datagram);
 
-  // Answers come to the address that it listens on.
+  // Sends one datagram, or counts it as unsent. Answers arrive at the address that it listens on.
   void Send(const sockaddr_in& to, std::string_view body);
-  void SetKeys(std::vector<GossipKey> keys);
+  // Replaces the keys; the first one signs from now on.
+  void SetKeys(const std::vector<GossipKey>& keys);
 
-  const Counters& counters() const { return counters_; }
-  std::uint16_t port() const { return LocalPort(socket_.get()); }
-  std::size_t replay_windows() const { return windows_.size(); }
+  [[nodiscard]] const Counters& counters() const { return counters_; }
+  [[nodiscard]] std::uint16_t port() const { return LocalPort(socket_.get()); }
+  [[nodiscard]] std::size_t replay_windows() const { return replay_filter_.senders(); }
 
  private:
-  static constexpr std::size_t kWindow = 1'024;
-  struct Window {
-    std::uint64_t newest = 0;
-    std::bitset<kWindow> seen;  // By counter, modulo.
-    std::uint64_t used = 0;     // By a count of all datagrams.
-  };
   struct Key {
     GossipKey key;
-    unsigned char name = 0;
+    unsigned char id = 0;
   };
 
-  void Read();
-  void Take(const sockaddr_in& from, std::string_view datagram);
-  bool Fresh(std::uint64_t sender_id, std::uint64_t counter);
+  void OnReadable();
+  // Reads a limited number of datagrams.
+  void ReadBatch();
+  // Stops reading until the work that was done is within the bound again.
+  void PauseReading();
+  void Handle(const sockaddr_in& from, std::string_view datagram);
+  [[nodiscard]] bool IsAuthentic(std::string_view datagram) const;
 
   Options options_;
-  Hear hear_;
+  OnDatagram on_datagram_;
   Descriptor socket_;
   EventPtr readable_;
-  Timer rest_;
+  Timer resume_reading_;
   std::vector<Key> keys_;
-  std::uint64_t sender_id_ = 0, counter_ = 0, taken_ = 0;
-  std::unordered_map<std::uint64_t, Window> windows_;
-  double work_left_us_ = 0, bytes_left_ = 0;
-  Steady::time_point refilled_ = Steady::now(), bytes_refilled_ = Steady::now();
+  std::uint64_t sender_id_ = 0;
+  std::uint64_t counter_ = 0;
+  ReplayFilter replay_filter_;
+  double work_budget_us_ = 0;
+  Steady::time_point work_refilled_at_ = Steady::now();
+  double send_budget_bytes_ = 0;
+  Steady::time_point send_refilled_at_ = Steady::now();
   Counters counters_;
 };
 
 }  // namespace hingelink::net
 
-#endif  // HINGELINK_NET_PEERS_H_
+#endif  // HINGELINK_NET_GOSSIP_TRANSPORT_H_
--- a/tests/fleet/codec_test.cpp
+++ b/tests/fleet/codec_test.cpp
@@ -1,4 +1,4 @@
-// What members tell each other, as bytes and back; and that nobody's bytes do harm.
+// The wire format of gossip messages: round trips, the size bound, and hostile bytes.
 #include "fleet/codec.h"
 
 #include <gtest/gtest.h>
@@ -10,67 +10,69 @@
 using decide::GossipMessage;
 using decide::MemberRecord;
 
-std::string Text(std::size_t most) {
-  const auto size = *rc::gen::inRange<std::size_t>(0, most + 1);
+std::string AnyText(std::size_t max_bytes) {
+  const auto size = *rc::gen::inRange<std::size_t>(0, max_bytes + 1);
   return *rc::gen::container<std::string>(size, rc::gen::inRange<char>('!', '~'));
 }
 
 MemberRecord AnyRecord() {
-  MemberRecord r;
-  r.name = "n" + Text(decide::kMaxNameBytes - 1);
-  r.address = {*rc::gen::arbitrary<std::uint32_t>(), *rc::gen::arbitrary<std::uint16_t>()};
-  r.version = {*rc::gen::arbitrary<std::uint64_t>(), *rc::gen::arbitrary<std::uint32_t>()};
-  r.phase = static_cast<decide::MemberPhase>(*rc::gen::inRange(0, 5));
-  r.state = static_cast<decide::MemberState>(*rc::gen::inRange(0, 3));
-  r.zone = Text(decide::kMaxZoneBytes);
-  r.weight = *rc::gen::arbitrary<std::uint16_t>();
-  r.accuser = Text(decide::kMaxNameBytes);
-  return r;
+  MemberRecord record;
+  record.name = "n" + AnyText(decide::kMaxNameBytes - 1);
+  record.address = {*rc::gen::arbitrary<std::uint32_t>(), *rc::gen::arbitrary<std::uint16_t>()};
+  record.version = {*rc::gen::arbitrary<std::uint64_t>(), *rc::gen::arbitrary<std::uint32_t>()};
+  record.phase = static_cast<decide::MemberPhase>(*rc::gen::inRange(0, 5));
+  record.state = static_cast<decide::MemberState>(*rc::gen::inRange(0, 3));
+  record.zone = AnyText(decide::kMaxZoneBytes);
+  record.weight = *rc::gen::arbitrary<std::uint16_t>();
+  record.accuser = AnyText(decide::kMaxNameBytes);
+  return record;
 }
 
 GossipMessage AnyMessage() {
-  GossipMessage m;
-  m.kind = static_cast<decide::GossipMessageKind>(*rc::gen::inRange(0, 7));
-  m.sequence_number = *rc::gen::arbitrary<std::uint32_t>();
-  m.target = Text(decide::kMaxNameBytes);
-  m.target_address = {*rc::gen::arbitrary<std::uint32_t>(), *rc::gen::arbitrary<std::uint16_t>()};
-  m.view_digest = *rc::gen::arbitrary<std::uint64_t>();
-  if (m.kind == decide::GossipMessageKind::kSyncRequest) {
-    m.bucket_digests = *rc::gen::container<std::vector<std::uint32_t>>(decide::kDigestBuckets,
-                                                                       rc::gen::arbitrary<std::uint32_t>());
+  GossipMessage message;
+  message.kind = static_cast<decide::GossipMessageKind>(*rc::gen::inRange(0, 7));
+  message.sequence_number = *rc::gen::arbitrary<std::uint32_t>();
+  message.target = AnyText(decide::kMaxNameBytes);
+  message.target_address = {*rc::gen::arbitrary<std::uint32_t>(), *rc::gen::arbitrary<std::uint16_t>()};
+  message.view_digest = *rc::gen::arbitrary<std::uint64_t>();
+  if (message.kind == decide::GossipMessageKind::kSyncRequest) {
+    message.bucket_digests = *rc::gen::container<std::vector<std::uint32_t>>(
+        decide::kDigestBuckets, rc::gen::arbitrary<std::uint32_t>());
   }
-  m.differing_buckets = *rc::gen::arbitrary<std::vector<std::uint8_t>>();
-  const int records = *rc::gen::inRange(1, 12);
-  for (int i = 0; i < records; ++i) m.records.push_back(AnyRecord());
-  const int parcels = *rc::gen::inRange(0, 4);
-  for (int i = 0; i < parcels; ++i) m.payloads.push_back({*rc::gen::arbitrary<std::uint8_t>(), Text(200)});
-  return m;
+  message.differing_buckets = *rc::gen::arbitrary<std::vector<std::uint8_t>>();
+  message.records.resize(*rc::gen::inRange<std::size_t>(1, 12));
+  for (MemberRecord& record : message.records) record = AnyRecord();
+  message.payloads.resize(*rc::gen::inRange<std::size_t>(0, 4));
+  for (decide::Payload& payload : message.payloads) {
+    payload = {*rc::gen::arbitrary<std::uint8_t>(), AnyText(200)};
+  }
+  return message;
 }
 
-RC_GTEST_PROP(Codec, GivesBackWhatItWasGiven, ()) {
+RC_GTEST_PROP(Codec, DecodesWhatItEncoded, ()) {
   const GossipMessage message = AnyMessage();
-  const auto read = Decode(Encode(message));
-  RC_ASSERT(read.has_value());
-  RC_ASSERT(*read == message);
+  const auto decoded = Decode(Encode(message));
+  RC_ASSERT(decoded.has_value());
+  RC_ASSERT(*decoded == message);
 }
 
-// The decisions fill a message by this bound, and the link refuses what is longer.
-RC_GTEST_PROP(Codec, IsNeverLongerThanTheDecisionsReckon, ()) {
+// Messages are filled up to this bound, and the transport rejects longer ones.
+RC_GTEST_PROP(Codec, StaysWithinMaxEncodedSize, ()) {
   const GossipMessage message = AnyMessage();
   RC_ASSERT(Encode(message).size() <= decide::MaxEncodedSize(message));
 }
 
-RC_GTEST_PROP(Codec, ReadsNothingOutOfBounds, ()) {
+RC_GTEST_PROP(Codec, DecodesNoValuesOutOfBounds, ()) {
   std::string bytes = Encode(AnyMessage());
   const int changes = *rc::gen::inRange(1, 6);
   for (int i = 0; i < changes; ++i) {
     bytes[*rc::gen::inRange<std::size_t>(0, bytes.size())] = *rc::gen::arbitrary<char>();
   }
-  const auto read = Decode(bytes);
-  if (!read) return;
-  RC_ASSERT(!read->records.empty());
-  RC_ASSERT(read->bucket_digests.size() <= decide::kDigestBuckets);
-  for (const MemberRecord& record : read->records) {
+  const auto decoded = Decode(bytes);
+  if (!decoded) return;
+  RC_ASSERT(!decoded->records.empty());
+  RC_ASSERT(decoded->bucket_digests.size() <= decide::kDigestBuckets);
+  for (const MemberRecord& record : decoded->records) {
     RC_ASSERT(record.name.size() <= decide::kMaxNameBytes);
     RC_ASSERT(record.zone.size() <= decide::kMaxZoneBytes);
     RC_ASSERT(static_cast<int>(record.phase) <= 4);
