--- a/models/membership.pml
+++ b/models/membership.pml
@@ -1,14 +1,15 @@
-/* Life and incarnation of one member, as two others hold it, over a link that loses, repeats and reorders.
+/* Process epoch (`life`) and incarnation of one member, in the views of two others (src/decide/membership), over a
+ * link that loses, repeats and reorders messages.
  *
- * The member raises its incarnation when it hears itself suspected, and may end and begin again with a greater
- * life. The others suspect it and drop it whenever they like: no time is modelled, only what an order of words
- * may lead to. Asserted: what an other holds never falls; who was dropped is held as alive again by a newer
- * word alone; nobody holds a version that the member never had.
+ * The member raises its incarnation when it receives a suspicion of itself, and may end and start again with a
+ * greater epoch. The others suspect it and declare it dead (`gone`) at any time: no time is modelled, only what an
+ * order of messages may lead to. Asserted: the version in a view never decreases; a dead member is alive again by a
+ * greater version alone; no view has a version that the member never had.
  *
  *   sh models/check.sh            verifies this, and that each planted mistake is found
- *   -DPLANT_EQUAL                 a word of the same version counts as newer
- *   -DPLANT_OTHERS                an other raises the incarnation itself
- *   -DPLANT_LIFE                  incarnations are compared across lives
+ *   -DPLANT_EQUAL                 a record of the same version counts as newer
+ *   -DPLANT_OTHERS                another node raises the incarnation
+ *   -DPLANT_LIFE                  incarnations are compared across epochs
  */
 #define LIVES 2
 #define INCARNATIONS 1
@@ -31,7 +32,7 @@
 /* What is asserted, whatever is planted above. */
 #define ABOVE(l, i, ol, oi) ((l) > (ol) || ((l) == (ol) && (i) > (oi)))
 
-/* A word that may be lost; where sending is a choice, not to send is the same. */
+/* A record that may be lost; where sending is a choice, not to send is the same. */
 inline Send(to, l, i, b) {
   if
   :: nfull(link) -> link!to, l, i, b
@@ -44,7 +45,7 @@
   mtype b;
 end:
   do
-  :: atomic { up && nfull(link) -> link!1, life, inc, alive } /* Again and again: so a word comes twice, too. */
+  :: atomic { up && nfull(link) -> link!1, life, inc, alive } /* Repeatedly: so a record is received twice, too. */
   :: atomic { up && nfull(link) -> link!2, life, inc, alive }
   :: atomic { link??0, l, i, b ->
        if
@@ -75,7 +76,7 @@
             hl = l; hi = i; hb = b;
             if
             :: hb == gone -> gl = hl; gi = hi; dropped = true
-            :: else -> assert(!dropped || ABOVE(hl, hi, gl, gi)) /* Nobody is brought back by an old word. */
+            :: else -> assert(!dropped || ABOVE(hl, hi, gl, gi)) /* An old record does not revive a member. */
             fi
        :: !NEWER(l, i, hl, hi) && l == hl && i == hi && hb == alive && b == suspect -> hb = suspect
        :: !NEWER(l, i, hl, hi) && l == hl && i == hi && hb != gone && b == gone ->
--- a/src/decide/membership/membership_event.cpp
+++ b/src/decide/membership/membership_event.cpp
@@ -13,23 +13,23 @@
     case MembershipEventKind::kMemberLeft:
       return "member-left";
     case MembershipEventKind::kMemberDead:
-      return "member-gone";
+      return "member-dead";
     case MembershipEventKind::kSuspicionWithdrawn:
       return "suspicion-withdrawn";
     case MembershipEventKind::kAccused:
-      return "accused";
+      return "suspected-by";
     case MembershipEventKind::kRemovalsDeferred:
-      return "cut-off";
+      return "removals-deferred";
     case MembershipEventKind::kRemovalsResumed:
-      return "heard-again";
+      return "removals-resumed";
     case MembershipEventKind::kIsolated:
-      return "deaf";
+      return "isolated";
     case MembershipEventKind::kPaused:
-      return "thawed";
+      return "process-paused";
     case MembershipEventKind::kNameConflict:
-      return "name-taken";
+      return "name-conflict";
     case MembershipEventKind::kProcessEpochRaised:
-      return "life-raised";
+      return "process-epoch-raised";
   }
   return "";
 }
--- a/src/fleet/fleet.cpp
+++ b/src/fleet/fleet.cpp
@@ -111,7 +111,7 @@
                        [this](const sockaddr_in& from, std::string_view body) { OnDatagram(from, body); });
   } catch (const std::runtime_error& error) {
     // The process that this one takes over from has the address until it has handed over.
-    if (!std::exchange(has_warned_of_address_, true)) log::Warn("fleet-no-link", {{"what", error.what()}});
+    if (!std::exchange(has_warned_of_address_, true)) log::Warn("fleet-bind-failed", {{"what", error.what()}});
     open_timer_.After(kOpenInterval);
     return;
   }
@@ -134,7 +134,7 @@
     if (address != self.address) seeds.push_back(address);
   }
   membership_.emplace(decide::MembershipOptions{}, std::move(self), std::move(seeds), random);
-  log::Info("fleet-begins", {{"listen", config_.listen}, {"seeds", config_.seeds.size()}});
+  log::Info("fleet-started", {{"listen", config_.listen}, {"seeds", config_.seeds.size()}});
 }
 
 void Fleet::OnDatagram(const sockaddr_in& from, std::string_view body) {
@@ -214,7 +214,7 @@
     if (membership_) membership_->SetSeeds(std::move(seeds));
     config_.keys = config.keys;
     config_.seeds = config.seeds;
-    log::Info("fleet-reload", {{"keys", keys_.size()}, {"seeds", config.seeds.size()}});
+    log::Info("fleet-reloaded", {{"keys", keys_.size()}, {"seeds", config.seeds.size()}});
   } catch (const std::exception& error) {
     log::Warn("fleet-reload-failed", {{"what", error.what()}});
   }
