--- a/src/decide/membership/local_member.cpp
+++ b/src/decide/membership/local_member.cpp
@@ -15,11 +15,11 @@
 
 }  // namespace
 
-LocalMember::LocalMember(MemberRecord self, RandomSource random, ViewDigest& digest, const MemberTable& table,
-                         const BroadcastQueue& broadcasts, GossipTimer& gossip_timer, LocalHealth& health,
-                         ActionSink& actions)
+LocalMember::LocalMember(MemberRecord self, const RandomSource& random, ViewDigest& digest,
+                         const MemberTable& table, const BroadcastQueue& broadcasts,
+                         GossipTimer& gossip_timer, LocalHealth& health, ActionSink& actions)
     : record_(std::move(self)),
-      random_(std::move(random)),
+      random_(random),
       digest_(digest),
       table_(table),
       broadcasts_(broadcasts),
--- a/src/decide/membership/local_member.h
+++ b/src/decide/membership/local_member.h
@@ -20,7 +20,7 @@
 // Not thread-safe. All references must outlive the object; `digest` includes the record.
 class LocalMember {
  public:
-  LocalMember(MemberRecord self, RandomSource random, ViewDigest& digest, const MemberTable& table,
+  LocalMember(MemberRecord self, const RandomSource& random, ViewDigest& digest, const MemberTable& table,
               const BroadcastQueue& broadcasts, GossipTimer& gossip_timer, LocalHealth& health,
               ActionSink& actions);
 
@@ -44,7 +44,7 @@
   void RaiseProcessEpoch(Milliseconds now, std::uint64_t seen);
 
   MemberRecord record_;
-  RandomSource random_;
+  const RandomSource& random_;
   ViewDigest& digest_;
   const MemberTable& table_;
   const BroadcastQueue& broadcasts_;
--- a/src/decide/membership/member_table.h
+++ b/src/decide/membership/member_table.h
@@ -41,10 +41,10 @@
   std::size_t probe_index = 0;                 // Owned by MemberTable.
 };
 
-// Not thread-safe. `digest` must outlive the object; it includes all records of the table.
+// Not thread-safe. All references must outlive the object; `digest` includes all records of the table.
 class MemberTable {
  public:
-  MemberTable(RandomSource random, ViewDigest& digest) : random_(std::move(random)), digest_(digest) {}
+  MemberTable(const RandomSource& random, ViewDigest& digest) : random_(random), digest_(digest) {}
 
   // Null if there is no such member.
   [[nodiscard]] Member* Find(const std::string& name) const;
@@ -80,7 +80,7 @@
   void Swap(std::size_t left, std::size_t right);
   void ShuffleProbeOrder();
 
-  RandomSource random_;
+  const RandomSource& random_;
   ViewDigest& digest_;
   std::unordered_map<std::string, std::unique_ptr<Member>> by_name_;
   std::vector<Member*> probe_order_;
--- a/src/decide/membership/reconnector.h
+++ b/src/decide/membership/reconnector.h
@@ -20,12 +20,12 @@
 // Not thread-safe. All references must outlive the object.
 class Reconnector {
  public:
-  Reconnector(const MembershipOptions& options, std::vector<PeerAddress> seeds, RandomSource random,
+  Reconnector(const MembershipOptions& options, std::vector<PeerAddress> seeds, const RandomSource& random,
               const MemberTable& table, const MassFailureGuard& guard, AntiEntropy& anti_entropy,
               GossipSender& sender)
       : options_(options),
         seeds_(std::move(seeds)),
-        random_(std::move(random)),
+        random_(random),
         table_(table),
         guard_(guard),
         anti_entropy_(anti_entropy),
@@ -47,7 +47,7 @@
 
   const MembershipOptions& options_;
   std::vector<PeerAddress> seeds_;
-  RandomSource random_;
+  const RandomSource& random_;
   const MemberTable& table_;
   const MassFailureGuard& guard_;
   AntiEntropy& anti_entropy_;
--- a/tests/decide/membership/mass_failure_guard_test.cpp
+++ b/tests/decide/membership/mass_failure_guard_test.cpp
@@ -36,8 +36,9 @@
   }
 
   MembershipOptions options_;
+  RandomSource random_ = MakeRandomSource();
   ViewDigest digest_;
-  MemberTable table_{MakeRandomSource(), digest_};
+  MemberTable table_{random_, digest_};
   std::vector<Member*> members_;
   MassFailureGuard guard_{options_, table_};
 };
--- a/tests/decide/membership/member_table_test.cpp
+++ b/tests/decide/membership/member_table_test.cpp
@@ -16,8 +16,9 @@
     return table_.Add(Milliseconds(0), MakeRecord(name, 5, 0, state));
   }
 
+  RandomSource random_ = MakeRandomSource();
   ViewDigest digest_;
-  MemberTable table_{MakeRandomSource(), digest_};
+  MemberTable table_{random_, digest_};
 };
 
 TEST_F(MemberTableTest, CountsMembersByState) {
