--- a/src/node/keys/key_table.cpp
+++ b/src/node/keys/key_table.cpp
@@ -5,210 +5,221 @@
 namespace hingelink::node {
 namespace {
 
-KeyTable::Time::duration Span(KeyTable::Millis ms) {
-  return std::chrono::duration_cast<KeyTable::Time::duration>(ms);
+// Until a key whose window has ended, but that is still in flight, is looked at again.
+constexpr std::chrono::seconds kForgetRetryInterval{1};
+
+// Room for the keys of other processes, as a multiple of Limits::max_keys.
+constexpr std::size_t kRemoteRoomFactor = 2;
+
+KeyTable::Time::duration ToSteady(KeyTable::Millis span) {
+  return std::chrono::duration_cast<KeyTable::Time::duration>(span);
 }
 
 }  // namespace
 
-// Whether the entry had run out when this arrived, and nothing of it is in hand.
-bool KeyTable::Over(const Record& record, Time arrived) const {
-  return record.kept && arrived > record.until && record.fate != KeyFate::kHeld &&
-         record.fate != KeyFate::kRuns;
+bool KeyTable::Record::HolderInFlight() const {
+  return std::find(attempts.begin(), attempts.end(), holder) != attempts.end();
 }
 
-bool KeyTable::Fits(const OperationKey& key, std::uint64_t content, Time arrived) {
-  const auto it = records_.find(key);
-  if (it == records_.end() || Over(it->second, arrived) || it->second.content == content) return true;
-  ++counts_.mismatched;
+bool KeyTable::HasExpired(const Record& record, Time arrived) {
+  return record.retained && arrived > record.window_end && record.HasFinished();
+}
+
+bool KeyTable::MatchesContent(const OperationKey& key, std::uint64_t content, Time arrived) {
+  const auto found = records_.find(key);
+  if (found == records_.end() || HasExpired(found->second, arrived) || found->second.content == content) {
+    return true;
+  }
+  ++counters_.mismatches;
   return false;
 }
 
-KeyTable::Id KeyTable::Arrive(const OperationKey& key, std::uint64_t content, Id id, Time arrived, Time now) {
+KeyTable::Id KeyTable::AddAttempt(const OperationKey& key, std::uint64_t content, Id id, Time arrived,
+                                  Time now) {
   Expire(now);
-  const auto it = records_.find(key);
-  if (it != records_.end() && Over(it->second, arrived)) {
-    Erase(it);
-  } else if (it != records_.end()) {
-    Record& record = it->second;
-    const bool holder_in_hand =
-        std::find(record.tries.begin(), record.tries.end(), record.holder) != record.tries.end();
-    // Its try has left, which the module hears in this same batch, and no other waits for its place.
-    const bool free = record.fate == KeyFate::kHeld && record.holder < kElsewhere && !holder_in_hand &&
-                      record.tries.empty();
-    if (!free) {
-      record.tries.push_back(id);
+  const auto found = records_.find(key);
+  if (found != records_.end() && HasExpired(found->second, arrived)) {
+    Erase(found);
+  } else if (found != records_.end()) {
+    Record& record = found->second;
+    // Its attempt is gone, which the policy learns in this same step, and no other waits for its place.
+    const bool is_free = record.state == KeyState::kReserved && !record.IsRemote() && record.attempts.empty();
+    if (!is_free) {
+      record.attempts.push_back(id);
       return record.holder;
     }
-    Erase(it);
+    Erase(found);
   }
   Record& record = records_[key];
   record.holder = id;
   record.content = content;
-  record.tries.push_back(id);
+  record.attempts.push_back(id);
   return 0;
 }
 
-bool KeyTable::Keep(const OperationKey& key, Id id, Millis ttl, Millis late, Time now) {
-  const auto it = records_.find(key);
-  if (it == records_.end() || (it->second.fate != KeyFate::kHeld && it->second.holder != id)) return false;
-  if (records_.size() > limits_.most_keys) {
-    ++counts_.no_room;
+bool KeyTable::Retain(const OperationKey& key, Id id, Millis ttl, Millis max_delay, Time now) {
+  const auto found = records_.find(key);
+  if (found == records_.end()) return false;
+  Record& record = found->second;
+  if (record.state != KeyState::kReserved && record.holder != id) return false;
+  if (records_.size() > limits_.max_keys) {
+    ++counters_.out_of_room;
     return false;
   }
-  Record& record = it->second;
-  held_.erase(record.holder);
+  reserved_.erase(record.holder);
   record.holder = id;
-  record.kept = true;
-  if (record.fate == KeyFate::kHeld) held_[id] = key;
-  record.until = now + Span(ttl);
-  SetForget(key, record, record.until + Span(late));
+  record.retained = true;
+  if (record.state == KeyState::kReserved) reserved_[id] = key;
+  record.window_end = now + ToSteady(ttl);
+  SetForgetTime(key, record, record.window_end + ToSteady(max_delay));
   return true;
 }
 
-std::optional<OperationKey> KeyTable::Drop(Id id) {
-  // Guards against a second run, whatever the module says of a key that has run: it is not here any more.
-  const auto held = held_.find(id);
-  if (held == held_.end()) return std::nullopt;
-  const OperationKey key = held->second;
-  held_.erase(held);
-  const auto it = records_.find(key);
-  if (it->second.tries.empty()) {
-    Erase(it);
+std::optional<OperationKey> KeyTable::Release(Id id) {
+  // A key that has run is not among the reserved ones: it cannot run twice, whatever the policy says.
+  const auto reserved = reserved_.find(id);
+  if (reserved == reserved_.end()) return std::nullopt;
+  const OperationKey key = reserved->second;
+  reserved_.erase(reserved);
+  const auto found = records_.find(key);
+  if (found->second.attempts.empty()) {
+    Erase(found);
   } else {
-    it->second.holder = 0;
-    it->second.kept = false;
+    found->second.holder = 0;
+    found->second.retained = false;
   }
   return key;
 }
 
 bool KeyTable::Start(const OperationKey& key, Id id) {
-  const auto it = records_.find(key);
-  if (it == records_.end() || it->second.holder != id || !it->second.kept ||
-      it->second.fate != KeyFate::kHeld) {
-    return false;
-  }
-  it->second.fate = KeyFate::kRuns;
-  held_.erase(id);
+  const auto found = records_.find(key);
+  if (found == records_.end()) return false;
+  Record& record = found->second;
+  if (record.holder != id || !record.retained || record.state != KeyState::kReserved) return false;
+  record.state = KeyState::kRunning;
+  reserved_.erase(id);
   return true;
 }
 
 bool KeyTable::MayHaveRun(const OperationKey& key) const {
-  const auto it = records_.find(key);
-  return it != records_.end() && it->second.fate != KeyFate::kHeld;
+  const auto found = records_.find(key);
+  return found != records_.end() && found->second.state != KeyState::kReserved;
 }
 
-void KeyTable::End(const OperationKey& key, Id id, bool good, std::string_view result) {
-  const auto it = records_.find(key);
-  if (it == records_.end() || it->second.holder != id || it->second.fate != KeyFate::kRuns) return;
-  it->second.fate = good ? KeyFate::kServed : KeyFate::kFailed;
-  if (good) SetResult(key, it->second, result);
+void KeyTable::Finish(const OperationKey& key, Id id, bool succeeded, std::string_view result) {
+  const auto found = records_.find(key);
+  if (found == records_.end()) return;
+  Record& record = found->second;
+  if (record.holder != id || record.state != KeyState::kRunning) return;
+  record.state = succeeded ? KeyState::kServed : KeyState::kFailed;
+  if (succeeded) SetResult(key, record, result);
 }
 
-void KeyTable::Leave(const OperationKey& key, Id id) {
-  const auto it = records_.find(key);
-  if (it == records_.end()) return;
-  Record& record = it->second;
-  std::erase(record.tries, id);
-  // One that was never kept, or whose holder has given way, is nobody's any more.
-  if (record.tries.empty() && record.fate == KeyFate::kHeld && !record.kept && record.holder < kElsewhere) {
-    Erase(it);
-  }
+void KeyTable::RemoveAttempt(const OperationKey& key, Id id) {
+  const auto found = records_.find(key);
+  if (found == records_.end()) return;
+  Record& record = found->second;
+  std::erase(record.attempts, id);
+  // A key that was never retained, or that was released, has no owner left.
+  const bool unowned = record.state == KeyState::kReserved && !record.retained && !record.IsRemote();
+  if (record.attempts.empty() && unowned) Erase(found);
 }
 
-KeyTable::Replay KeyTable::Look(const OperationKey& key, const std::string** result) const {
-  const auto it = records_.find(key);
-  if (it == records_.end()) return Replay::kFailed;
-  const Record& record = it->second;
-  switch (record.fate) {
-    case KeyFate::kServed:
-      if (!record.result) return Replay::kFailed;
-      *result = &*record.result;
-      return Replay::kResult;
-    case KeyFate::kFailed:
-      return Replay::kFailed;
-    case KeyFate::kRuns:
-      return Replay::kWait;
-    case KeyFate::kHeld:
+KeyTable::Replay KeyTable::FindReplay(const OperationKey& key) const {
+  using Status = Replay::Status;
+  const auto found = records_.find(key);
+  if (found == records_.end()) return {Status::kFailed, nullptr};
+  const Record& record = found->second;
+  switch (record.state) {
+    case KeyState::kServed:
+      if (!record.result) return {Status::kFailed, nullptr};
+      return {Status::kResult, &*record.result};
+    case KeyState::kFailed:
+      return {Status::kFailed, nullptr};
+    case KeyState::kRunning:
+      return {Status::kPending, nullptr};
+    case KeyState::kReserved:
       break;
   }
-  const bool alive = record.holder >= kElsewhere ||
-                     std::find(record.tries.begin(), record.tries.end(), record.holder) != record.tries.end();
-  return alive ? Replay::kWait : Replay::kFailed;
+  const bool may_still_run = record.IsRemote() || record.HolderInFlight();
+  return {may_still_run ? Status::kPending : Status::kFailed, nullptr};
 }
 
-KeyNews KeyTable::Of(const OperationKey& key, Time now) const {
-  const auto it = records_.find(key);
-  // Nothing of it is left: its try never ran.
-  if (it == records_.end())
-    return {.key = key, .content = 0, .fate = KeyFate::kHeld, .left = Millis(0), .result = {}};
-  const Record& record = it->second;
+KeyUpdate KeyTable::UpdateOf(const OperationKey& key, Time now) const {
+  const auto found = records_.find(key);
+  // No attempt of a key without a record has run.
+  if (found == records_.end()) {
+    return {.key = key,
+            .content = 0,
+            .state = KeyState::kReserved,
+            .remaining = Millis(0),
+            .result = std::nullopt};
+  }
+  const Record& record = found->second;
   return {.key = key,
           .content = record.content,
-          .fate = record.fate,
-          .left = record.kept ? std::max(Millis(0), Millis(record.until - now)) : Millis(0),
+          .state = record.state,
+          .remaining = record.retained ? std::max(Millis(0), Millis(record.window_end - now)) : Millis(0),
           .result = record.result};
 }
 
-void KeyTable::Tell(Time now, const std::function<void(const KeyNews&)>& each) const {
+void KeyTable::ForEachRetained(Time now, const std::function<void(const KeyUpdate&)>& visit) const {
   for (const auto& [key, record] : records_) {
-    if (record.kept) each(Of(key, now));
+    if (record.retained) visit(UpdateOf(key, now));
   }
 }
 
-bool KeyTable::Hear(const KeyNews& news, Millis late, Time now) {
-  auto it = records_.find(news.key);
-  // Guards this process's own word: what it runs, or ran, it knows best.
-  if (it != records_.end() && it->second.holder < kElsewhere && it->second.fate != KeyFate::kHeld)
+bool KeyTable::ReleaseRemote(Records::iterator at) {
+  if (at == records_.end() || !at->second.IsRemote()) return false;
+  if (at->second.attempts.empty()) {
+    Erase(at);
     return false;
-  if (news.left <= Millis(0)) {
-    // Gone there, and never run: it is free.
-    if (it == records_.end() || it->second.holder < kElsewhere) return false;
-    if (it->second.tries.empty()) {
-      Erase(it);
-      return false;
-    }
-    it->second.holder = 0;
-    it->second.kept = false;
-    it->second.fate = KeyFate::kHeld;
-    return true;
   }
-  if (it == records_.end()) {
-    // A full table keeps what it has; the key is then unknown here, as behind a crash.
-    if (records_.size() >= 2 * limits_.most_keys) {
-      ++counts_.no_room;
+  at->second.holder = 0;
+  at->second.retained = false;
+  at->second.state = KeyState::kReserved;
+  return true;
+}
+
+bool KeyTable::ApplyUpdate(const KeyUpdate& update, Millis max_delay, Time now) {
+  auto found = records_.find(update.key);
+  const bool ran_here =
+      found != records_.end() && !found->second.IsRemote() && found->second.state != KeyState::kReserved;
+  if (ran_here) return false;
+  if (update.remaining <= Millis(0)) return ReleaseRemote(found);
+  if (found == records_.end()) {
+    // A full table keeps what it has; the key is then unknown here, as after a crash of the other process.
+    if (records_.size() >= kRemoteRoomFactor * limits_.max_keys) {
+      ++counters_.out_of_room;
       return false;
     }
-    it = records_.try_emplace(news.key).first;
+    found = records_.try_emplace(update.key).first;
   }
-  Record& record = it->second;
-  held_.erase(record.holder);
-  record.holder = ++last_elsewhere_;
-  record.content = news.content;
-  record.kept = true;
-  record.fate = news.fate;
-  record.until = now + Span(news.left);
-  SetForget(news.key, record, record.until + Span(late));
-  if (news.result) SetResult(news.key, record, *news.result);
-  return record.fate == KeyFate::kServed || record.fate == KeyFate::kFailed;
+  Record& record = found->second;
+  reserved_.erase(record.holder);
+  record.holder = ++last_remote_id_;
+  record.content = update.content;
+  record.retained = true;
+  record.state = update.state;
+  record.window_end = now + ToSteady(update.remaining);
+  SetForgetTime(update.key, record, record.window_end + ToSteady(max_delay));
+  if (update.result) SetResult(update.key, record, *update.result);
+  return record.HasFinished();
 }
 
-std::vector<KeyTable::Id> KeyTable::Repeats(const OperationKey& key) const {
-  const auto it = records_.find(key);
-  if (it == records_.end()) return {};
-  std::vector<Id> tries = it->second.tries;
-  std::erase(tries, it->second.holder);
-  return tries;
+std::vector<KeyTable::Id> KeyTable::WaitingAttempts(const OperationKey& key) const {
+  const auto found = records_.find(key);
+  if (found == records_.end()) return {};
+  std::vector<Id> attempts = found->second.attempts;
+  std::erase(attempts, found->second.holder);
+  return attempts;
 }
 
-std::vector<OperationKey> KeyTable::OthersEnded() {
+std::vector<OperationKey> KeyTable::OnSiblingsExited() {
   std::vector<OperationKey> settled;
   for (auto& [key, record] : records_) {
-    if (record.holder < kElsewhere || record.fate == KeyFate::kServed || record.fate == KeyFate::kFailed) {
-      continue;
-    }
-    // It may have run there.
-    record.fate = KeyFate::kFailed;
+    if (!record.IsRemote() || record.HasFinished()) continue;
+    record.state = KeyState::kFailed;
     settled.push_back(key);
   }
   std::sort(settled.begin(), settled.end());
@@ -216,55 +227,54 @@
 }
 
 void KeyTable::Expire(Time now) {
-  while (!by_end_.empty() && by_end_.begin()->first < now) {
-    const OperationKey key = by_end_.begin()->second;
-    const auto it = records_.find(key);
-    Record& record = it->second;
-    if (record.fate == KeyFate::kRuns || !record.tries.empty()) {
-      // Still in hand: looked at again in a while.
-      SetForget(key, record, now + std::chrono::seconds(1));
+  while (!by_forget_time_.empty() && by_forget_time_.begin()->first < now) {
+    const OperationKey key = by_forget_time_.begin()->second;
+    const auto found = records_.find(key);
+    Record& record = found->second;
+    if (record.state == KeyState::kRunning || !record.attempts.empty()) {
+      SetForgetTime(key, record, now + kForgetRetryInterval);
       continue;
     }
-    Erase(it);
+    Erase(found);
   }
 }
 
-void KeyTable::SetForget(const OperationKey& key, Record& record, Time forget) {
-  by_end_.erase({record.forget, key});
+void KeyTable::SetForgetTime(const OperationKey& key, Record& record, Time forget_at) {
+  by_forget_time_.erase({record.forget_at, key});
   if (record.result) {
-    results_.erase({record.forget, key});
-    results_.insert({forget, key});
+    results_by_forget_time_.erase({record.forget_at, key});
+    results_by_forget_time_.insert({forget_at, key});
   }
-  record.forget = forget;
-  by_end_.insert({forget, key});
+  record.forget_at = forget_at;
+  by_forget_time_.insert({forget_at, key});
 }
 
 void KeyTable::SetResult(const OperationKey& key, Record& record, std::string_view result) {
   DropResult(record);
-  results_.erase({record.forget, key});
+  results_by_forget_time_.erase({record.forget_at, key});
   record.result = result;
-  bytes_ += result.size();
-  results_.insert({record.forget, key});
-  while (bytes_ > limits_.most_bytes && !results_.empty()) {
-    Record& first = records_.at(results_.begin()->second);
-    results_.erase(results_.begin());
+  result_bytes_ += result.size();
+  results_by_forget_time_.insert({record.forget_at, key});
+  while (result_bytes_ > limits_.max_result_bytes && !results_by_forget_time_.empty()) {
+    Record& first = records_.at(results_by_forget_time_.begin()->second);
+    results_by_forget_time_.erase(results_by_forget_time_.begin());
     DropResult(first);
-    ++counts_.results_gone;
+    ++counters_.results_dropped;
   }
 }
 
 void KeyTable::DropResult(Record& record) {
   if (!record.result) return;
-  bytes_ -= record.result->size();
+  result_bytes_ -= record.result->size();
   record.result.reset();
 }
 
-void KeyTable::Erase(Records::iterator it) {
-  if (it->second.fate == KeyFate::kHeld) held_.erase(it->second.holder);
-  by_end_.erase({it->second.forget, it->first});
-  results_.erase({it->second.forget, it->first});
-  DropResult(it->second);
-  records_.erase(it);
+void KeyTable::Erase(Records::iterator at) {
+  if (at->second.state == KeyState::kReserved) reserved_.erase(at->second.holder);
+  by_forget_time_.erase({at->second.forget_at, at->first});
+  results_by_forget_time_.erase({at->second.forget_at, at->first});
+  DropResult(at->second);
+  records_.erase(at);
 }
 
 }  // namespace hingelink::node
--- a/src/node/keys/key_table.h
+++ b/src/node/keys/key_table.h
@@ -1,13 +1,14 @@
-// Which try of a keyed request holds its key, what came of it, and the result that its repeats are answered
-// with. The module says which key is kept and for how long; this says which try an arrival repeats.
+// Idempotency keys: which attempt of a keyed request holds its key, what became of it, and the result that
+// retries are answered with. The policy decides which key is retained and for how long.
 //
-// States of a key: held (its try may still run) -> runs -> served | failed. Held -> gone where its try left
-// and no other took its place. A key that has run is never free again before its window is over, whatever
-// the module says; its result may be let go sooner, for memory, and its repeats then fail.
+// A key is reserved (its attempt may still run) -> running -> served or failed. A reserved key is forgotten
+// when its attempt is gone and no other takes its place. A key that has run is never free again before its
+// window ends, whatever the policy says; its result may be dropped sooner to limit memory, and its retries
+// then fail.
 //
-// Bounds: `most_keys` keys, and `most_bytes` of results; a result is let go in the order in which windows
-// end. A try whose key has no room is not kept, and must not run (Keep() says so).
-// Times are those of the caller's steady clock; nothing here reads a clock.
+// Bounds: Limits::max_keys keys (twice that with those of other processes), and Limits::max_result_bytes of
+// results, dropped in the order in which their windows end. An attempt whose key has no room is not retained
+// and must not run.
 #ifndef HINGELINK_NODE_KEYS_KEY_TABLE_H_
 #define HINGELINK_NODE_KEYS_KEY_TABLE_H_
 
@@ -32,113 +33,144 @@
 
 using core::OperationKey;
 
-enum class KeyFate { kHeld, kRuns, kServed, kFailed };
+// The values are those of the handover lines.
+enum class KeyState { kReserved = 0, kRunning = 1, kServed = 2, kFailed = 3 };
 
-// A key as one process of the node tells another of it.
-struct KeyNews {
+// The state of a key as one process of the node reports it to another.
+struct KeyUpdate {
   OperationKey key;
+  // A hash of the request's class and body.
   std::uint64_t content = 0;
-  KeyFate fate = KeyFate::kHeld;
-  std::chrono::duration<double, std::milli> left{0};  // Until its window is over.
+  KeyState state = KeyState::kReserved;
+  // Until the end of its window; 0: the key is free.
+  std::chrono::duration<double, std::milli> remaining{0};
   std::optional<std::string> result;
 };
 
+// Not thread-safe. Reads no clock: times are those of the caller's steady clock.
 class KeyTable {
  public:
   using Id = hingelink::RequestId;
   using Time = std::chrono::steady_clock::time_point;
   using Millis = std::chrono::duration<double, std::milli>;
   struct Limits {
-    std::size_t most_keys = 16'384;
-    std::size_t most_bytes = 4 << 20;
+    std::size_t max_keys = 16'384;
+    std::size_t max_result_bytes = 4 << 20;
   };
-  struct Counts {
-    std::uint64_t replayed = 0;      // Tries answered with the result of another.
-    std::uint64_t no_room = 0;       // Tries whose key could not be kept.
-    std::uint64_t results_gone = 0;  // Results let go before their window was over.
-    std::uint64_t mismatched = 0;    // Tries with another class or body than their key's first.
+  struct Counters {
+    // Attempts answered with the result of another.
+    std::uint64_t replays = 0;
+    // Attempts whose key could not be retained.
+    std::uint64_t out_of_room = 0;
+    // Results dropped before the end of their windows.
+    std::uint64_t results_dropped = 0;
+    // Attempts with another class or body than the first one of their key.
+    std::uint64_t mismatches = 0;
   };
-  // What is known of another process's keys has ids from here on; the module has seen none of them.
-  static constexpr Id kElsewhere = Id{1} << 62;
+  // Ids from here on stand for attempts of other processes, which the policy never sees.
+  static constexpr Id kFirstRemoteId = Id{1} << 62;
 
   explicit KeyTable(Limits limits) : limits_(limits) {}
 
   void SetLimits(Limits limits) { limits_ = limits; }
 
   // ---- Arrivals ----
-  // Whether a try of this key with this content (a hash of its class and body) is one of the same request.
-  bool Fits(const OperationKey& key, std::uint64_t content, Time arrived);
-  // The try that one arriving now repeats, or 0 where there is none and `id` is the first. `arrived`: when it
-  // came to the machine, which may lie before `now`. Each id is told once, and before any action on it.
-  Id Arrive(const OperationKey& key, std::uint64_t content, Id id, Time arrived, Time now);
-
-  // ---- The module's actions, and what became of tries ----
-  // False where there is no room. `late`: how long past its time a try may still be read.
-  bool Keep(const OperationKey& key, Id id, Millis ttl, Millis late, Time now);
-  // Its request may be over by then. The key, where one was let go.
-  std::optional<OperationKey> Drop(Id id);
-  // Whether `id` may run: it holds the key, kept, and no try has run.
-  bool Start(const OperationKey& key, Id id);
-  void End(const OperationKey& key, Id id, bool good, std::string_view result);
-  // The try is no longer in hand.
-  void Leave(const OperationKey& key, Id id);
-
-  bool MayHaveRun(const OperationKey& key) const;
-  // What a repeat is answered with.
-  enum class Replay { kWait, kResult, kFailed };
-  Replay Look(const OperationKey& key, const std::string** result) const;
-  void CountReplay() { ++counts_.replayed; }
+  // Whether an attempt of this key and content belongs to the same request as those before it.
+  [[nodiscard]] bool MatchesContent(const OperationKey& key, std::uint64_t content, Time arrived);
+  // Adds an attempt and returns the one that it repeats; 0 if it is the first. `arrived`: when it came to the
+  // machine, at most `now`. To be called once for each id, before any other call with it.
+  Id AddAttempt(const OperationKey& key, std::uint64_t content, Id id, Time arrived, Time now);
+
+  // ---- Actions of the policy, and what became of attempts ----
+  // Retains the key for its holder `id` until `ttl` from now. `max_delay`: how long after the end of its wait
+  // an attempt may still be read. False if there is no room or the key belongs to another attempt.
+  [[nodiscard]] bool Retain(const OperationKey& key, Id id, Millis ttl, Millis max_delay, Time now);
+  // Releases the key of `id`, whose request may be over, if it has not run. Returns that key.
+  std::optional<OperationKey> Release(Id id);
+  // Marks the key as running. False if `id` must not run: it does not hold the key, or an attempt has run.
+  [[nodiscard]] bool Start(const OperationKey& key, Id id);
+  // The execution of `id` has finished.
+  void Finish(const OperationKey& key, Id id, bool succeeded, std::string_view result);
+  // The attempt is no longer in flight.
+  void RemoveAttempt(const OperationKey& key, Id id);
+
+  [[nodiscard]] bool MayHaveRun(const OperationKey& key) const;
+  struct Replay {
+    enum class Status { kPending, kResult, kFailed };
+    Status status = Status::kFailed;
+    // With kResult alone; valid until the next call that changes the table.
+    const std::string* result = nullptr;
+  };
+  // What a retry is answered with.
+  [[nodiscard]] Replay FindReplay(const OperationKey& key) const;
+  void CountReplay() { ++counters_.replays; }
 
   // ---- Other processes of this node ----
-  // All that is known of the keys of this process.
-  void Tell(Time now, const std::function<void(const KeyNews&)>& each) const;
-  KeyNews Of(const OperationKey& key, Time now) const;
-  // Takes in what another process tells. True where tries that wait for the key can now be answered.
-  bool Hear(const KeyNews& news, Millis late, Time now);
-  // The others have ended: what they still had in hand may have run, and fails. The keys whose tries can now
-  // be answered, in order.
-  std::vector<OperationKey> OthersEnded();
+  // Calls `visit` with the state of each retained key.
+  void ForEachRetained(Time now, const std::function<void(const KeyUpdate&)>& visit) const;
+  [[nodiscard]] KeyUpdate UpdateOf(const OperationKey& key, Time now) const;
+  // Applies the report of another process. True if attempts that wait for the key can now be answered. What
+  // this process runs or ran itself is not changed.
+  bool ApplyUpdate(const KeyUpdate& update, Millis max_delay, Time now);
+  // The other processes have exited: what they had in flight may have run, and fails. Returns the keys whose
+  // attempts can now be answered, in order.
+  std::vector<OperationKey> OnSiblingsExited();
   // Whether another process has this key, or had it.
-  bool IsKnown(const OperationKey& key) const { return records_.count(key) != 0; }
-  // The tries of a key that are in hand, but for its holder.
-  std::vector<Id> Repeats(const OperationKey& key) const;
+  [[nodiscard]] bool IsKnown(const OperationKey& key) const { return records_.contains(key); }
+  // The attempts of a key in flight, without its holder.
+  [[nodiscard]] std::vector<Id> WaitingAttempts(const OperationKey& key) const;
 
+  // Forgets keys whose windows have ended.
   void Expire(Time now);
 
-  std::size_t keys() const { return records_.size(); }
-  std::size_t result_bytes() const { return bytes_; }
-  const Counts& counts() const { return counts_; }
+  [[nodiscard]] std::size_t keys() const { return records_.size(); }
+  [[nodiscard]] std::size_t result_bytes() const { return result_bytes_; }
+  [[nodiscard]] const Counters& counters() const { return counters_; }
 
  private:
   struct Record {
-    Id holder = 0;  // 0 where the key waits for its next try to be kept.
+    // 0 while the key waits for its next attempt to be retained.
+    Id holder = 0;
     std::uint64_t content = 0;
-    KeyFate fate = KeyFate::kHeld;
-    bool kept = false;
-    Time until{};   // End of the entry: what comes to the machine later is no repeat.
-    Time forget{};  // When nothing can name it any more.
+    KeyState state = KeyState::kReserved;
+    bool retained = false;
+    // An attempt that arrives later is not a retry.
+    Time window_end{};
+    // No attempt with this key can be read later.
+    Time forget_at{};
     std::optional<std::string> result;
-    std::vector<Id> tries;  // In hand.
+    // In flight.
+    std::vector<Id> attempts;
+
+    [[nodiscard]] bool IsRemote() const { return holder >= kFirstRemoteId; }
+    [[nodiscard]] bool HasFinished() const {
+      return state == KeyState::kServed || state == KeyState::kFailed;
+    }
+    [[nodiscard]] bool HolderInFlight() const;
   };
   struct Hash {
     std::size_t operator()(const OperationKey& key) const { return absl::HashOf(key.high, key.low); }
   };
   using Records = absl::flat_hash_map<OperationKey, Record, Hash>;
 
-  bool Over(const Record& record, Time arrived) const;
-  void SetForget(const OperationKey& key, Record& record, Time forget);
+  [[nodiscard]] static bool HasExpired(const Record& record, Time arrived);
+  void SetForgetTime(const OperationKey& key, Record& record, Time forget_at);
   void SetResult(const OperationKey& key, Record& record, std::string_view result);
   void DropResult(Record& record);
-  void Erase(Records::iterator it);
+  void Erase(Records::iterator at);
+  // The other process has released the key. True if attempts wait for it here.
+  bool ReleaseRemote(Records::iterator at);
 
   Limits limits_;
   Records records_;
-  absl::flat_hash_map<Id, OperationKey> held_;  // By their holders: keys kept of which no try has started.
-  std::set<std::pair<Time, OperationKey>> by_end_;
-  std::set<std::pair<Time, OperationKey>> results_;  // Of those with a result, by the end of their windows.
-  std::size_t bytes_ = 0;
-  Id last_elsewhere_ = kElsewhere;
-  Counts counts_;
+  // Retained keys of which no attempt has started, by holder.
+  absl::flat_hash_map<Id, OperationKey> reserved_;
+  std::set<std::pair<Time, OperationKey>> by_forget_time_;
+  // Those with a result.
+  std::set<std::pair<Time, OperationKey>> results_by_forget_time_;
+  std::size_t result_bytes_ = 0;
+  Id last_remote_id_ = kFirstRemoteId;
+  Counters counters_;
 };
 
 }  // namespace hingelink::node
--- a/src/node/metrics.h
+++ b/src/node/metrics.h
@@ -1,4 +1,4 @@
-// What the node counts since its start, for the operators. Each figure is counted at one place.
+// Counts of requests, executions and reloads since the start of the node, for the admin server.
 #ifndef HINGELINK_NODE_METRICS_H_
 #define HINGELINK_NODE_METRICS_H_
 
@@ -29,54 +29,66 @@
 using core::Served;
 using core::UnixTime;
 
+// Used by the deciding thread alone, except for the ClassCounts that it hands out.
 class Metrics {
  public:
-  // Answers are counted by so many threads, each with counts of its own.
-  Metrics(const std::vector<hingelink::RequestClass>& classes, std::size_t counting);
+  // `counting_threads`: threads that count answers, each in counts of its own.
+  Metrics(const std::vector<hingelink::RequestClass>& classes, std::size_t counting_threads);
 
-  // The classes from now on, each with a figure from 0 on. What was counted of others stays.
+  // Replaces the classes. New ones count from 0; counts of removed ones are kept for a while.
   void SetClasses(const std::vector<hingelink::RequestClass>& classes);
-  // The counts of a class for one of those threads, or null for a name that is none now.
-  ClassCountsPtr Of(std::string_view kind, std::size_t counter = 0) const;
-  // Also of a class that was dropped, as long as it is shown.
-  ClassCountsPtr OfAny(std::string_view kind, std::size_t counter) const;
-  void CountRun() { ++runs_; }
-  // By gateway, of at most kMostGateways: one more takes the place of that which was quiet longest.
-  static constexpr std::size_t kMostGateways = 256;
-  void CountRequest(std::uint32_t gateway) { ++Gateway(gateway).requests; }
-  void CountAnswer(std::uint32_t gateway, core::Verdict verdict) { Gateway(gateway).answers.Count(verdict); }
+  // The counts of a current class for one of the counting threads; null without such a class.
+  [[nodiscard]] ClassCountsPtr CountsFor(std::string_view class_name, std::size_t thread = 0) const;
+  // The same, also of a removed class as long as it is reported.
+  [[nodiscard]] ClassCountsPtr CountsForReported(std::string_view class_name, std::size_t thread) const;
+
+  void CountExecution() { ++executions_; }
+  void CountReload(bool succeeded) { ++(succeeded ? reloads_succeeded_ : reloads_failed_); }
+
+  // A gateway beyond these replaces the one whose last event is the oldest.
+  static constexpr std::size_t kMaxGateways = 256;
+  void CountRequest(std::uint32_t gateway_id) { ++Gateway(gateway_id).requests; }
+  void CountAnswer(std::uint32_t gateway_id, core::Verdict verdict) {
+    Gateway(gateway_id).answers.Count(verdict);
+  }
   struct GatewayCounts {
-    std::uint32_t via = 0;
     std::uint64_t requests = 0;
     ClassCounts answers;
-    std::uint64_t last_event = 0;  // By a count of all events.
+    // Its number among the events of all gateways.
+    std::uint64_t last_event = 0;
   };
-  const std::unordered_map<std::uint32_t, GatewayCounts>& gateways() const { return gateways_; }
-  // Over all that count. Dropped classes too, oldest first.
-  std::vector<ClassCounts> classes() const;
-  // The names of those that are no dropped ones.
-  std::vector<std::string> current_names() const;
-  std::uint64_t runs() const { return runs_; }
-  void CountReload(bool good) { ++(good ? reloads_ok_ : reloads_failed_); }
+  [[nodiscard]] const std::unordered_map<std::uint32_t, GatewayCounts>& gateways() const { return gateways_; }
+
+  // Summed over the counting threads; removed classes too, oldest first.
+  [[nodiscard]] std::vector<ClassCounts> classes() const;
+  // Names of the current classes.
+  [[nodiscard]] std::vector<std::string> class_names() const;
+  [[nodiscard]] std::uint64_t executions() const { return executions_; }
 
-  // All figures in the Prometheus text format.
-  std::string Text(std::size_t in_flight, const std::vector<LoopSnapshot>& loops) const;
+  // In the Prometheus text format.
+  [[nodiscard]] std::string Text(std::size_t in_flight, const std::vector<LoopSnapshot>& loops) const;
 
  private:
-  GatewayCounts& Gateway(std::uint32_t via);
+  GatewayCounts& Gateway(std::uint32_t gateway_id);
 
   struct Class {
     std::string name;
-    std::vector<ClassCountsPtr> counts;  // One for each thread that counts.
+    // One for each counting thread.
+    std::vector<ClassCountsPtr> counts;
   };
   using ClassPtr = std::shared_ptr<const Class>;
+  [[nodiscard]] std::deque<ClassPtr>::const_iterator FindReported(std::string_view class_name) const;
 
-  std::size_t counting_;
-  std::unordered_map<std::string_view, ClassPtr> current_;  // The names lie in the classes.
-  std::deque<ClassPtr> shown_;                              // Dropped classes too, oldest first.
+  std::size_t counting_threads_;
+  // The keys lie in the classes.
+  std::unordered_map<std::string_view, ClassPtr> current_;
+  // Removed classes too, oldest first.
+  std::deque<ClassPtr> reported_;
   std::unordered_map<std::uint32_t, GatewayCounts> gateways_;
   std::uint64_t events_ = 0;
-  std::uint64_t runs_ = 0, reloads_ok_ = 0, reloads_failed_ = 0;
+  std::uint64_t executions_ = 0;
+  std::uint64_t reloads_succeeded_ = 0;
+  std::uint64_t reloads_failed_ = 0;
 };
 
 }  // namespace hingelink::node
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -11,7 +11,7 @@
 #include "net/gateway_front.h"
 #include "net/loop_group.h"
 #include "net/pool_link.h"
-#include "node/below_figures.h"
+#include "node/upstream_metrics.h"
 
 namespace hingelink::node {
 namespace {
@@ -80,7 +80,7 @@
           [this](std::uint64_t req, std::string_view kind, std::string_view body) {
             return pool_->Spawn(req, kind, body);
           },
-          Below(), KeyLimits(), [this](const core::OperationKey& key) { TellKey(key); }),
+          UpstreamLinks(), KeyLimits(), [this](const core::OperationKey& key) { TellKey(key); }),
       pool_(MakePool(create_pool)),
       checks_(base_.get(),
               {.verify = [this](std::uint64_t tag) { return pool_->Verify(tag); },
@@ -121,20 +121,22 @@
   net::PoolEvents events;
   events.bound = [this](bool warming_up) { Bound(warming_up); };
   events.finished = [this](const proto::RunFinished& run) {
-    table_.Finished({run.req, ToOutcome(run.end), run.elapsed, run.result});
+    table_.OnExecutionFinished({run.req, ToOutcome(run.end), run.elapsed, run.result});
   };
-  events.blocked = [this](const proto::RunBlocked& run) { table_.Blocked(run.req, run.number, run.body); };
-  events.spawn_unknown = [this](std::uint64_t req) { table_.SpawnUnknown(req); };
+  events.blocked = [this](const proto::RunBlocked& run) {
+    table_.OnUpstreamCallRequested(run.req, run.number, run.body);
+  };
+  events.spawn_unknown = [this](std::uint64_t req) { table_.OnExecutionUnknown(req); };
   events.verified = [this](std::uint64_t tag, bool good) { checks_.Verified(tag, good); };
   events.settled = [this] {
-    table_.Resend([this](RequestTable::Mark mark) { return pool_->Processed(mark); });
+    table_.Resend([this](RequestTable::CommandMark mark) { return pool_->Processed(mark); });
     checks_.Rebound();
   };
   if (!create_pool)
     return std::make_unique<net::PoolLink>(base_.get(), net::ParseAddress(config_.pool_address),
                                            std::move(events));
   net::PoolAsks asks;
-  asks.again = [this](std::uint64_t req) { return table_.SpawnAgain(req); };
+  asks.again = [this](std::uint64_t req) { return table_.RestartExecution(req); };
   asks.safe = [this](std::string_view kind) {
     const auto& classes = config_.settings.classes;
     const auto at =
@@ -148,18 +150,19 @@
   return create_pool(base_.get(), config_.name, std::move(events), std::move(asks));
 }
 
-Calls::Below Node::Below() {
-  return {.supply = [this](std::uint64_t req, std::string_view reply) { return pool_->Supply(req, reply); },
-          .pass = [this](std::uint64_t req, std::uint64_t notice) { return pool_->Pass(req, notice); },
-          .call =
-              [this](std::uint64_t req, Millis limit, std::string_view body) {
-                if (store_) store_->Call(req, limit, body);
-                return store_.has_value();
-              },
-          .drop =
-              [this](std::uint64_t req) {
-                if (store_) store_->Drop(req);
-              }};
+UpstreamCalls::Links Node::UpstreamLinks() {
+  return {
+      .send_reply = [this](std::uint64_t req, std::string_view reply) { return pool_->Supply(req, reply); },
+      .send_skip = [this](std::uint64_t req, std::uint64_t notice) { return pool_->Pass(req, notice); },
+      .start =
+          [this](std::uint64_t req, Millis limit, std::string_view body) {
+            if (store_) store_->Call(req, limit, body);
+            return store_.has_value();
+          },
+      .abandon =
+          [this](std::uint64_t req) {
+            if (store_) store_->Drop(req);
+          }};
 }
 
 void Node::MoveStore(const std::string& address) {
@@ -171,7 +174,7 @@
   }
   store_.emplace(base_.get(), at, config_.seed,
                  [this](std::uint64_t req, Outcome outcome, Millis elapsed, std::string_view reply) {
-                   table_.UpstreamCallFinished(req, outcome, elapsed, reply);
+                   table_.OnUpstreamCallFinished(req, outcome, elapsed, reply);
                  });
 }
 
@@ -180,8 +183,8 @@
 KeyTable::Limits Node::KeyLimits() const {
   constexpr double kResults = 1.0 / 8, kKeys = 1.0 / 16, kBytesOfKey = 320;
   const double bytes = config_.memory_limit_mb * (1 << 20);
-  return {.most_keys = static_cast<std::size_t>(kKeys * bytes / kBytesOfKey),
-          .most_bytes = static_cast<std::size_t>(kResults * bytes)};
+  return {.max_keys = static_cast<std::size_t>(kKeys * bytes / kBytesOfKey),
+          .max_result_bytes = static_cast<std::size_t>(kResults * bytes)};
 }
 
 std::unique_ptr<net::GatewaySide> Node::MakeFront() {
@@ -191,11 +194,11 @@
   core::FrontEvents events{.request = [this](const IncomingRequest& request) { Take(request); },
                            .gone =
                                [this](ReplyTo from) {
-                                 table_.CallerDisconnected(from);
+                                 table_.OnCallerDisconnected(from);
                                  checks_.Left(from);
                                },
                            .check = [this](ReplyTo from) { checks_.Ask(from); },
-                           .counts = [this](std::string_view kind) { return metrics_.Of(kind); }};
+                           .counts = [this](std::string_view kind) { return metrics_.CountsFor(kind); }};
   if (loops() == 0) {
     return std::make_unique<net::GatewayFront>(base_.get(), listen, handover_.TakeListener(), most,
                                                std::move(events));
@@ -205,10 +208,13 @@
   options.most_connections = most;
   options.classes = [this](std::size_t loop) {
     auto table = std::make_shared<net::ClassTable>();
-    for (const std::string& name : metrics_.current_names()) table->emplace(name, metrics_.Of(name, loop));
+    for (const std::string& name : metrics_.class_names())
+      table->emplace(name, metrics_.CountsFor(name, loop));
     return table;
   };
-  options.counts = [this](std::string_view kind, std::size_t loop) { return metrics_.OfAny(kind, loop); };
+  options.counts = [this](std::string_view kind, std::size_t loop) {
+    return metrics_.CountsForReported(kind, loop);
+  };
   return std::make_unique<net::LoopGroup>(base_.get(), listen, handover_.TakeListener(), std::move(options),
                                           std::move(events));
 }
@@ -218,7 +224,7 @@
 
 void Node::Take(const IncomingRequest& request) {
   if (policy_ && !stopped_) {
-    table_.Take(request);
+    table_.OnRequest(request);
   } else {
     // Without a worker pool nothing can run; without a module, before and after its life, nothing is held.
     front_->Deliver(request.reply_to, Refused());
@@ -320,7 +326,8 @@
   const bool keyed = std::any_of(classes.begin(), classes.end(), [](const auto& c) {
     return c.idempotency == hingelink::Idempotency::kKeyed;
   });
-  if (keyed || store_) text += BelowFigures(table_.keys(), table_.calls(), store_ ? &*store_ : nullptr);
+  if (keyed || store_)
+    text += UpstreamMetricsText(table_.keys(), table_.upstream_calls(), store_ ? &*store_ : nullptr);
   for (const NodeExtension* extension : extensions_) text += extension->MetricsText();
   return text;
 }
@@ -334,7 +341,7 @@
                       std::is_same_v<A, hingelink::ReleaseKey> || std::is_same_v<A, hingelink::Replay> ||
                       std::is_same_v<A, hingelink::StartUpstreamCall> ||
                       std::is_same_v<A, hingelink::UseFallback>) {
-          table_.Do(a);
+          table_.Execute(a);
         } else if constexpr (std::is_same_v<A, hingelink::SetTimer>) {
           timers_.emplace(Steady::now() + std::chrono::duration_cast<Steady::duration>(Millis(a.in_ms)),
                           a.token);
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -147,7 +147,7 @@
 
   std::unique_ptr<net::PoolSide> MakePool(const WorkerPoolFactory& create_pool);
   // What the table's runs stand on.
-  Calls::Below Below();
+  UpstreamCalls::Links UpstreamLinks();
   void MoveStore(const std::string& address);
   KeyTable::Limits KeyLimits() const;
 
--- a/src/node/node_look.cpp
+++ b/src/node/node_look.cpp
@@ -36,16 +36,17 @@
                               : NodeState::kStarting;
   seen.ready = Ready();
   seen.uptime = ms(now - began_);
-  RequestTable::InHand in_hand = table_.Count();
+  RequestTable::InFlightCounts in_flight = table_.CountInFlight();
   for (const core::ClassCounts& counts : metrics_.classes()) {
-    const auto count = in_hand.classes.extract(counts.name);
-    const RequestTable::InHand::Count open = count.empty() ? RequestTable::InHand::Count{} : count.mapped();
+    const auto count = in_flight.classes.extract(counts.name);
+    const RequestTable::InFlightCounts::Class open =
+        count.empty() ? RequestTable::InFlightCounts::Class{} : count.mapped();
     seen.classes.push_back(
-        {counts.name, open.held, open.running, counts.served, counts.refused, counts.failed});
+        {counts.name, open.queued, open.running, counts.served, counts.refused, counts.failed});
   }
   for (const auto& [via, counts] : metrics_.gateways()) {
-    const auto open = in_hand.open_by_gateway.find(via);
-    seen.gateways.push_back({via, open == in_hand.open_by_gateway.end() ? 0 : open->second, counts.requests,
+    const auto open = in_flight.open_by_gateway.find(via);
+    seen.gateways.push_back({via, open == in_flight.open_by_gateway.end() ? 0 : open->second, counts.requests,
                              counts.answers.served, counts.answers.refused, counts.answers.failed});
   }
   seen.gateway_count = seen.gateways.size();
@@ -58,7 +59,7 @@
   seen.loops = TakeLoopSnapshots();
   seen.unanswered = table_.unanswered();
   seen.connections = front_->connections();
-  seen.executions = metrics_.runs();
+  seen.executions = metrics_.executions();
   if (policy_) seen.reserved_kb = policy_->CurrentLoad().memory_kb;
   seen.pool_connected = pool_->settled();
   seen.pool_address = config_.pool_address;
--- a/src/node/node_others.cpp
+++ b/src/node/node_others.cpp
@@ -13,17 +13,17 @@
 // Between two words on what this process has in hand.
 constexpr auto kTellEach = 4ms;
 
-proto::KeyMessage LineOf(const KeyNews& news) {
-  return {news.key,
-          news.content,
-          static_cast<int>(news.fate),
-          news.left,
-          news.result.has_value(),
-          news.result ? news.result->size() : 0};
+proto::KeyMessage LineOf(const KeyUpdate& update) {
+  return {update.key,
+          update.content,
+          static_cast<int>(update.state),
+          update.remaining,
+          update.result.has_value(),
+          update.result ? update.result->size() : 0};
 }
 
-std::string_view ResultOf(const KeyNews& news) {
-  return news.result ? std::string_view(*news.result) : std::string_view();
+std::string_view ResultOf(const KeyUpdate& update) {
+  return update.result ? std::string_view(*update.result) : std::string_view();
 }
 }  // namespace
 
@@ -49,32 +49,32 @@
 }
 
 void Node::SeeKeys() {
-  using Others = RequestTable::Others;
-  if (!handover_.has_predecessor()) table_.OthersEnded();
-  table_.SetOthers(handed_over_               ? Others::kElsewhere
-                   : handover_.keys_known()   ? Others::kKnown
-                   : handover_.keys_overdue() ? Others::kNever
-                                              : Others::kNotYet);
+  if (!handover_.has_predecessor()) table_.OnSiblingsExited();
+  table_.SetSiblingKeys(handed_over_               ? SiblingKeys::kServedElsewhere
+                        : handover_.keys_known()   ? SiblingKeys::kKnown
+                        : handover_.keys_overdue() ? SiblingKeys::kUnavailable
+                                                   : SiblingKeys::kPending);
 }
 
 void Node::TellKeys(const net::Handover::EachKey& each) const {
-  table_.keys().Tell(Steady::now(), [&each](const KeyNews& news) { each(LineOf(news), ResultOf(news)); });
+  table_.keys().ForEachRetained(Steady::now(),
+                                [&each](const KeyUpdate& update) { each(LineOf(update), ResultOf(update)); });
 }
 
 void Node::TellKey(const core::OperationKey& key) {
   if (!handed_over_) return;
-  const KeyNews news = table_.keys().Of(key, Steady::now());
-  handover_.TellKey(LineOf(news), ResultOf(news));
+  const KeyUpdate update = table_.keys().UpdateOf(key, Steady::now());
+  handover_.TellKey(LineOf(update), ResultOf(update));
 }
 
 void Node::HearKey(const proto::KeyMessage& line, std::string_view result) {
-  KeyNews news{.key = line.key,
-               .content = line.content,
-               .fate = static_cast<KeyFate>(line.fate),
-               .left = line.left,
-               .result = std::nullopt};
-  if (line.has_result) news.result = result;
-  table_.Hear(news);
+  KeyUpdate update{.key = line.key,
+                   .content = line.content,
+                   .state = static_cast<KeyState>(line.fate),
+                   .remaining = line.left,
+                   .result = std::nullopt};
+  if (line.has_result) update.result = result;
+  table_.OnKeyUpdate(update);
   // A third process may have taken over from this one by then.
   TellKey(line.key);
 }
--- a/src/node/request_table.h
+++ b/src/node/request_table.h
@@ -1,15 +1,13 @@
-// The one owner of each request's state and of its one final answer. It turns what the fronts and the worker
-// pool tell into events for the module, and carries out the module's actions. It knows no protocol.
+// Owns the state of each request and gives its one final answer. Turns what the front end and the worker pool
+// report into events for the policy, and executes the policy's actions on requests. Knows no protocol.
 #ifndef HINGELINK_NODE_REQUEST_TABLE_H_
 #define HINGELINK_NODE_REQUEST_TABLE_H_
 
 #include <absl/container/flat_hash_map.h>
-#include <absl/container/flat_hash_set.h>
 
 #include <chrono>
 #include <cstddef>
 #include <cstdint>
-#include <deque>
 #include <functional>
 #include <map>
 #include <memory>
@@ -22,172 +20,199 @@
 
 #include "core/front.h"
 #include "hingelink/server_policy.h"
-#include "node/calls.h"
 #include "node/keys/key_table.h"
-#include "node/keys/shared_reads.h"
+#include "node/keys/read_cache.h"
 #include "node/metrics.h"
+#include "node/recent_attempts.h"
+#include "node/request_classes.h"
+#include "node/upstream_calls.h"
 
 namespace hingelink::node {
 
-// How a run ended, as the worker pool tells.
-struct RunResult {
-  std::uint64_t req = 0;
+// The end of an execution, as the worker pool reports it.
+struct ExecutionResult {
+  std::uint64_t attempt_id = 0;
   hingelink::Outcome outcome = hingelink::Outcome::kError;
   Millis elapsed{0};
+  // Valid during the call only.
   std::string_view result;
 };
 
+// What this process knows of the keyed requests that its sibling processes ran.
+enum class SiblingKeys {
+  kKnown,
+  // Not yet: attempts with keys are deferred until it does.
+  kPending,
+  // Never: attempts with keys are rejected, as they may have run.
+  kUnavailable,
+  // Another process accepts the clients, and what is not known here may run there.
+  kServedElsewhere,
+};
+
+// Not thread-safe. All references must outlive the object.
 class RequestTable {
  public:
-  using Mark = std::uint64_t;
+  using CommandMark = UpstreamCalls::CommandMark;
   using SteadyTime = std::chrono::steady_clock::time_point;
-  static constexpr Mark kNeverSent = UINT64_MAX;
-  // Sends a run to the pool. Gives a mark for Resend(), or kNeverSent.
-  using Spawn = std::function<Mark(std::uint64_t req, std::string_view kind, std::string_view body)>;
-
-  // A key of this process has changed what it stands for.
+  static constexpr CommandMark kNeverSent = UINT64_MAX;
+  // Sends an execution to the pool; returns its mark for Resend(), or kNeverSent.
+  using StartExecution = std::function<CommandMark(std::uint64_t attempt_id, std::string_view class_name,
+                                                   std::string_view body)>;
+  // The state of a key of this process has changed.
   using KeyChanged = std::function<void(const OperationKey&)>;
 
-  RequestTable(const hingelink::Settings& settings, Front& front, Metrics& metrics, Spawn spawn,
-               Calls::Below below, KeyTable::Limits keys, KeyChanged key_changed);
+  RequestTable(const hingelink::Settings& settings, Front& front, Metrics& metrics,
+               StartExecution start_execution, UpstreamCalls::Links upstream, KeyTable::Limits key_limits,
+               KeyChanged key_changed);
 
-  // The settings have changed: their classes hold for what comes from now on. The events must have been
-  // taken.
+  // The settings have changed: their classes apply to later requests. TakeEvents() must have been called.
   void Reconfigure();
 
-  // ---- What came; each adds what the module must know to events(). ----
-  void Take(const IncomingRequest& request);
-  void CallerDisconnected(ReplyTo from);
-  void Finished(const RunResult& run);
-  // A run stands at a call, and: a call has ended.
-  void Blocked(std::uint64_t req, std::uint64_t notice, std::string_view body);
-  void UpstreamCallFinished(std::uint64_t req, hingelink::Outcome outcome, Millis elapsed,
-                            std::string_view reply);
-  // The pool knows nothing of this spawn.
-  void SpawnUnknown(std::uint64_t req);
-  // Nothing of this spawn was started where it was sent, or it may run twice: sends it anew. False where
-  // nobody waits for it any more.
-  bool SpawnAgain(std::uint64_t req);
-  // Sends again what the pool may not have read.
-  void Resend(const std::function<bool(Mark)>& processed);
+  // ---- Reports of the front end, the pool and the upstream; each may add events ----
+  void OnRequest(const IncomingRequest& incoming);
+  void OnCallerDisconnected(ReplyTo from);
+  void OnExecutionFinished(const ExecutionResult& execution);
+  // An execution waits for an upstream call.
+  void OnUpstreamCallRequested(std::uint64_t attempt_id, std::uint64_t notice, std::string_view body);
+  void OnUpstreamCallFinished(std::uint64_t attempt_id, hingelink::Outcome outcome, Millis elapsed,
+                              std::string_view reply);
+  // The pool does not know of this execution: it was never started.
+  void OnExecutionUnknown(std::uint64_t attempt_id);
+  // Sends an execution anew that was not started, or that may run twice. False if no caller waits for it.
+  [[nodiscard]] bool RestartExecution(std::uint64_t attempt_id);
+  // The pool's link carries commands again: sends what `processed` says the pool has not read.
+  void Resend(const std::function<bool(CommandMark)>& processed);
 
   // The events since the last call, with the times of arrivals as of `now`.
-  std::vector<hingelink::Event> TakeEvents(UnixTime now);
-  bool has_events() const { return !events_.empty(); }
-
-  // ---- The module's actions on requests ----
-  void Do(const hingelink::Start& action);
-  void Do(const hingelink::Reject& action);
-  void Do(const hingelink::Fail& action);
-  void Do(const hingelink::RetainKey& action);
-  void Do(const hingelink::ReleaseKey& action);
-  void Do(const hingelink::Replay& action);
-  void Do(const hingelink::StartUpstreamCall& action);
-  void Do(const hingelink::UseFallback& action);
+  [[nodiscard]] std::vector<hingelink::Event> TakeEvents(UnixTime now);
+  [[nodiscard]] bool has_events() const { return !events_.empty(); }
+
+  // ---- Actions of the policy ----
+  void Execute(const hingelink::Start& action);
+  void Execute(const hingelink::Reject& action);
+  void Execute(const hingelink::Fail& action);
+  void Execute(const hingelink::RetainKey& action);
+  void Execute(const hingelink::ReleaseKey& action);
+  void Execute(const hingelink::Replay& action);
+  void Execute(const hingelink::StartUpstreamCall& action);
+  void Execute(const hingelink::UseFallback& action);
 
   // ---- Other processes of this node ----
-  // Whether this process knows what the others ran of keyed requests. Not yet: their tries are kept back
-  // until it does. Never: they are refused, as they may have run. Elsewhere: another process takes the
-  // clients, and what is not known here may run there.
-  enum class Others { kKnown, kNotYet, kNever, kElsewhere };
-  void SetOthers(Others others);
-  void Hear(const KeyNews& news);
-  void OthersEnded();
-  const KeyTable& keys() const { return keys_; }
-  const Calls& calls() const { return calls_; }
-
-  // Nothing is in hand: no answer is owed, and no run goes on.
-  bool empty() const { return entries_.empty(); }
-  // Requests that are still owed an answer.
-  std::size_t unanswered() const { return waiting_.size(); }
-  // How many requests of each class are held and run, by the names of their classes; and how many of each
-  // gateway are open. Counted anew at each call, so that they agree with each other.
-  struct InHand {
-    struct Count {
-      std::uint64_t held = 0, running = 0;
+  void SetSiblingKeys(SiblingKeys state);
+  void OnKeyUpdate(const KeyUpdate& update);
+  void OnSiblingsExited();
+  [[nodiscard]] const KeyTable& keys() const { return keys_; }
+  [[nodiscard]] const UpstreamCalls& upstream_calls() const { return upstream_calls_; }
+
+  // No request needs an answer, and no execution is in flight.
+  [[nodiscard]] bool empty() const { return requests_.empty(); }
+  // Requests that need a final answer.
+  [[nodiscard]] std::size_t unanswered() const { return awaiting_answer_.size(); }
+  struct InFlightCounts {
+    struct Class {
+      std::uint64_t queued = 0;
+      std::uint64_t running = 0;
     };
-    std::map<std::string, Count> classes;
+    // By name.
+    std::map<std::string, Class> classes;
+    // Requests without an answer, by gateway.
     std::unordered_map<std::uint32_t, std::uint64_t> open_by_gateway;
   };
-  InHand Count() const;
-  // Answers all that is still owed one. The module has had its last say.
+  // Counted over all requests at each call, so that the counts agree with each other.
+  [[nodiscard]] InFlightCounts CountInFlight() const;
+  // Gives every request its final answer, without the policy.
   void AnswerAll();
 
  private:
-  // Held by each request of it, so that a dropped class goes with its last one.
-  struct Class {
-    std::string name;
-    hingelink::Idempotency idempotency = hingelink::Idempotency::kIdempotent;
-    std::uint64_t id = 0;     // Never used again.
-    std::uint16_t place = 0;  // In the settings told last.
-  };
-  using ClassPtr = std::shared_ptr<const Class>;
-  struct Entry {
+  struct Request {
     ReplyTo reply_to;
-    std::uint64_t req = 0;
-    std::uint32_t caller = 0;
-    ClassPtr cls;
-    std::string body;     // Held until the run is over: a lost link may have swallowed the spawn.
-    bool told = false;    // To the module.
-    bool waiting = true;  // An answer is owed.
+    std::uint64_t attempt_id = 0;
+    std::uint32_t gateway = 0;
+    RequestClasses::ClassPtr request_class;
+    // Until the end of the execution: a lost link may have swallowed the command that starts it.
+    std::string body;
+    bool known_to_policy = false;
+    bool needs_answer = true;
     bool running = false;
-    int spawns = 0;
-    Mark mark = kNeverSent;
+    // How often the execution was sent to the pool.
+    int starts = 0;
+    CommandMark mark = kNeverSent;
     std::uint64_t subject = 0;
     hingelink::RequestId original = 0;
-    std::optional<OperationKey> key;  // In keyed classes.
-    bool replaying = false;           // It waits for what comes of another try.
+    // In keyed classes.
+    std::optional<OperationKey> key;
+    // Waits for the result of another attempt.
+    bool awaiting_replay = false;
   };
-  // Flat tables: a request is entered in four of them and taken out again, and a node of its own in each is a
-  // malloc and a free. Entering one moves others; taking one out does not.
-  using Entries = absl::flat_hash_map<hingelink::RequestId, Entry>;
+  // Flat tables: each request is entered in several, and a node allocation in each would cost too much. An
+  // insertion moves other entries; a removal does not.
+  using Requests = absl::flat_hash_map<hingelink::RequestId, Request>;
   struct ReplyToHash {
     std::size_t operator()(const ReplyTo& to) const { return absl::HashOf(to.connection, to.stream); }
   };
-
-  using TenantPlaces = std::unordered_map<std::string, std::uint16_t>;  // Places in the settings, by name.
-
-  void Answer(Entries::iterator it, const FinalAnswer& answer);
-  void Leave(Entries::iterator it);
-  void SendSpawn(Entry& entry);
-  bool Shares(const Entry& entry) const;
-  // A refusal promises that no try of the request ran: failed, where one may have.
-  FinalAnswer NotRun(const Entry& entry) const;
-  // Names what an arrival repeats. False where it has been answered instead.
-  bool NameForerunner(hingelink::RequestId id, hingelink::Arrival& arrival, UnixTime arrived, UnixTime now);
-  void AnswerOverdueKeptBack(UnixTime now);
-  void PlaceKeptBackAnew(const TenantPlaces& before);
-  bool AnswerReplay(hingelink::RequestId id);
-  void AnswerRepeats(const OperationKey& key);
-  // How long past its time a try may still be read.
-  Millis Late() const;
-  Entries::iterator ByReq(std::uint64_t req);
+  struct ArrivalTimes {
+    UnixTime arrived;
+    UnixTime expires;
+  };
+  using DeferredArrival = std::pair<hingelink::Arrival, ArrivalTimes>;
+
+  // Rejects or fails a request that must not enter the table.
+  [[nodiscard]] bool AnswerAtOnce(const IncomingRequest& incoming,
+                                  const RequestClasses::ClassPtr& found_class,
+                                  std::optional<std::uint16_t> tenant);
+  const Request& AddRequest(hingelink::RequestId id, const IncomingRequest& incoming,
+                            RequestClasses::ClassPtr request_class);
+  void AddArrival(hingelink::RequestId id, const Request& request, const IncomingRequest& incoming,
+                  std::uint16_t tenant);
+  // False if the policy does not see the arrival now.
+  [[nodiscard]] bool CompleteArrival(hingelink::Arrival& arrival, const ArrivalTimes& times, UnixTime now);
+  // Finds the attempt that a keyed arrival repeats. False if the arrival was answered instead.
+  [[nodiscard]] bool ResolveKey(hingelink::RequestId id, hingelink::Arrival& arrival, UnixTime arrived,
+                                UnixTime now);
+  // The answer to an attempt whose key cannot be resolved, if so.
+  [[nodiscard]] std::optional<FinalAnswer> KeyError(const OperationKey& key, std::uint64_t content,
+                                                    SteadyTime arrived);
+  void FailExpiredDeferred(UnixTime now);
+  void ReassignDeferred(const RequestClasses& previous);
+  // Sets class and tenant of the arrival as in the current settings. False if one was removed.
+  [[nodiscard]] bool Reassign(hingelink::Arrival& arrival, const Request& request,
+                              const RequestClasses& previous) const;
+  void SendExecution(Request& request);
+
+  // Gives the final answer, if none was given.
+  void Answer(Requests::iterator at, const FinalAnswer& answer);
+  void Remove(Requests::iterator at);
+  void FailAndRemove(Requests::iterator at);
+  [[nodiscard]] bool IsShareableRead(const Request& request) const;
+  // A rejection promises that no attempt of the request ran; a failure if one may have.
+  [[nodiscard]] FinalAnswer AnswerForNotRun(const Request& request) const;
+  // Answers a request that waits for the result of another attempt, if that is known.
+  void AnswerReplay(hingelink::RequestId id);
+  void AnswerReplays(const OperationKey& key);
+  void FinishReplay(Requests::iterator at, const std::string* result);
+  // How long after the end of its wait an attempt may still be read.
+  [[nodiscard]] Millis MaxReadDelay() const;
+  [[nodiscard]] Requests::iterator FindByAttempt(std::uint64_t attempt_id);
 
   const hingelink::Settings& settings_;
   Front& front_;
   Metrics& metrics_;
-  Spawn spawn_;
-  std::unordered_map<std::string_view, ClassPtr> classes_;  // The names lie in the classes.
-  std::uint64_t last_class_ = 0;
+  StartExecution start_execution_;
+  RequestClasses classes_;
   hingelink::RequestId last_id_ = 0;
-  Entries entries_;
-  absl::flat_hash_map<std::uint64_t, hingelink::RequestId> by_req_;
-  absl::flat_hash_map<ReplyTo, hingelink::RequestId, ReplyToHash> waiting_;
-  SharedReads reads_;
+  Requests requests_;
+  absl::flat_hash_map<std::uint64_t, hingelink::RequestId> by_attempt_;
+  absl::flat_hash_map<ReplyTo, hingelink::RequestId, ReplyToHash> awaiting_answer_;
+  ReadCache read_cache_;
   KeyTable keys_;
   KeyChanged key_changed_;
-  Calls calls_;
-  TenantPlaces tenants_;
-  Others others_ = Others::kKnown;
-  std::deque<std::uint64_t> recent_order_;  // Tries that have ended, oldest first.
-  absl::flat_hash_set<std::uint64_t> recent_;
-  struct Clocked {
-    UnixTime arrived;
-    UnixTime due;
-  };
+  UpstreamCalls upstream_calls_;
+  SiblingKeys sibling_keys_ = SiblingKeys::kKnown;
+  RecentAttempts recent_attempts_;
   std::vector<hingelink::Event> events_;
-  std::vector<Clocked> arrivals_;  // One for each Arrival in events_, in order.
-  std::vector<std::pair<hingelink::Arrival, Clocked>> kept_back_;
+  // One for each Arrival in events_, in order.
+  std::vector<ArrivalTimes> arrival_times_;
+  std::vector<DeferredArrival> deferred_;
 };
 
 }  // namespace hingelink::node
--- a/src/node/request_table_actions.cpp
+++ b/src/node/request_table_actions.cpp
@@ -1,7 +1,6 @@
-// What the module's actions do to requests, and what other processes' keys change of it.
+// The policy's actions on requests.
 #include <algorithm>
 #include <cmath>
-#include <utility>
 
 #include "node/request_table.h"
 
@@ -9,138 +8,127 @@
 
 using hingelink::Outcome;
 
-void RequestTable::Do(const hingelink::Start& action) {
-  const auto it = entries_.find(action.id);
-  if (it == entries_.end() || it->second.running) return;
-  if (it->second.key && !keys_.Start(*it->second.key, action.id)) {
-    // Guards rule 2 where the key could not be kept, or has run: this try never does.
+void RequestTable::Execute(const hingelink::Start& action) {
+  const auto found = requests_.find(action.id);
+  if (found == requests_.end() || found->second.running) return;
+  Request& request = found->second;
+  if (request.key && !keys_.Start(*request.key, action.id)) {
+    // Without its key, or after another attempt has run, this one never runs.
     events_.emplace_back(hingelink::Finished{action.id, Outcome::kNotStarted, 0});
-    Answer(it, NotRun(it->second));
-    Leave(it);
+    Answer(found, AnswerForNotRun(request));
+    Remove(found);
     return;
   }
-  it->second.running = true;
-  if (it->second.key) key_changed_(*it->second.key);
-  SendSpawn(it->second);
+  request.running = true;
+  if (request.key) key_changed_(*request.key);
+  SendExecution(request);
 }
 
-void RequestTable::Do(const hingelink::Reject& action) {
-  const auto it = entries_.find(action.id);
-  if (it == entries_.end()) return;
-  // Guards the promise of a refusal.
-  if (it->second.running) {
-    Answer(it, Failed());
+void RequestTable::Execute(const hingelink::Reject& action) {
+  const auto found = requests_.find(action.id);
+  if (found == requests_.end()) return;
+  // A rejection would promise that it never ran.
+  if (found->second.running) {
+    Answer(found, Failed());
     return;
   }
-  FinalAnswer answer = NotRun(it->second);
-  if (answer.verdict == core::Verdict::kRefused && action.retry_after_ms > 0) {
+  FinalAnswer answer = AnswerForNotRun(found->second);
+  const bool rejected = answer.verdict == core::Verdict::kRefused;
+  if (rejected && action.retry_after_ms > 0) {
     answer.stay_away = std::chrono::milliseconds(std::llround(std::ceil(action.retry_after_ms)));
   }
-  answer.try_no_other = answer.verdict == core::Verdict::kRefused && action.no_other_server;
-  Answer(it, answer);
-  Leave(it);
-}
-
-void RequestTable::Do(const hingelink::Fail& action) {
-  const auto it = entries_.find(action.id);
-  if (it == entries_.end()) return;
-  Answer(it, Failed());
-  if (!it->second.running) Leave(it);
-}
-
-bool RequestTable::Shares(const Entry& entry) const {
-  return settings_.read_cache_ttl_ms > 0 && entry.subject != 0 &&
-         entry.cls->idempotency == hingelink::Idempotency::kIdempotent;
-}
-
-FinalAnswer RequestTable::NotRun(const Entry& entry) const {
-  return entry.key && keys_.MayHaveRun(*entry.key) ? Failed() : Refused();
-}
-
-Millis RequestTable::Late() const {
-  double longest = 0;
-  for (const hingelink::RequestClass& c : settings_.classes) longest = std::max(longest, c.deadline_ms);
-  return Millis(longest);
-}
-
-void RequestTable::Do(const hingelink::RetainKey& action) {
-  const auto it = entries_.find(action.id);
-  if (it == entries_.end()) return;
-  const SteadyTime now = std::chrono::steady_clock::now();
-  if (it->second.key) {
-    if (keys_.Keep(*it->second.key, action.id, Millis(action.ttl_ms), Late(), now))
-      key_changed_(*it->second.key);
-  } else if (Shares(it->second)) {
-    reads_.Keep({it->second.cls->id, it->second.subject}, action.id, now, Millis(action.ttl_ms));
+  answer.try_no_other = rejected && action.no_other_server;
+  Answer(found, answer);
+  Remove(found);
+}
+
+void RequestTable::Execute(const hingelink::Fail& action) {
+  const auto found = requests_.find(action.id);
+  if (found == requests_.end()) return;
+  Answer(found, Failed());
+  if (!found->second.running) Remove(found);
+}
+
+void RequestTable::Execute(const hingelink::RetainKey& action) {
+  const auto found = requests_.find(action.id);
+  if (found == requests_.end()) return;
+  const Request& request = found->second;
+  const SteadyTime now = SteadyTime::clock::now();
+  const Millis ttl(action.ttl_ms);
+  if (request.key) {
+    if (keys_.Retain(*request.key, action.id, ttl, MaxReadDelay(), now)) key_changed_(*request.key);
+  } else if (IsShareableRead(request)) {
+    read_cache_.Retain({request.request_class->id, request.subject}, action.id, now, ttl);
   }
 }
 
-void RequestTable::Do(const hingelink::ReleaseKey& action) {
-  if (const std::optional<OperationKey> key = keys_.Drop(action.id)) {
+void RequestTable::Execute(const hingelink::ReleaseKey& action) {
+  if (const std::optional<OperationKey> key = keys_.Release(action.id)) {
     key_changed_(*key);
   } else {
-    reads_.Drop(action.id);
+    read_cache_.Release(action.id);
   }
 }
 
-void RequestTable::Do(const hingelink::Replay& action) {
-  const auto it = entries_.find(action.id);
-  if (it == entries_.end() || it->second.running) return;
-  if (it->second.key) {
-    it->second.replaying = true;
+void RequestTable::Execute(const hingelink::Replay& action) {
+  const auto found = requests_.find(action.id);
+  if (found == requests_.end() || found->second.running) return;
+  Request& request = found->second;
+  if (request.key) {
+    request.awaiting_replay = true;
     AnswerReplay(action.id);
     return;
   }
-  const std::string* result = reads_.Result({it->second.cls->id, it->second.subject}, it->second.original);
-  events_.emplace_back(hingelink::Finished{action.id, result ? Outcome::kOk : Outcome::kError, 0});
-  Answer(it, result ? Served(*result) : Failed());
-  Leave(it);
+  FinishReplay(found, read_cache_.Result({request.request_class->id, request.subject}, request.original));
 }
 
-// Answers a repeat where what came of its key is known.
-bool RequestTable::AnswerReplay(hingelink::RequestId id) {
-  const auto it = entries_.find(id);
-  if (it == entries_.end() || !it->second.replaying) return false;
-  const std::string* result = nullptr;
-  const KeyTable::Replay look = keys_.Look(*it->second.key, &result);
-  if (look == KeyTable::Replay::kWait) return false;
-  events_.emplace_back(hingelink::Finished{id, result ? Outcome::kOk : Outcome::kError, 0});
-  if (result != nullptr) keys_.CountReplay();
-  Answer(it, result ? Served(*result) : Failed());
-  Leave(it);
-  return true;
+void RequestTable::Execute(const hingelink::StartUpstreamCall& action) {
+  const auto found = requests_.find(action.id);
+  if (found == requests_.end()) return;
+  if (upstream_calls_.Start(found->second.attempt_id, Millis(action.timeout_ms))) return;
+  events_.emplace_back(hingelink::UpstreamCallFinished{action.id, Outcome::kConnectFailed, 0});
 }
 
-void RequestTable::AnswerRepeats(const OperationKey& key) {
-  for (const hingelink::RequestId id : keys_.Repeats(key)) AnswerReplay(id);
+void RequestTable::Execute(const hingelink::UseFallback& action) {
+  const auto found = requests_.find(action.id);
+  if (found != requests_.end()) upstream_calls_.Skip(found->second.attempt_id);
 }
 
-void RequestTable::Do(const hingelink::StartUpstreamCall& action) {
-  const auto it = entries_.find(action.id);
-  if (it == entries_.end() || calls_.Make(it->second.req, Millis(action.timeout_ms))) return;
-  events_.emplace_back(hingelink::UpstreamCallFinished{action.id, Outcome::kConnectFailed, 0});
+bool RequestTable::IsShareableRead(const Request& request) const {
+  return settings_.read_cache_ttl_ms > 0 && request.subject != 0 &&
+         request.request_class->idempotency == hingelink::Idempotency::kIdempotent;
 }
 
-void RequestTable::Do(const hingelink::UseFallback& action) {
-  const auto it = entries_.find(action.id);
-  if (it != entries_.end()) calls_.Pass(it->second.req);
+FinalAnswer RequestTable::AnswerForNotRun(const Request& request) const {
+  return request.key && keys_.MayHaveRun(*request.key) ? Failed() : Refused();
 }
 
-void RequestTable::SetOthers(Others others) {
-  others_ = others;
-  if (others == Others::kNotYet) return;
-  for (auto& [arrival, times] : std::exchange(kept_back_, {})) {
-    events_.emplace_back(arrival);
-    arrivals_.push_back(times);
+Millis RequestTable::MaxReadDelay() const {
+  double longest_ms = 0;
+  for (const hingelink::RequestClass& of_class : settings_.classes) {
+    longest_ms = std::max(longest_ms, of_class.deadline_ms);
   }
+  return Millis(longest_ms);
+}
+
+void RequestTable::AnswerReplay(hingelink::RequestId id) {
+  const auto found = requests_.find(id);
+  if (found == requests_.end() || !found->second.awaiting_replay) return;
+  const KeyTable::Replay replay = keys_.FindReplay(*found->second.key);
+  if (replay.status == KeyTable::Replay::Status::kPending) return;
+  if (replay.result != nullptr) keys_.CountReplay();
+  FinishReplay(found, replay.result);
 }
 
-void RequestTable::Hear(const KeyNews& news) {
-  if (keys_.Hear(news, Late(), std::chrono::steady_clock::now())) AnswerRepeats(news.key);
+void RequestTable::AnswerReplays(const OperationKey& key) {
+  for (const hingelink::RequestId id : keys_.WaitingAttempts(key)) AnswerReplay(id);
 }
 
-void RequestTable::OthersEnded() {
-  for (const OperationKey& key : keys_.OthersEnded()) AnswerRepeats(key);
+void RequestTable::FinishReplay(Requests::iterator at, const std::string* result) {
+  const Outcome outcome = result != nullptr ? Outcome::kOk : Outcome::kError;
+  events_.emplace_back(hingelink::Finished{at->first, outcome, 0});
+  Answer(at, result != nullptr ? Served(*result) : Failed());
+  Remove(at);
 }
 
 }  // namespace hingelink::node
--- a/tests/node/admin_integration_test.cpp
+++ b/tests/node/admin_integration_test.cpp
@@ -18,6 +18,7 @@
 TEST_P(NodeAdminServerTest, ServesReadinessAndMetricsDespiteIncompleteAndMalformedCalls) {
   RunningNode node(Options());
   std::vector<Gateway> idle;
+  idle.reserve(20);
   for (int i = 0; i < 20; ++i) idle.emplace_back(node.admin_port());
   Gateway half(node.admin_port());
   half.Write("GET /ops/readiness HT");
--- a/tests/node/connection_integration_test.cpp
+++ b/tests/node/connection_integration_test.cpp
@@ -87,6 +87,7 @@
   checks.Write(kHealthCheck);
   ASSERT_EQ(checks.Read().type, kHealthResponseFrame);
   std::vector<Gateway> silent;
+  silent.reserve(30);
   for (int i = 0; i < 30; ++i) silent.emplace_back(node.port());
   // The new connections evict the silent ones in turn, then the one that was not served.
   std::vector<Gateway> more;
--- a/tests/node/key_table_test.cpp
+++ b/tests/node/key_table_test.cpp
@@ -1,249 +1,280 @@
-// Keys of requests that must not run twice: the table against a plain model, its bounds, and what two
-// processes tell each other of them.
+// Idempotency keys: the table against a plain model, its bounds, and the updates between two processes.
 #include "node/keys/key_table.h"
 
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
 #include <map>
-#include <set>
 
 namespace hingelink::node {
 namespace {
 
 using namespace std::chrono_literals;
 using Millis = KeyTable::Millis;
+using Status = KeyTable::Replay::Status;
 constexpr OperationKey kKey{0x5c0f6e1a2b3d4c59u, 0xa8b7c6d5e4f30211u};
-constexpr Millis kWindow{10'000}, kLate{4'000};
+constexpr Millis kWindow{10'000}, kMaxDelay{4'000};
 
 struct Table : KeyTable {
   using KeyTable::KeyTable;
   Table() : KeyTable(Limits{}) {}
   Time now = Time{} + 1h;
-  Id Come(Id id, OperationKey key = kKey, std::uint64_t content = 1) {
-    return Arrive(key, content, id, now, now);
+  Id Add(Id id, OperationKey key = kKey, std::uint64_t content = 1) {
+    return AddAttempt(key, content, id, now, now);
   }
-  bool KeepIt(Id id, OperationKey key = kKey) { return Keep(key, id, kWindow, kLate, now); }
+  bool RetainFor(Id id, OperationKey key = kKey) { return Retain(key, id, kWindow, kMaxDelay, now); }
 };
 
-TEST(KeyTable, ARepeatNamesTheTryThatHoldsTheKeyWhateverBecameOfIt) {
+TEST(KeyTable, ARetryNamesTheHolderOfTheKeyInEveryState) {
   Table table;
-  EXPECT_EQ(table.Come(1), 0u);
-  EXPECT_EQ(table.Come(2), 1u);  // In the same batch, before anything is kept.
-  ASSERT_TRUE(table.KeepIt(1));
+  EXPECT_EQ(table.Add(1), 0u);
+  EXPECT_EQ(table.Add(2), 1u);  // In the same step, before anything is retained.
+  ASSERT_TRUE(table.RetainFor(1));
   ASSERT_TRUE(table.Start(kKey, 1));
   EXPECT_FALSE(table.Start(kKey, 2));
-  EXPECT_EQ(table.Come(3), 1u);
-  const std::string* result = nullptr;
-  EXPECT_EQ(table.Look(kKey, &result), KeyTable::Replay::kWait);
-  table.End(kKey, 1, true, "done");
-  table.Leave(kKey, 1);
-  EXPECT_EQ(table.Look(kKey, &result), KeyTable::Replay::kResult);
-  EXPECT_EQ(*result, "done");
+  EXPECT_EQ(table.Add(3), 1u);
+  EXPECT_EQ(table.FindReplay(kKey).status, Status::kPending);
+  table.Finish(kKey, 1, true, "done");
+  table.RemoveAttempt(kKey, 1);
+  EXPECT_EQ(table.FindReplay(kKey).status, Status::kResult);
+  EXPECT_EQ(*table.FindReplay(kKey).result, "done");
   table.now += 9'900ms;
-  EXPECT_EQ(table.Come(4), 1u);
+  EXPECT_EQ(table.Add(4), 1u);
 }
 
-TEST(KeyTable, AKeyIsFreeBehindItsWindowButNotForWhatCameBeforeAndIsReadLate) {
+TEST(KeyTable, AKeyIsFreeAfterItsWindowExceptForAttemptsThatArrivedWithin) {
   Table table;
-  table.Come(1);
-  table.KeepIt(1);
-  table.Start(kKey, 1);
-  table.End(kKey, 1, true, "done");
-  table.Leave(kKey, 1);
+  table.Add(1);
+  table.RetainFor(1);
+  ASSERT_TRUE(table.Start(kKey, 1));
+  table.Finish(kKey, 1, true, "done");
+  table.RemoveAttempt(kKey, 1);
   const KeyTable::Time came = table.now + 9'999ms;
   table.now += 13s;
-  EXPECT_EQ(table.Arrive(kKey, 1, 2, came, table.now), 1u);
-  table.Leave(kKey, 2);
-  EXPECT_EQ(table.Come(3), 0u);
+  EXPECT_EQ(table.AddAttempt(kKey, 1, 2, came, table.now), 1u);
+  table.RemoveAttempt(kKey, 2);
+  EXPECT_EQ(table.Add(3), 0u);
 }
 
-TEST(KeyTable, OneThatFailedIsNeverRunAgainWhateverTheModuleSays) {
+TEST(KeyTable, AFailedKeyNeverRunsAgainWhateverThePolicySays) {
   Table table;
-  table.Come(1);
-  table.KeepIt(1);
-  table.Start(kKey, 1);
-  table.End(kKey, 1, false, "");
-  table.Leave(kKey, 1);
-  EXPECT_FALSE(table.Drop(1));
+  table.Add(1);
+  table.RetainFor(1);
+  ASSERT_TRUE(table.Start(kKey, 1));
+  table.Finish(kKey, 1, false, "");
+  table.RemoveAttempt(kKey, 1);
+  EXPECT_FALSE(table.Release(1));
   EXPECT_TRUE(table.MayHaveRun(kKey));
-  EXPECT_EQ(table.Come(2), 1u);
-  EXPECT_FALSE(table.Keep(kKey, 2, kWindow, kLate, table.now));
+  EXPECT_EQ(table.Add(2), 1u);
+  EXPECT_FALSE(table.Retain(kKey, 2, kWindow, kMaxDelay, table.now));
   EXPECT_FALSE(table.Start(kKey, 2));
-  const std::string* result = nullptr;
-  EXPECT_EQ(table.Look(kKey, &result), KeyTable::Replay::kFailed);
+  EXPECT_EQ(table.FindReplay(kKey).status, Status::kFailed);
 }
 
-TEST(KeyTable, ATryThatLeftInTheBatchOfTheNextMakesWayForIt) {
+TEST(KeyTable, AnAttemptRemovedInTheStepOfTheNextFreesTheKey) {
   Table table;
-  table.Come(1);
-  table.KeepIt(1);
-  table.Leave(kKey, 1);  // Its caller has gone; the module hears of it only now.
-  EXPECT_EQ(table.Come(2), 0u);
-  EXPECT_FALSE(table.Drop(1));  // What the module says of it then.
-  ASSERT_TRUE(table.KeepIt(2));
+  table.Add(1);
+  table.RetainFor(1);
+  table.RemoveAttempt(kKey, 1);  // Its caller has disconnected; the policy learns it in the next step.
+  EXPECT_EQ(table.Add(2), 0u);
+  EXPECT_FALSE(table.Release(1));  // The policy's action of that step.
+  ASSERT_TRUE(table.RetainFor(2));
   EXPECT_TRUE(table.Start(kKey, 2));
 }
 
-TEST(KeyTable, AFollowerTakesTheHoldersPlace) {
+TEST(KeyTable, AWaitingAttemptTakesTheHoldersPlace) {
   Table table;
-  table.Come(1);
-  table.KeepIt(1);
-  EXPECT_EQ(table.Come(2), 1u);
-  table.Leave(kKey, 1);
-  EXPECT_EQ(table.Come(3), 1u);  // The module still has it as the first's.
-  EXPECT_EQ(table.Drop(1), kKey);
-  ASSERT_TRUE(table.KeepIt(2));
+  table.Add(1);
+  table.RetainFor(1);
+  EXPECT_EQ(table.Add(2), 1u);
+  table.RemoveAttempt(kKey, 1);
+  EXPECT_EQ(table.Add(3), 1u);  // The policy still counts it to the first.
+  EXPECT_EQ(table.Release(1), kKey);
+  ASSERT_TRUE(table.RetainFor(2));
   EXPECT_TRUE(table.Start(kKey, 2));
-  EXPECT_EQ(table.Come(4), 2u);
+  EXPECT_EQ(table.Add(4), 2u);
 }
 
-TEST(KeyTable, ResultsAndKeysKeepTheirBounds) {
+TEST(KeyTable, BoundsKeysAndResults) {
   Table table;
-  table.SetLimits({.most_keys = 4, .most_bytes = 25});
+  table.SetLimits({.max_keys = 4, .max_result_bytes = 25});
   for (KeyTable::Id id = 1; id <= 4; ++id) {
     const OperationKey key{id, 0};
-    table.Come(id, key);
-    ASSERT_TRUE(table.KeepIt(id, key));
+    table.Add(id, key);
+    ASSERT_TRUE(table.RetainFor(id, key));
     ASSERT_TRUE(table.Start(key, id));
     table.now += 1ms;
-    table.End(key, id, true, "0123456789");
-    table.Leave(key, id);
+    table.Finish(key, id, true, "0123456789");
+    table.RemoveAttempt(key, id);
     EXPECT_LE(table.result_bytes(), 25u);
   }
-  const std::string* result = nullptr;
-  // The oldest went first: not there any more, but known to have run.
-  EXPECT_EQ(table.Look({1, 0}, &result), KeyTable::Replay::kFailed);
+  // The oldest was dropped first, and is still known to have run.
+  EXPECT_EQ(table.FindReplay({1, 0}).status, Status::kFailed);
   EXPECT_TRUE(table.MayHaveRun({1, 0}));
-  EXPECT_EQ(table.Look({4, 0}, &result), KeyTable::Replay::kResult);
-  EXPECT_EQ(table.counts().results_gone, 2u);
-  table.Come(5, {5, 0});
-  EXPECT_FALSE(table.KeepIt(5, {5, 0}));
+  EXPECT_EQ(table.FindReplay({4, 0}).status, Status::kResult);
+  EXPECT_EQ(table.counters().results_dropped, 2u);
+  table.Add(5, {5, 0});
+  EXPECT_FALSE(table.RetainFor(5, {5, 0}));
   EXPECT_FALSE(table.Start({5, 0}, 5));
-  EXPECT_EQ(table.counts().no_room, 1u);
+  EXPECT_EQ(table.counters().out_of_room, 1u);
 }
 
-TEST(KeyTable, AnotherRequestUnderATakenKeyIsNoTryOfIt) {
+TEST(KeyTable, OtherContentWithTheSameKeyDoesNotMatch) {
   Table table;
-  table.Come(1);
-  table.KeepIt(1);
-  EXPECT_TRUE(table.Fits(kKey, 1, table.now));
-  EXPECT_FALSE(table.Fits(kKey, 2, table.now));
-  table.Start(kKey, 1);
-  table.End(kKey, 1, true, "");
-  table.Leave(kKey, 1);
-  EXPECT_TRUE(table.Fits(kKey, 2, table.now + 11s));
+  table.Add(1);
+  table.RetainFor(1);
+  EXPECT_TRUE(table.MatchesContent(kKey, 1, table.now));
+  EXPECT_FALSE(table.MatchesContent(kKey, 2, table.now));
+  ASSERT_TRUE(table.Start(kKey, 1));
+  table.Finish(kKey, 1, true, "");
+  table.RemoveAttempt(kKey, 1);
+  EXPECT_TRUE(table.MatchesContent(kKey, 2, table.now + 11s));
 }
 
-TEST(KeyTable, ASuccessorWaitsForWhatItsPredecessorRunsAndRunsWhatThatLetGo) {
+TEST(KeyTable, ASuccessorWaitsForRunningKeysOfItsPredecessorAndRunsReleasedOnes) {
   Table old, fresh;
-  old.Come(1);
-  old.KeepIt(1);
-  old.Start(kKey, 1);
+  old.Add(1);
+  old.RetainFor(1);
+  ASSERT_TRUE(old.Start(kKey, 1));
   const OperationKey held{7, 7};
-  old.Come(2, held);
-  old.KeepIt(2, held);
-  old.Tell(old.now, [&](const KeyNews& news) { EXPECT_FALSE(fresh.Hear(news, kLate, fresh.now)); });
-  EXPECT_GE(fresh.Come(10), KeyTable::kElsewhere);
-  EXPECT_GE(fresh.Come(11, held), KeyTable::kElsewhere);
-  const std::string* result = nullptr;
-  EXPECT_EQ(fresh.Look(kKey, &result), KeyTable::Replay::kWait);
-  EXPECT_EQ(fresh.Look(held, &result), KeyTable::Replay::kWait);
-  old.End(kKey, 1, true, "from there");
-  EXPECT_TRUE(fresh.Hear(old.Of(kKey, old.now), kLate, fresh.now));
-  ASSERT_EQ(fresh.Look(kKey, &result), KeyTable::Replay::kResult);
-  EXPECT_EQ(*result, "from there");
-  // Refused there, unrun: those that wait here end, and the next may run.
-  old.Leave(held, 2);
-  old.Drop(2);
-  EXPECT_TRUE(fresh.Hear(old.Of(held, old.now), kLate, fresh.now));
-  EXPECT_EQ(fresh.Look(held, &result), KeyTable::Replay::kFailed);
-  fresh.Leave(held, 11);
-  EXPECT_EQ(fresh.Come(12, held), 0u);
+  old.Add(2, held);
+  old.RetainFor(2, held);
+  old.ForEachRetained(old.now, [&](const KeyUpdate& update) {
+    EXPECT_FALSE(fresh.ApplyUpdate(update, kMaxDelay, fresh.now));
+  });
+  EXPECT_GE(fresh.Add(10), KeyTable::kFirstRemoteId);
+  EXPECT_GE(fresh.Add(11, held), KeyTable::kFirstRemoteId);
+  EXPECT_EQ(fresh.FindReplay(kKey).status, Status::kPending);
+  EXPECT_EQ(fresh.FindReplay(held).status, Status::kPending);
+  old.Finish(kKey, 1, true, "from there");
+  EXPECT_TRUE(fresh.ApplyUpdate(old.UpdateOf(kKey, old.now), kMaxDelay, fresh.now));
+  ASSERT_EQ(fresh.FindReplay(kKey).status, Status::kResult);
+  EXPECT_EQ(*fresh.FindReplay(kKey).result, "from there");
+  // Rejected there without a run: attempts that wait here fail, and the next may run.
+  old.RemoveAttempt(held, 2);
+  old.Release(2);
+  EXPECT_TRUE(fresh.ApplyUpdate(old.UpdateOf(held, old.now), kMaxDelay, fresh.now));
+  EXPECT_EQ(fresh.FindReplay(held).status, Status::kFailed);
+  fresh.RemoveAttempt(held, 11);
+  EXPECT_EQ(fresh.Add(12, held), 0u);
   EXPECT_FALSE(fresh.MayHaveRun(held));
 }
 
-TEST(KeyTable, WhatAPredecessorHadInHandAsItDiedMayHaveRun) {
+TEST(KeyTable, KeysInFlightInAPredecessorThatExitedFail) {
   Table fresh;
-  fresh.Hear({kKey, 1, KeyFate::kRuns, kWindow, std::nullopt}, kLate, fresh.now);
-  fresh.Come(10);
-  EXPECT_EQ(fresh.OthersEnded(), std::vector<OperationKey>{kKey});
-  const std::string* result = nullptr;
-  EXPECT_EQ(fresh.Look(kKey, &result), KeyTable::Replay::kFailed);
-  EXPECT_EQ(fresh.Repeats(kKey), std::vector<KeyTable::Id>{10});
+  fresh.ApplyUpdate({kKey, 1, KeyState::kRunning, kWindow, std::nullopt}, kMaxDelay, fresh.now);
+  fresh.Add(10);
+  EXPECT_EQ(fresh.OnSiblingsExited(), std::vector<OperationKey>{kKey});
+  EXPECT_EQ(fresh.FindReplay(kKey).status, Status::kFailed);
+  EXPECT_EQ(fresh.WaitingAttempts(kKey), std::vector<KeyTable::Id>{10});
 }
 
-// Two tables that tell each other as two processes do, and a host that asks for anything in any order: no key
-// runs twice within its window, at whichever of the two.
-RC_GTEST_PROP(KeyTableProperty, NoKeyRunsTwiceInEitherProcess, ()) {
-  Table tables[2];
-  bool second_up = false;
-  struct Try {
-    int at;
+// Two tables that exchange updates as two processes do, and callers in any order: no key runs twice within
+// its window, in either process.
+class TwoProcesses {
+ public:
+  void Step() {
+    const int choice = *rc::gen::inRange(0, 12);
+    if (choice == 0) {
+      PassTime();
+    } else if (choice == 1 && !successor_started_) {
+      StartSuccessor();
+    } else if (choice < 6) {
+      AddAttempt();
+    } else if (!attempts_.empty()) {
+      auto at = attempts_.begin();
+      std::advance(at, *rc::gen::inRange<std::size_t>(0, attempts_.size()));
+      if (choice < 9 && !at->second.running) {
+        TryStart(at);
+      } else if (choice == 9 && at->second.running) {
+        Finish(at);
+      } else if (choice >= 10 && !at->second.running) {
+        Disconnect(at);
+      }
+    }
+  }
+
+ private:
+  struct Attempt {
+    int process = 0;
     OperationKey key;
-    bool running = false, holds = false;
+    bool running = false;
+    bool retained = false;
   };
-  std::map<KeyTable::Id, Try> tries;
-  std::map<OperationKey, KeyTable::Time> ran;
-  KeyTable::Id last = 0;
-  const int steps = *rc::gen::inRange(20, 200);
-  for (int i = 0; i < steps; ++i) {
-    const auto tell = [&](const OperationKey& key) {
-      if (second_up) tables[1].Hear(tables[0].Of(key, tables[0].now), kLate, tables[1].now);
-    };
-    const int what = *rc::gen::inRange(0, 12);
-    if (what == 0) {
-      const auto pass = std::chrono::milliseconds(*rc::gen::inRange(1, 6'000));
-      for (Table& table : tables) table.now += pass;
-    } else if (what == 1 && !second_up) {
-      second_up = true;
-      tables[0].Tell(tables[0].now, [&](const KeyNews& news) { tables[1].Hear(news, kLate, tables[1].now); });
-    } else if (what < 6) {
-      const OperationKey key{static_cast<std::uint64_t>(*rc::gen::inRange(1, 4)), 0};
-      const int at = second_up ? 1 : 0;
-      const KeyTable::Id id = ++last;
-      const KeyTable::Id before = tables[at].Come(id, key);
-      RC_ASSERT(before != id);
-      tries[id] = {at, key};
-      if (before == 0) tries[id].holds = tables[at].KeepIt(id, key);
-      tell(key);
-    } else if (!tries.empty()) {
-      auto it = tries.begin();
-      std::advance(it, *rc::gen::inRange<std::size_t>(0, tries.size()));
-      auto& [id, t] = *it;
-      Table& table = tables[t.at];
-      if (what < 9 && !t.running) {
-        // Whoever asks, also one that does not hold the key.
-        if (table.Start(t.key, id)) {
-          const auto before = ran.find(t.key);
-          const bool first = before == ran.end() || table.now - before->second > kWindow;
-          RC_ASSERT(first);
-          ran[t.key] = table.now;
-          t.running = true;
-        }
-        tell(t.key);
-      } else if (what == 9 && t.running) {
-        table.End(t.key, id, *rc::gen::arbitrary<bool>(), "r");
-        table.Leave(t.key, id);
-        tell(t.key);
-        tries.erase(it);
-      } else if (what >= 10 && !t.running) {
-        const OperationKey key = t.key;
-        table.Leave(key, id);
-        const int at = t.at;
-        const KeyTable::Id gone = id;
-        tries.erase(it);
-        if (table.Drop(gone)) {
-          for (auto& [other, o] : tries) {
-            if (o.at != at || !(o.key == key) || o.running) continue;
-            o.holds = table.KeepIt(other, key);
-            break;
-          }
-        }
-        tell(key);
-      }
+  using Attempts = std::map<KeyTable::Id, Attempt>;
+
+  void PassTime() {
+    const auto span = std::chrono::milliseconds(*rc::gen::inRange(1, 6'000));
+    for (Table& table : tables_) table.now += span;
+  }
+  void StartSuccessor() {
+    successor_started_ = true;
+    tables_[0].ForEachRetained(tables_[0].now, [this](const KeyUpdate& update) {
+      tables_[1].ApplyUpdate(update, kMaxDelay, tables_[1].now);
+    });
+  }
+  void SendUpdate(const OperationKey& key) {
+    if (!successor_started_) return;
+    tables_[1].ApplyUpdate(tables_[0].UpdateOf(key, tables_[0].now), kMaxDelay, tables_[1].now);
+  }
+  void AddAttempt() {
+    const OperationKey key{static_cast<std::uint64_t>(*rc::gen::inRange(1, 4)), 0};
+    const int process = successor_started_ ? 1 : 0;
+    const KeyTable::Id id = ++last_id_;
+    const KeyTable::Id original = tables_[process].Add(id, key);
+    RC_ASSERT(original != id);
+    attempts_[id] = {process, key};
+    if (original == 0) attempts_[id].retained = tables_[process].RetainFor(id, key);
+    SendUpdate(key);
+  }
+  // Also one that does not hold the key.
+  void TryStart(Attempts::iterator at) {
+    Attempt& attempt = at->second;
+    Table& table = tables_[attempt.process];
+    if (table.Start(attempt.key, at->first)) {
+      const auto previous = started_at_.find(attempt.key);
+      const bool is_first = previous == started_at_.end() || table.now - previous->second > kWindow;
+      RC_ASSERT(is_first);
+      started_at_[attempt.key] = table.now;
+      attempt.running = true;
+    }
+    SendUpdate(attempt.key);
+  }
+  void Finish(Attempts::iterator at) {
+    const auto [process, key, running, retained] = at->second;
+    tables_[process].Finish(key, at->first, *rc::gen::arbitrary<bool>(), "r");
+    tables_[process].RemoveAttempt(key, at->first);
+    SendUpdate(key);
+    attempts_.erase(at);
+  }
+  // If it held the key, the next attempt takes its place.
+  void Disconnect(Attempts::iterator at) {
+    const auto [process, key, running, retained] = at->second;
+    const KeyTable::Id id = at->first;
+    tables_[process].RemoveAttempt(key, id);
+    attempts_.erase(at);
+    if (tables_[process].Release(id)) RetainNext(process, key);
+    SendUpdate(key);
+  }
+  void RetainNext(int process, const OperationKey& key) {
+    for (auto& [id, attempt] : attempts_) {
+      if (attempt.process != process || !(attempt.key == key) || attempt.running) continue;
+      attempt.retained = tables_[process].RetainFor(id, key);
+      return;
     }
   }
+
+  Table tables_[2];
+  bool successor_started_ = false;
+  Attempts attempts_;
+  std::map<OperationKey, KeyTable::Time> started_at_;
+  KeyTable::Id last_id_ = 0;
+};
+
+RC_GTEST_PROP(KeyTableProperty, NoKeyRunsTwiceInEitherProcess, ()) {
+  TwoProcesses processes;
+  const int steps = *rc::gen::inRange(20, 200);
+  for (int step = 0; step < steps; ++step) processes.Step();
 }
 
 }  // namespace
--- a/tests/node/metrics_test.cpp
+++ b/tests/node/metrics_test.cpp
@@ -8,10 +8,10 @@
 
 TEST(Metrics, TextIsAsItAlwaysWas) {
   Metrics metrics({{.name = "usage-view"}, {.name = "odd\"\\\nname"}}, 2);
-  ++metrics.Of("usage-view", 0)->served;
-  metrics.Of("usage-view", 1)->served += 11;
-  ++metrics.Of("usage-view", 1)->refused;
-  metrics.CountRun();
+  ++metrics.CountsFor("usage-view", 0)->served;
+  metrics.CountsFor("usage-view", 1)->served += 11;
+  ++metrics.CountsFor("usage-view", 1)->refused;
+  metrics.CountExecution();
   metrics.CountReload(true);
   EXPECT_EQ(metrics.Text(3, {}),
             "# HELP edge_node_calls Requests answered, by class and outcome.\n"
@@ -38,7 +38,7 @@
 
 TEST(Metrics, CountsOfLongLivesAreWhole) {
   Metrics metrics({{.name = "usage-view"}}, 1);
-  metrics.Of("usage-view")->served += 1'234'567'890'123;
+  metrics.CountsFor("usage-view")->served += 1'234'567'890'123;
   EXPECT_NE(metrics.Text(0, {}).find("code=\"success\"} 1234567890123\n"), std::string::npos);
 }
 
--- a/tests/node/reconfiguration_integration_test.cpp
+++ b/tests/node/reconfiguration_integration_test.cpp
@@ -95,7 +95,9 @@
 // Requests are open in a class that is removed.
 TEST_P(NodeReconfigurationTest, AReloadOfClassesIsAppliedWholeOrNotAtAll) {
   ServingNode serving(Options());
-  auto& [node, link, gateway] = serving;
+  RunningNode& node = serving.node;
+  PoolLink& link = serving.link;
+  Gateway& gateway = serving.gateway;
   const std::string first = node.config();
   int failed = 0;
   const auto await_metric = [&](const std::string& metric, int count) {
--- a/tests/node/request_integration_test.cpp
+++ b/tests/node/request_integration_test.cpp
@@ -162,7 +162,7 @@
   ServingNode serving(options);
   auto& [node, link, gateway] = serving;
   const std::string key = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211";
-  const auto claim = [&](std::map<std::string, std::string> with = {}) {
+  const auto claim = [&key](const std::map<std::string, std::string>& with = {}) {
     std::map<std::string, std::string> fields = {
         {"kind", "claim"}, {"timeout", "(none)"}, {"owner", "west"}, {"opkey", key}};
     for (const auto& [name, value] : with) fields[name] = value;
@@ -266,7 +266,8 @@
 // The last report said that the cores are idle.
 TEST_P(NodeRequestTest, AStalledPoolStopsNewExecutionsOnceItsGaugesAreOutOfDate) {
   ServingNode serving(Options());
-  auto& [node, link, gateway] = serving;
+  PoolLink& link = serving.link;
+  Gateway& gateway = serving.gateway;
   const auto ask = [&gateway](std::uint32_t stream) {
     gateway.Write(Gateway::Request(stream, hingelink::proto::FormatRequestId(stream), "x",
                                    {{"kind", "usage-view"}, {"timeout", "1200"}, {"need", "0.1"}}));
--- a/tests/node/request_table_test.cpp
+++ b/tests/node/request_table_test.cpp
@@ -1,5 +1,5 @@
-// Keyed tries that wait for the word of a predecessor: answered by their due time, and decided by the
-// settings that hold when they are told to the module.
+// Keyed attempts that are deferred until a predecessor has reported its keys: answered by their deadlines,
+// and decided by the settings that are current when the policy sees them.
 #include "node/request_table.h"
 
 #include <gtest/gtest.h>
@@ -26,7 +26,7 @@
   std::vector<std::pair<std::uint32_t, core::Verdict>> answers;
 };
 
-class KeptBackTest : public testing::Test {
+class DeferredAttemptTest : public testing::Test {
  protected:
   static hingelink::RequestClass Keyed(const std::string& name, double deadline_ms) {
     hingelink::RequestClass cls;
@@ -43,19 +43,19 @@
     return settings;
   }
 
-  void SetUp() override { table_.SetOthers(RequestTable::Others::kNotYet); }
+  void SetUp() override { table_.SetSiblingKeys(SiblingKeys::kPending); }
 
-  void Take(std::uint32_t stream, const std::string& kind, const std::string& owner) {
+  void Send(std::uint32_t stream, const std::string& kind, const std::string& owner) {
     core::IncomingRequest request;
     request.reply_to = {1, stream};
     request.kind = kind;
     request.owner = owner;
     request.req = stream;
     request.arrived = began_;
-    request.timeout = told_timeout_;
+    request.timeout = timeout_;
     request.key = core::OperationKey{stream, stream};
     request.body = "body";
-    table_.Take(request);
+    table_.OnRequest(request);
   }
   std::vector<hingelink::Arrival> ArrivalsAt(UnixTime now) {
     std::vector<hingelink::Arrival> arrivals;
@@ -66,7 +66,7 @@
   }
 
   const UnixTime began_ = std::chrono::system_clock::now();
-  std::optional<Millis> told_timeout_;
+  std::optional<Millis> timeout_;
   hingelink::Settings settings_ = MakeSettings();
   RecordingFront front_;
   Metrics metrics_{settings_.classes, 1};
@@ -74,65 +74,65 @@
                       front_,
                       metrics_,
                       [](auto, auto, auto) { return RequestTable::kNeverSent; },
-                      Calls::Below{},
+                      UpstreamCalls::Links{},
                       KeyTable::Limits{},
                       [](const OperationKey&) {}};
 };
 
-// With the wait that its caller told, and without one, with its class's.
-TEST_F(KeptBackTest, IsAnsweredByItsDueTime) {
-  for (const bool told : {true, false}) {
-    settings_.callers_send_remaining_wait = told;
-    if (told) told_timeout_ = 300ms;
-    const auto due = told ? 300ms : 700ms;
+// Of its caller's remaining wait, or of its class.
+TEST_F(DeferredAttemptTest, IsAnsweredByItsDeadline) {
+  for (const bool has_timeout : {true, false}) {
+    settings_.callers_send_remaining_wait = has_timeout;
+    if (has_timeout) timeout_ = 300ms;
+    const auto deadline = has_timeout ? 300ms : 700ms;
     front_.answers.clear();
-    Take(told ? 1 : 2, "second", "one");
+    Send(has_timeout ? 1 : 2, "second", "one");
     EXPECT_TRUE(ArrivalsAt(began_ + 1ms).empty());
-    EXPECT_TRUE(ArrivalsAt(began_ + due - 50ms).empty());
+    EXPECT_TRUE(ArrivalsAt(began_ + deadline - 50ms).empty());
     EXPECT_TRUE(front_.answers.empty());
-    EXPECT_TRUE(ArrivalsAt(began_ + due - 10ms).empty());
+    EXPECT_TRUE(ArrivalsAt(began_ + deadline - 10ms).empty());
     // Failed: the predecessor may have run it.
     ASSERT_EQ(front_.answers.size(), 1u);
     EXPECT_EQ(front_.answers[0].second, core::Verdict::kFailed);
     EXPECT_EQ(table_.unanswered(), 0u);
   }
-  // What came of it later is told to nobody.
-  table_.SetOthers(RequestTable::Others::kKnown);
+  // The policy never sees it.
+  table_.SetSiblingKeys(SiblingKeys::kKnown);
   EXPECT_TRUE(ArrivalsAt(began_ + 1s).empty());
 }
 
-TEST_F(KeptBackTest, IsForgottenWhereItsCallerLeaves) {
-  Take(1, "first", "one");
+TEST_F(DeferredAttemptTest, IsForgottenWhenItsCallerDisconnects) {
+  Send(1, "first", "one");
   EXPECT_TRUE(ArrivalsAt(began_ + 1ms).empty());
-  table_.CallerDisconnected({1, 1});
-  table_.SetOthers(RequestTable::Others::kKnown);
+  table_.OnCallerDisconnected({1, 1});
+  table_.SetSiblingKeys(SiblingKeys::kKnown);
   EXPECT_TRUE(ArrivalsAt(began_ + 2ms).empty());
   EXPECT_TRUE(front_.answers.empty());
   EXPECT_TRUE(table_.empty());
 }
 
-// New settings in another order, in between: the try is decided as one of its own class and tenant.
-TEST_F(KeptBackTest, KeepsItsClassAndTenantThroughAReload) {
-  Take(1, "first", "two");
+// The new settings have another order.
+TEST_F(DeferredAttemptTest, KeepsItsClassAndTenantAcrossAReload) {
+  Send(1, "first", "two");
   EXPECT_TRUE(ArrivalsAt(began_ + 1ms).empty());
   settings_.classes = {Keyed("new", 100), Keyed("second", 700), Keyed("first", 900)};
   settings_.tenants = {{"two", 0.5, 10}, {"three", 0.5, 10}};
   table_.Reconfigure();
-  table_.SetOthers(RequestTable::Others::kKnown);
+  table_.SetSiblingKeys(SiblingKeys::kKnown);
   const auto arrivals = ArrivalsAt(began_ + 2ms);
   ASSERT_EQ(arrivals.size(), 1u);
   EXPECT_EQ(arrivals[0].request_class, 2);
   EXPECT_EQ(arrivals[0].tenant, 0);
 }
 
-TEST_F(KeptBackTest, FailsWhereItsClassOrTenantIsDropped) {
-  Take(1, "second", "one");
-  Take(2, "first", "two");
+TEST_F(DeferredAttemptTest, FailsWhenItsClassOrTenantIsRemoved) {
+  Send(1, "second", "one");
+  Send(2, "first", "two");
   EXPECT_TRUE(ArrivalsAt(began_ + 1ms).empty());
   settings_.classes = {Keyed("first", 900)};
   settings_.tenants = {{"one", 0.5, 10}};
   table_.Reconfigure();
-  table_.SetOthers(RequestTable::Others::kKnown);
+  table_.SetSiblingKeys(SiblingKeys::kKnown);
   EXPECT_TRUE(ArrivalsAt(began_ + 2ms).empty());
   ASSERT_EQ(front_.answers.size(), 2u);
   for (const auto& [stream, verdict] : front_.answers) EXPECT_EQ(verdict, core::Verdict::kFailed) << stream;
