--- a/src/node/config.cpp
+++ b/src/node/config.cpp
@@ -30,7 +30,8 @@
   if (!value.is_string()) return value.dump();
   std::string text = value.get<std::string>();
   if (text.find_first_of("\r\n") != std::string::npos) {
-    throw ConfigError("settings." + path + " has a line break; it must be a text of one line");
+    throw ConfigError("settings." + path + " has a line break; it must be a text of one line",
+                      {.file = {}, .key = "settings." + path, .value = {}, .allowed = "a text of one line"});
   }
   return text;
 }
@@ -71,13 +72,20 @@
 }
 
 [[noreturn]] void Reject(const std::string& path, const Json& value, const std::string& allowed) {
-  throw ConfigError(path + " is " + Shown(value) + "; it must be " + allowed);
+  const std::string shown = Shown(value);
+  throw ConfigError(path + " is " + shown + "; it must be " + allowed,
+                    {.file = {}, .key = path, .value = shown, .allowed = allowed});
+}
+
+[[noreturn]] void RejectMissing(const std::string& path, const std::string& allowed) {
+  throw ConfigError(path + " is missing; it must be " + allowed,
+                    {.file = {}, .key = path, .value = {}, .allowed = allowed});
 }
 
 const Json& Member(const Json& object, const std::string& path, const char* name,
                    const std::string& allowed) {
   const auto it = object.find(name);
-  if (it == object.end()) throw ConfigError(path + name + " is missing; it must be " + allowed);
+  if (it == object.end()) RejectMissing(path + name, allowed);
   return *it;
 }
 
@@ -154,7 +162,11 @@
   std::replace(pointer.begin(), pointer.end(), '.', '/');
   const Json::json_pointer at(pointer);
   const Json value = settings.contains(at) ? settings.at(at) : Json();
-  throw ConfigError("settings." + key + " is " + Shown(value) + "; it " + word.substr(colon + 2));
+  throw ConfigError("settings." + key + " is " + Shown(value) + "; it " + word.substr(colon + 2),
+                    {.file = {},
+                     .key = "settings." + key,
+                     .value = Shown(value),
+                     .allowed = word.substr(colon + std::string_view(": must ").size())});
 }
 
 bool SameKind(const Json& a, const Json& b) {
@@ -175,7 +187,7 @@
     for (const auto& [name, member] : running.items()) {
       const std::string at = Below(path, name);
       if (!fresh.contains(name)) {
-        throw ConfigError(at + " is missing; it must be " + KindName(member) + ", as in the running one");
+        RejectMissing(at, KindName(member) + ", as in the running one");
       }
       CheckKeys(member, fresh[name], at);
     }
@@ -247,11 +259,17 @@
 
 Config ReadConfig(const std::string& path) {
   std::ifstream file(path, std::ios::binary);
-  if (!file) throw ConfigError("configuration '" + path + "' cannot be read: " + std::strerror(errno));
+  if (!file) {
+    const std::string reason = std::strerror(errno);
+    throw ConfigError("configuration '" + path + "' cannot be read: " + reason,
+                      {.file = path, .key = {}, .value = {}, .allowed = {}});
+  }
   try {
     return ParseConfig(std::string(std::istreambuf_iterator<char>(file), {}));
   } catch (const ConfigError& fault) {
-    throw ConfigError("configuration '" + path + "': " + fault.what());
+    ConfigError::Details details = fault.details();
+    details.file = path;
+    throw ConfigError("configuration '" + path + "': " + fault.what(), std::move(details));
   }
 }
 
--- a/src/node/config.h
+++ b/src/node/config.h
@@ -6,14 +6,38 @@
 #include <cstdint>
 #include <stdexcept>
 #include <string>
+#include <utility>
 
 #include "hingelink/server_policy.h"
 
 namespace hingelink::node {
 
+// An invalid configuration. Thrown at start and while a configuration is read; a node that reloads reports it
+// and keeps its own.
 class ConfigError : public std::runtime_error {
  public:
-  using std::runtime_error::runtime_error;
+  // What is wrong. Parts that do not apply are empty.
+  struct Details {
+    std::string file;
+    // The path of the key in the file, such as "settings.requestClasses.0.name".
+    std::string key;
+    // The value found, shortened; empty if the key is missing.
+    std::string value;
+    // The values that the key may have.
+    std::string allowed;
+  };
+  // `message`: one line that names what is wrong.
+  explicit ConfigError(const std::string& message, Details details = {})
+      : std::runtime_error(message), details_(std::move(details)) {}
+
+  [[nodiscard]] const std::string& file() const { return details_.file; }
+  [[nodiscard]] const std::string& key() const { return details_.key; }
+  [[nodiscard]] const std::string& value() const { return details_.value; }
+  [[nodiscard]] const std::string& allowed() const { return details_.allowed; }
+  [[nodiscard]] const Details& details() const { return details_; }
+
+ private:
+  Details details_;
 };
 
 struct Config {
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -22,17 +22,17 @@
 // How long before a timer the gauges are asked for, so that they are new when it fires: a few round trips.
 constexpr auto kGaugeLead = 4ms;
 // From the module's last moment to the kill: time to flush on a core that others use too.
-constexpr auto kFlush = 150ms;
+constexpr auto kPolicyFlushLead = 150ms;
 // Before the kill: the process ends, whoever is still connected.
-constexpr auto kEnd = 60ms;
-constexpr auto kLastFlush = 20ms;
+constexpr auto kExitLead = 60ms;
+constexpr auto kFlushLead = 20ms;
 // Before the kill: connections whose peers have not closed by then are closed all the same.
-constexpr auto kLastClose = 10ms;
-constexpr auto kDrainLook = 10ms;
-constexpr std::size_t kMostThreads = 64;
+constexpr auto kCloseLead = 10ms;
+constexpr auto kDrainPollInterval = 10ms;
+constexpr std::size_t kMaxThreads = 64;
 // What a extension part may do in one batch (ours). Beside requests: what a request or two cost, so that news
 // in any number adds no more to an answer than one more request before it does.
-constexpr BatchBudget kAlone{.events = 64, .work = 1ms}, kBesideRequests{.events = 8, .work = 100us};
+constexpr BatchBudget kIdleBudget{.events = 64, .work = 1ms}, kRequestBudget{.events = 8, .work = 100us};
 
 Outcome ToOutcome(proto::RunOutcome end) {
   switch (end) {
@@ -60,28 +60,28 @@
            std::size_t threads, const WorkerPoolFactory& create_pool)
     : config_(std::move(config)),
       reread_(std::move(reread)),
-      threads_(std::clamp<std::size_t>(threads, 1, kMostThreads)),
+      threads_(std::clamp<std::size_t>(threads, 1, kMaxThreads)),
       base_(net::MakeBase()),
       metrics_(config_.settings.classes, std::max<std::size_t>(1, loops())),
-      handover_(
-          base_.get(), handover_folder,
-          {.successor_ready = [this] { HandOver(); },
-           .successor_lost = [this] { TakeBack(); },
-           .load = [this] { SeeOthers(); },
-           .learned = [this] { return TellSuccessor(); },
-           .predecessor_learned = [this](const proto::LearnedClassMessage& line) { HearPredecessor(line); },
-           .keys = [this](const net::Handover::EachKey& each) { TellKeys(each); },
-           .key_told = [this](const proto::KeyMessage& line,
-                              std::string_view result) { HearKey(line, result); },
-           .settled = [this] { SeeKeys(); }}),
-      front_(MakeFront()),
+      handover_(base_.get(), handover_folder,
+                {.successor_ready = [this] { HandOverToSuccessor(); },
+                 .successor_lost = [this] { ResumeServing(); },
+                 .load = [this] { OnSiblingLoadChanged(); },
+                 .learned = [this] { return LearnedForSuccessor(); },
+                 .predecessor_learned =
+                     [this](const proto::LearnedClassMessage& line) { OnPredecessorLearned(line); },
+                 .keys = [this](const net::Handover::EachKey& each) { ReportKeys(each); },
+                 .key_told = [this](const proto::KeyMessage& line,
+                                    std::string_view result) { OnKeyReported(line, result); },
+                 .settled = [this] { UpdateSiblingKeys(); }}),
+      front_(CreateFront()),
       table_(
           config_.settings, *front_, metrics_,
           [this](std::uint64_t req, std::string_view kind, std::string_view body) {
             return pool_->Spawn(req, kind, body);
           },
-          UpstreamLinks(), KeyLimits(), [this](const core::OperationKey& key) { TellKey(key); }),
-      pool_(MakePool(create_pool)),
+          UpstreamLinks(), KeyLimits(), [this](const core::OperationKey& key) { ReportKey(key); }),
+      pool_(CreatePool(create_pool)),
       checks_(base_.get(),
               {.verify = [this](std::uint64_t tag) { return pool_->Verify(tag); },
                .answer = [this](core::ReplyTo to, bool good) { front_->AnswerCheck(to, good); }}),
@@ -99,9 +99,9 @@
       // Beside a predecessor, once there is a worker pool to run what comes.
       listening_(!handover_.has_others()),
       drain_timer_(base_.get(), [] {}) {
-  MoveStore(config_.store_address);
-  SeeOthers();
-  SeeKeys();
+  ConnectStore(config_.store_address);
+  OnSiblingLoadChanged();
+  UpdateSiblingKeys();
   if (listening_) handover_.Offer(front_->listener());
   if (!config_.admin_address.empty()) {
     admin_server_.emplace(base_.get(), net::ParseAddress(config_.admin_address),
@@ -117,9 +117,9 @@
       this);
 }
 
-std::unique_ptr<net::PoolSide> Node::MakePool(const WorkerPoolFactory& create_pool) {
+std::unique_ptr<net::PoolSide> Node::CreatePool(const WorkerPoolFactory& create_pool) {
   net::PoolEvents events;
-  events.bound = [this](bool warming_up) { Bound(warming_up); };
+  events.bound = [this](bool warming_up) { OnPoolConnected(warming_up); };
   events.finished = [this](const proto::RunFinished& run) {
     table_.OnExecutionFinished({run.req, ToOutcome(run.end), run.elapsed, run.result});
   };
@@ -165,7 +165,7 @@
           }};
 }
 
-void Node::MoveStore(const std::string& address) {
+void Node::ConnectStore(const std::string& address) {
   if (address.empty()) return;
   const sockaddr_in at = net::ParseAddress(address);
   if (store_) {
@@ -187,11 +187,11 @@
           .max_result_bytes = static_cast<std::size_t>(kResults * bytes)};
 }
 
-std::unique_ptr<net::GatewaySide> Node::MakeFront() {
+std::unique_ptr<net::GatewaySide> Node::CreateFront() {
   const sockaddr_in listen = net::ParseAddress(config_.listen_address);
   const auto sockets = static_cast<std::size_t>(config_.max_descriptors);
-  const std::size_t most = sockets > reserved() ? sockets - reserved() : 1;
-  core::FrontEvents events{.request = [this](const IncomingRequest& request) { Take(request); },
+  const std::size_t most = sockets > ReservedDescriptors() ? sockets - ReservedDescriptors() : 1;
+  core::FrontEvents events{.request = [this](const IncomingRequest& request) { HandleRequest(request); },
                            .gone =
                                [this](ReplyTo from) {
                                  table_.OnCallerDisconnected(from);
@@ -222,7 +222,7 @@
 // The front tells the table of each connection that it ends, so it must end them while the table stands.
 Node::~Node() { front_->Shutdown({}); }
 
-void Node::Take(const IncomingRequest& request) {
+void Node::HandleRequest(const IncomingRequest& request) {
   if (policy_ && !stopped_) {
     table_.OnRequest(request);
   } else {
@@ -248,8 +248,8 @@
       const Steady::time_point now = Steady::now();
       DrainStep();
       const bool done = table_.unanswered() == 0 && front_->AllSent();
-      if ((!listening_ && done && front_->connections() == 0) || now >= kill_at_ - kEnd) break;
-      drain_timer_.After(kDrainLook);
+      if ((!listening_ && done && front_->connections() == 0) || now >= kill_at_ - kExitLead) break;
+      drain_timer_.After(kDrainPollInterval);
     }
   }
   // The last answers must be out before the process ends; what is still read is turned away, also what has
@@ -259,13 +259,13 @@
   front_->StopReading();
   table_.AnswerAll();
   front_->Sweep();
-  while (!front_->AllSent() && Steady::now() < kill_at_ - kLastFlush) {
-    drain_timer_.After(kDrainLook);
+  while (!front_->AllSent() && Steady::now() < kill_at_ - kFlushLead) {
+    drain_timer_.After(kDrainPollInterval);
     event_base_loop(base_.get(), EVLOOP_ONCE);
     front_->Sweep();
   }
   log::Info("stopped", {{"unanswered", table_.unanswered()}, {"connections", front_->connections()}});
-  front_->Shutdown(kill_at_ - kLastClose);
+  front_->Shutdown(kill_at_ - kCloseLead);
   // libevent closes a freed bufferevent's socket in the next round of its loop.
   event_base_loop(base_.get(), EVLOOP_NONBLOCK);
 }
@@ -279,12 +279,12 @@
   if (!good) log::Warn("pin-failed");
 }
 
-void Node::Bound(bool warming_up) {
+void Node::OnPoolConnected(bool warming_up) {
   if (policy_) return;
   hingelink::Settings settings = config_.settings;
   settings.warming_up = warming_up;
   policy_.emplace(settings, config_.seed);
-  policy_->ImportLearned(recalled_);
+  policy_->ImportLearned(imported_);
   step_due_ = true;
   if (listening_ || draining_) return;
   listening_ = true;
@@ -300,13 +300,13 @@
   std::vector<hingelink::Event> events = table_.TakeEvents(std::chrono::system_clock::now());
   if (draining_ && !notice_given_) {
     notice_given_ = true;
-    const Millis left = kill_at_ - Steady::now() - kFlush;
+    const Millis left = kill_at_ - Steady::now() - kPolicyFlushLead;
     events.emplace_back(hingelink::DrainNotice{std::max(0.0, left.count())});
   }
-  EventBatch batch(events, events.empty() ? kAlone : kBesideRequests);
+  EventBatch batch(events, events.empty() ? kIdleBudget : kRequestBudget);
   for (NodeExtension* extension : extensions_) extension->AddEvents(batch);
   FireTimers(events);
-  for (const hingelink::Action& action : policy_->Step(Clock().count(), events)) Carry(action);
+  for (const hingelink::Action& action : policy_->Step(Clock().count(), events)) ExecuteAction(action);
   ArmTimers();
   for (NodeExtension* extension : extensions_) extension->OnStepCompleted();
 }
@@ -332,7 +332,7 @@
   return text;
 }
 
-void Node::Carry(const hingelink::Action& action) {
+void Node::ExecuteAction(const hingelink::Action& action) {
   std::visit(
       [this](const auto& a) {
         using A = std::decay_t<decltype(a)>;
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -84,55 +84,55 @@
   using Steady = net::Steady;
 
   // Descriptors kept from the gateways: the pool link, the registry, the log, epoll, and what is closing.
-  static constexpr std::size_t kReserved = 32;
+  static constexpr std::size_t kReservedDescriptors = 32;
 
   // Descriptors that are not the gateways': a loop has its epoll, its timer and its wake; the store its
   // connections.
-  std::size_t reserved() const {
+  std::size_t ReservedDescriptors() const {
     const std::size_t store =
         config_.store_address.empty() ? 0 : decide::kMaxUpstreamConnections + net::StoreClient::kRetiringMost;
-    return kReserved + 3 * loops() + store;
+    return kReservedDescriptors + 3 * loops() + store;
   }
   std::size_t loops() const { return threads_ - 1; }  // Those that carry connections, beside this one.
-  std::unique_ptr<net::GatewaySide> MakeFront();
-  void Take(const IncomingRequest& request);
+  std::unique_ptr<net::GatewaySide> CreateFront();
+  void HandleRequest(const IncomingRequest& request);
   void Step();
-  void Carry(const hingelink::Action& action);
+  void ExecuteAction(const hingelink::Action& action);
   void FireTimers(std::vector<hingelink::Event>& events);
   void ArmTimers();
-  void Bound(bool warming_up);
+  void OnPoolConnected(bool warming_up);
   void DrainStep();
   // Whether this process takes clients.
   bool Ready() const { return listening_ && policy_ && !draining_ && handover_.settled(); }
   // Another process takes the clients from now on, or none does any more.
-  void HandOver();
-  void TakeBack();
+  void HandOverToSuccessor();
+  void ResumeServing();
   // What the other processes of this node have in hand has changed.
-  void SeeOthers();
+  void OnSiblingLoadChanged();
   // What is known of their keys has changed; a key of this process has; another tells of one of its own.
-  void SeeKeys();
-  void TellKeys(const net::Handover::EachKey& each) const;
-  void TellKey(const core::OperationKey& key);
-  void HearKey(const proto::KeyMessage& line, std::string_view result);
+  void UpdateSiblingKeys();
+  void ReportKeys(const net::Handover::EachKey& each) const;
+  void ReportKey(const core::OperationKey& key);
+  void OnKeyReported(const proto::KeyMessage& line, std::string_view result);
   std::string MetricsText() const;
   void NotifyLifecyclePhase(NodeExtension::LifecyclePhase phase);
   // Whether a part that extension has something for the module.
   bool AnyExtensionHasEvents() const;
   // What a predecessor has learned is newer than what any folder holds.
-  std::vector<proto::LearnedClassMessage> TellSuccessor() const;
-  void HearPredecessor(const proto::LearnedClassMessage& line);
-  Millis Clock() const { return Steady::now() - began_; }
+  std::vector<proto::LearnedClassMessage> LearnedForSuccessor() const;
+  void OnPredecessorLearned(const proto::LearnedClassMessage& line);
+  Millis Clock() const { return Steady::now() - started_at_; }
 
   Config config_;
   std::function<Config()> reread_;
   const std::size_t threads_;
   net::BasePtr base_;
-  Steady::time_point began_ = Steady::now();
+  Steady::time_point started_at_ = Steady::now();
   Metrics metrics_;
   // The other processes of this node, as a part that joins the loop: their load in, this one's out.
-  class OtherProcesses : public NodeExtension {
+  class SiblingProcesses : public NodeExtension {
    public:
-    explicit OtherProcesses(Node& node) : node_(node) {}
+    explicit SiblingProcesses(Node& node) : node_(node) {}
     void Changed() { changed_ = true; }
     bool HasPendingEvents() const override { return changed_; }
     void AddEvents(EventBatch& batch) override;
@@ -142,17 +142,17 @@
    private:
     Node& node_;
     bool changed_ = false;
-    Steady::time_point told_at_{};
+    Steady::time_point reported_at_{};
   };
 
-  std::unique_ptr<net::PoolSide> MakePool(const WorkerPoolFactory& create_pool);
+  std::unique_ptr<net::PoolSide> CreatePool(const WorkerPoolFactory& create_pool);
   // What the table's runs stand on.
   UpstreamCalls::Links UpstreamLinks();
-  void MoveStore(const std::string& address);
+  void ConnectStore(const std::string& address);
   KeyTable::Limits KeyLimits() const;
 
-  OtherProcesses other_processes_{*this};
-  std::vector<NodeExtension*> extensions_{&other_processes_};
+  SiblingProcesses sibling_processes_{*this};
+  std::vector<NodeExtension*> extensions_{&sibling_processes_};
   net::Handover handover_;
   std::unique_ptr<net::GatewaySide> front_;
   RequestTable table_;
@@ -162,7 +162,7 @@
   net::RegistryClient registry_;
   std::optional<net::OpsServer> admin_server_;
   std::optional<hingelink::ServerPolicy> policy_;
-  hingelink::Learned recalled_;
+  hingelink::Learned imported_;
   using Due = std::pair<Steady::time_point, std::uint32_t>;
   std::priority_queue<Due, std::vector<Due>, std::greater<>> timers_;
   net::Timer timer_;
--- a/src/node/node_leave.cpp
+++ b/src/node/node_drain.cpp
@@ -13,31 +13,31 @@
 using namespace std::chrono_literals;
 
 // Before the kill: no more connections are taken, and those that stand are asked for no more.
-constexpr auto kCloseListener = 500ms;
+constexpr auto kCloseListenerLead = 500ms;
 // Beside a successor the kill follows so long behind the longest deadline, which is taken as at most this.
-constexpr auto kBehindLongest = 700ms, kLongestTaken = 3000ms;
+constexpr auto kAfterLongestDeadline = 700ms, kMaxDeadlineConsidered = 3000ms;
 
 }  // namespace
 
-void Node::HandOver() {
+void Node::HandOverToSuccessor() {
   log::Info("handed-over", {{"connections", front_->connections()}, {"unanswered", table_.unanswered()}});
   handed_over_ = true;
   listening_ = false;
   front_->PauseListening();
   front_->AskForNoMore();
   front_->CloseQuiet();
-  SeeKeys();
+  UpdateSiblingKeys();
   NotifyLifecyclePhase(NodeExtension::LifecyclePhase::kHandedOver);
 }
 
 // Guards against a successor that dies: its clients are served by this process again.
-void Node::TakeBack() {
+void Node::ResumeServing() {
   if (draining_) return;
   log::Warn("taken-back");
   handed_over_ = false;
   listening_ = true;
   front_->ResumeListening();
-  SeeKeys();
+  UpdateSiblingKeys();
   NotifyLifecyclePhase(NodeExtension::LifecyclePhase::kResumed);
 }
 
@@ -50,7 +50,7 @@
     notice_given_ = true;
     double longest = 0;
     for (const auto& c : config_.settings.classes) longest = std::max(longest, c.deadline_ms);
-    const Millis stop = std::min(Millis(longest), Millis(kLongestTaken)) + kBehindLongest;
+    const Millis stop = std::min(Millis(longest), Millis(kMaxDeadlineConsidered)) + kAfterLongestDeadline;
     kill_at_ = Steady::now() + std::chrono::duration_cast<Steady::duration>(stop);
     log::Info("leave", {{"successor", true}, {"stop_ms", std::llround(stop.count())}});
     return true;
@@ -86,10 +86,10 @@
     metrics_.SetClasses(config_.settings.classes);
     front_->ClassesChanged();
     metrics_.CountReload(true);
-    SeeOthers();
+    OnSiblingLoadChanged();
     if (std::exchange(config_.pool_address, fresh.pool_address) != fresh.pool_address) pool_->Move(pool);
     if (std::exchange(config_.store_address, fresh.store_address) != fresh.store_address)
-      MoveStore(fresh.store_address);
+      ConnectStore(fresh.store_address);
     if (std::exchange(config_.registry_address, fresh.registry_address) != fresh.registry_address) {
       registry_.Move(registry, fresh.registry_address);
     }
@@ -103,7 +103,7 @@
 }
 
 void Node::DrainStep() {
-  if (!listening_ || Steady::now() < kill_at_ - kCloseListener) return;
+  if (!listening_ || Steady::now() < kill_at_ - kCloseListenerLead) return;
   listening_ = false;
   handover_.Withdraw();
   front_->StopListening();
--- a/src/node/node_others.cpp
+++ b/src/node/node_siblings.cpp
@@ -11,7 +11,7 @@
 using namespace std::chrono_literals;
 
 // Between two words on what this process has in hand.
-constexpr auto kTellEach = 4ms;
+constexpr auto kLoadReportInterval = 4ms;
 
 proto::KeyMessage LineOf(const KeyUpdate& update) {
   return {update.key,
@@ -27,28 +27,29 @@
 }
 }  // namespace
 
-void Node::OtherProcesses::AddEvents(EventBatch& batch) {
+void Node::SiblingProcesses::AddEvents(EventBatch& batch) {
   if (!changed_) return;
   const proto::LoadMessage load = node_.handover_.others_load();
   changed_ = !batch.Add(hingelink::SiblingLoad{{load.running, load.memory_kb, load.queued_work_ms}});
 }
 
-void Node::OtherProcesses::OnStepCompleted() {
-  if (!node_.handover_.has_others() || Steady::now() - told_at_ < kTellEach) return;
-  told_at_ = Steady::now();
+void Node::SiblingProcesses::OnStepCompleted() {
+  if (!node_.handover_.has_others() || Steady::now() - reported_at_ < kLoadReportInterval) return;
+  reported_at_ = Steady::now();
   const hingelink::Load load = node_.policy_->CurrentLoad();
   node_.handover_.Tell({load.running, load.memory_kb, load.queued_work_ms, node_.front_->connections()});
 }
 
-void Node::SeeOthers() {
-  other_processes_.Changed();
+void Node::OnSiblingLoadChanged() {
+  sibling_processes_.Changed();
   // The descriptors are one limit for all processes of this node, and each keeps its own reserve.
-  const std::size_t taken = reserved() * (1 + handover_.others()) + handover_.others_load().connections;
+  const std::size_t taken =
+      ReservedDescriptors() * (1 + handover_.others()) + handover_.others_load().connections;
   const auto sockets = static_cast<std::size_t>(config_.max_descriptors);
   front_->SetMostConnections(sockets > taken ? sockets - taken : 1, handover_.has_others());
 }
 
-void Node::SeeKeys() {
+void Node::UpdateSiblingKeys() {
   if (!handover_.has_predecessor()) table_.OnSiblingsExited();
   table_.SetSiblingKeys(handed_over_               ? SiblingKeys::kServedElsewhere
                         : handover_.keys_known()   ? SiblingKeys::kKnown
@@ -56,18 +57,18 @@
                                                    : SiblingKeys::kPending);
 }
 
-void Node::TellKeys(const net::Handover::EachKey& each) const {
+void Node::ReportKeys(const net::Handover::EachKey& each) const {
   table_.keys().ForEachRetained(Steady::now(),
                                 [&each](const KeyUpdate& update) { each(LineOf(update), ResultOf(update)); });
 }
 
-void Node::TellKey(const core::OperationKey& key) {
+void Node::ReportKey(const core::OperationKey& key) {
   if (!handed_over_) return;
   const KeyUpdate update = table_.keys().UpdateOf(key, Steady::now());
   handover_.TellKey(LineOf(update), ResultOf(update));
 }
 
-void Node::HearKey(const proto::KeyMessage& line, std::string_view result) {
+void Node::OnKeyReported(const proto::KeyMessage& line, std::string_view result) {
   KeyUpdate update{.key = line.key,
                    .content = line.content,
                    .state = static_cast<KeyState>(line.fate),
@@ -76,17 +77,17 @@
   if (line.has_result) update.result = result;
   table_.OnKeyUpdate(update);
   // A third process may have taken over from this one by then.
-  TellKey(line.key);
+  ReportKey(line.key);
 }
 
 void Node::ImportLearned(const hingelink::Learned& learned) {
   for (const hingelink::LearnedClass& known : learned.classes) {
-    std::erase_if(recalled_.classes, [&known](const auto& c) { return c.name == known.name; });
-    recalled_.classes.push_back(known);
+    std::erase_if(imported_.classes, [&known](const auto& c) { return c.name == known.name; });
+    imported_.classes.push_back(known);
   }
 }
 
-std::vector<proto::LearnedClassMessage> Node::TellSuccessor() const {
+std::vector<proto::LearnedClassMessage> Node::LearnedForSuccessor() const {
   std::vector<proto::LearnedClassMessage> lines;
   for (const hingelink::LearnedClass& c : ExportLearned().classes) {
     const auto told = std::find_if(config_.settings.classes.begin(), config_.settings.classes.end(),
@@ -98,7 +99,7 @@
   return lines;
 }
 
-void Node::HearPredecessor(const proto::LearnedClassMessage& line) {
+void Node::OnPredecessorLearned(const proto::LearnedClassMessage& line) {
   // Once decisions have begun, this process knows better. A predecessor may have had another file.
   if (policy_) return;
   const decide::LearnedRecord remembered{config_.name,
--- a/src/node/node_look.cpp
+++ b/src/node/node_snapshot.cpp
@@ -35,7 +35,7 @@
                : policy_      ? NodeState::kServing
                               : NodeState::kStarting;
   seen.ready = Ready();
-  seen.uptime = ms(now - began_);
+  seen.uptime = ms(now - started_at_);
   RequestTable::InFlightCounts in_flight = table_.CountInFlight();
   for (const core::ClassCounts& counts : metrics_.classes()) {
     const auto count = in_flight.classes.extract(counts.name);
--- a/tests/node/config_test.cpp
+++ b/tests/node/config_test.cpp
@@ -203,5 +203,29 @@
   }
 }
 
+TEST(ConfigError, NamesKeyValueAndAllowedValues) {
+  Json config = Good();
+  config["limits"]["sockets"] = 63;
+  try {
+    ParseConfig(config.dump());
+    FAIL() << "accepted";
+  } catch (const ConfigError& error) {
+    EXPECT_EQ(error.file(), "");
+    EXPECT_EQ(error.key(), "limits.sockets");
+    EXPECT_EQ(error.value(), "63");
+    EXPECT_TRUE(error.allowed().starts_with("a number from 64")) << error.allowed();
+  }
+}
+
+TEST(ConfigError, NamesAFileThatCannotBeRead) {
+  try {
+    ReadConfig("/nonexistent/node.json");
+    FAIL() << "accepted";
+  } catch (const ConfigError& error) {
+    EXPECT_EQ(error.file(), "/nonexistent/node.json");
+    EXPECT_EQ(error.key(), "");
+  }
+}
+
 }  // namespace
 }  // namespace hingelink::node
