--- a/src/node/settings_keys.cpp
+++ b/src/node/settings_keys.cpp
@@ -11,6 +11,8 @@
   std::string_view key;
 };
 
+// The one place where fields of hingelink::Settings meet the keys of the configuration file, which do not
+// change with the names of the fields.
 constexpr FieldKey kScalars[] = {
     {"cores", "specifics.cpus"},
     {"memory_kb", "specifics.memoryKb"},
@@ -53,8 +55,8 @@
 
 template <std::size_t kSize>
 std::string_view KeyIn(const FieldKey (&keys)[kSize], std::string_view field) {
-  const auto* known =
-      std::find_if(std::begin(keys), std::end(keys), [field](const FieldKey& k) { return k.field == field; });
+  const auto* known = std::find_if(std::begin(keys), std::end(keys),
+                                   [field](const FieldKey& entry) { return entry.field == field; });
   return known == std::end(keys) ? field : known->key;
 }
 
@@ -68,7 +70,7 @@
   const std::string_view list = KeyIn(kScalars, field.substr(0, open));
   const std::string_view index = field.substr(open + 1, close - open - 1);
   const std::string_view member = field.substr(close + 2);
-  // One list for all classes, beside them.
+  // The file has one list for all classes, beside them.
   if (member == "fallback_weight_fraction") return std::string("specifics.worthWithout.").append(index);
   return std::string(list).append(".").append(index).append(".").append(KeyIn(kMembers, member));
 }
--- a/src/node/settings_keys.h
+++ b/src/node/settings_keys.h
@@ -1,4 +1,4 @@
-// The keys that the platform's settings have for the module's fields, for messages to who wrote the file.
+// Keys of the configuration file for the fields of hingelink::Settings, for error messages.
 #ifndef HINGELINK_NODE_SETTINGS_KEYS_H_
 #define HINGELINK_NODE_SETTINGS_KEYS_H_
 
@@ -7,10 +7,10 @@
 
 namespace hingelink::node {
 
-// `field` as Settings::Validate() names it, such as "cores" or "classes[2].deadline_ms": here
-// "specifics.cpus" and "requestClasses.2.hardLimitMs". A field that has no key of its own is given back as it
-// is.
-std::string SettingsKeyOf(std::string_view field);
+// The key of a field as Settings::Validate() names it: "specifics.cpus" for "cores",
+// "requestClasses.2.hardLimitMs" for "classes[2].deadline_ms". A field without a key of its own is returned
+// unchanged.
+[[nodiscard]] std::string SettingsKeyOf(std::string_view field);
 
 }  // namespace hingelink::node
 
