--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -11,7 +11,7 @@
 #include "net/gateway_front.h"
 #include "net/loop_group.h"
 #include "net/pool_link.h"
-#include "node/below_figures.h"
+#include "node/upstream_metrics.h"
 
 namespace hingelink::node {
 namespace {
@@ -22,17 +22,17 @@
 // How long before a timer the gauges are asked for, so that they are new when it fires: a few round trips.
 constexpr auto kGaugeLead = 4ms;
 // From the module's last moment to the kill: time to flush on a core that others use too.
-constexpr auto kFlush = 150ms;
+constexpr auto kPolicyFlushLead = 150ms;
 // Before the kill: the process ends, whoever is still connected.
-constexpr auto kEnd = 60ms;
-constexpr auto kLastFlush = 20ms;
+constexpr auto kExitLead = 60ms;
+constexpr auto kFlushLead = 20ms;
 // Before the kill: connections whose peers have not closed by then are closed all the same.
-constexpr auto kLastClose = 10ms;
-constexpr auto kDrainLook = 10ms;
-constexpr std::size_t kMostThreads = 64;
+constexpr auto kCloseLead = 10ms;
+constexpr auto kDrainPollInterval = 10ms;
+constexpr std::size_t kMaxThreads = 64;
 // What a extension part may do in one batch (ours). Beside requests: what a request or two cost, so that news
 // in any number adds no more to an answer than one more request before it does.
-constexpr BatchBudget kAlone{.events = 64, .work = 1ms}, kBesideRequests{.events = 8, .work = 100us};
+constexpr BatchBudget kIdleBudget{.events = 64, .work = 1ms}, kRequestBudget{.events = 8, .work = 100us};
 
 Outcome ToOutcome(proto::RunOutcome end) {
   switch (end) {
@@ -60,28 +60,28 @@
            std::size_t threads, const WorkerPoolFactory& create_pool)
     : config_(std::move(config)),
       reread_(std::move(reread)),
-      threads_(std::clamp<std::size_t>(threads, 1, kMostThreads)),
+      threads_(std::clamp<std::size_t>(threads, 1, kMaxThreads)),
       base_(net::MakeBase()),
       metrics_(config_.settings.classes, std::max<std::size_t>(1, loops())),
-      handover_(
-          base_.get(), handover_folder,
-          {.successor_ready = [this] { HandOver(); },
-           .successor_lost = [this] { TakeBack(); },
-           .load = [this] { SeeOthers(); },
-           .learned = [this] { return TellSuccessor(); },
-           .predecessor_learned = [this](const proto::LearnedClassMessage& line) { HearPredecessor(line); },
-           .keys = [this](const net::Handover::EachKey& each) { TellKeys(each); },
-           .key_told = [this](const proto::KeyMessage& line,
-                              std::string_view result) { HearKey(line, result); },
-           .settled = [this] { SeeKeys(); }}),
-      front_(MakeFront()),
+      handover_(base_.get(), handover_folder,
+                {.successor_ready = [this] { HandOverToSuccessor(); },
+                 .successor_lost = [this] { ResumeServing(); },
+                 .load = [this] { OnSiblingLoadChanged(); },
+                 .learned = [this] { return LearnedForSuccessor(); },
+                 .predecessor_learned =
+                     [this](const proto::LearnedClassMessage& line) { OnPredecessorLearned(line); },
+                 .keys = [this](const net::Handover::EachKey& each) { ReportKeys(each); },
+                 .key_told = [this](const proto::KeyMessage& line,
+                                    std::string_view result) { OnKeyReported(line, result); },
+                 .settled = [this] { UpdateSiblingKeys(); }}),
+      front_(CreateFront()),
       table_(
           config_.settings, *front_, metrics_,
           [this](std::uint64_t req, std::string_view kind, std::string_view body) {
             return pool_->Spawn(req, kind, body);
           },
-          Below(), KeyLimits(), [this](const core::OperationKey& key) { TellKey(key); }),
-      pool_(MakePool(create_pool)),
+          UpstreamLinks(), KeyLimits(), [this](const core::OperationKey& key) { ReportKey(key); }),
+      pool_(CreatePool(create_pool)),
       checks_(base_.get(),
               {.verify = [this](std::uint64_t tag) { return pool_->Verify(tag); },
                .answer = [this](core::ReplyTo to, bool good) { front_->AnswerCheck(to, good); }}),
@@ -99,9 +99,9 @@
       // Beside a predecessor, once there is a worker pool to run what comes.
       listening_(!handover_.has_others()),
       drain_timer_(base_.get(), [] {}) {
-  MoveStore(config_.store_address);
-  SeeOthers();
-  SeeKeys();
+  ConnectStore(config_.store_address);
+  OnSiblingLoadChanged();
+  UpdateSiblingKeys();
   if (listening_) handover_.Offer(front_->listener());
   if (!config_.admin_address.empty()) {
     admin_server_.emplace(base_.get(), net::ParseAddress(config_.admin_address),
@@ -117,24 +117,26 @@
       this);
 }
 
-std::unique_ptr<net::PoolSide> Node::MakePool(const WorkerPoolFactory& create_pool) {
+std::unique_ptr<net::PoolSide> Node::CreatePool(const WorkerPoolFactory& create_pool) {
   net::PoolEvents events;
-  events.bound = [this](bool warming_up) { Bound(warming_up); };
+  events.bound = [this](bool warming_up) { OnPoolConnected(warming_up); };
   events.finished = [this](const proto::RunFinished& run) {
-    table_.Finished({run.req, ToOutcome(run.end), run.elapsed, run.result});
+    table_.OnExecutionFinished({run.req, ToOutcome(run.end), run.elapsed, run.result});
   };
-  events.blocked = [this](const proto::RunBlocked& run) { table_.Blocked(run.req, run.number, run.body); };
-  events.spawn_unknown = [this](std::uint64_t req) { table_.SpawnUnknown(req); };
+  events.blocked = [this](const proto::RunBlocked& run) {
+    table_.OnUpstreamCallRequested(run.req, run.number, run.body);
+  };
+  events.spawn_unknown = [this](std::uint64_t req) { table_.OnExecutionUnknown(req); };
   events.verified = [this](std::uint64_t tag, bool good) { checks_.Verified(tag, good); };
   events.settled = [this] {
-    table_.Resend([this](RequestTable::Mark mark) { return pool_->Processed(mark); });
+    table_.Resend([this](RequestTable::CommandMark mark) { return pool_->Processed(mark); });
     checks_.Rebound();
   };
   if (!create_pool)
     return std::make_unique<net::PoolLink>(base_.get(), net::ParseAddress(config_.pool_address),
                                            std::move(events));
   net::PoolAsks asks;
-  asks.again = [this](std::uint64_t req) { return table_.SpawnAgain(req); };
+  asks.again = [this](std::uint64_t req) { return table_.RestartExecution(req); };
   asks.safe = [this](std::string_view kind) {
     const auto& classes = config_.settings.classes;
     const auto at =
@@ -148,21 +150,22 @@
   return create_pool(base_.get(), config_.name, std::move(events), std::move(asks));
 }
 
-Calls::Below Node::Below() {
-  return {.supply = [this](std::uint64_t req, std::string_view reply) { return pool_->Supply(req, reply); },
-          .pass = [this](std::uint64_t req, std::uint64_t notice) { return pool_->Pass(req, notice); },
-          .call =
-              [this](std::uint64_t req, Millis limit, std::string_view body) {
-                if (store_) store_->Call(req, limit, body);
-                return store_.has_value();
-              },
-          .drop =
-              [this](std::uint64_t req) {
-                if (store_) store_->Drop(req);
-              }};
+UpstreamCalls::Links Node::UpstreamLinks() {
+  return {
+      .send_reply = [this](std::uint64_t req, std::string_view reply) { return pool_->Supply(req, reply); },
+      .send_skip = [this](std::uint64_t req, std::uint64_t notice) { return pool_->Pass(req, notice); },
+      .start =
+          [this](std::uint64_t req, Millis limit, std::string_view body) {
+            if (store_) store_->Call(req, limit, body);
+            return store_.has_value();
+          },
+      .abandon =
+          [this](std::uint64_t req) {
+            if (store_) store_->Drop(req);
+          }};
 }
 
-void Node::MoveStore(const std::string& address) {
+void Node::ConnectStore(const std::string& address) {
   if (address.empty()) return;
   const sockaddr_in at = net::ParseAddress(address);
   if (store_) {
@@ -171,7 +174,7 @@
   }
   store_.emplace(base_.get(), at, config_.seed,
                  [this](std::uint64_t req, Outcome outcome, Millis elapsed, std::string_view reply) {
-                   table_.UpstreamCallFinished(req, outcome, elapsed, reply);
+                   table_.OnUpstreamCallFinished(req, outcome, elapsed, reply);
                  });
 }
 
@@ -180,22 +183,22 @@
 KeyTable::Limits Node::KeyLimits() const {
   constexpr double kResults = 1.0 / 8, kKeys = 1.0 / 16, kBytesOfKey = 320;
   const double bytes = config_.memory_limit_mb * (1 << 20);
-  return {.most_keys = static_cast<std::size_t>(kKeys * bytes / kBytesOfKey),
-          .most_bytes = static_cast<std::size_t>(kResults * bytes)};
+  return {.max_keys = static_cast<std::size_t>(kKeys * bytes / kBytesOfKey),
+          .max_result_bytes = static_cast<std::size_t>(kResults * bytes)};
 }
 
-std::unique_ptr<net::GatewaySide> Node::MakeFront() {
+std::unique_ptr<net::GatewaySide> Node::CreateFront() {
   const sockaddr_in listen = net::ParseAddress(config_.listen_address);
   const auto sockets = static_cast<std::size_t>(config_.max_descriptors);
-  const std::size_t most = sockets > reserved() ? sockets - reserved() : 1;
-  core::FrontEvents events{.request = [this](const IncomingRequest& request) { Take(request); },
+  const std::size_t most = sockets > ReservedDescriptors() ? sockets - ReservedDescriptors() : 1;
+  core::FrontEvents events{.request = [this](const IncomingRequest& request) { HandleRequest(request); },
                            .gone =
                                [this](ReplyTo from) {
-                                 table_.CallerDisconnected(from);
+                                 table_.OnCallerDisconnected(from);
                                  checks_.Left(from);
                                },
                            .check = [this](ReplyTo from) { checks_.Ask(from); },
-                           .counts = [this](std::string_view kind) { return metrics_.Of(kind); }};
+                           .counts = [this](std::string_view kind) { return metrics_.CountsFor(kind); }};
   if (loops() == 0) {
     return std::make_unique<net::GatewayFront>(base_.get(), listen, handover_.TakeListener(), most,
                                                std::move(events));
@@ -205,10 +208,13 @@
   options.most_connections = most;
   options.classes = [this](std::size_t loop) {
     auto table = std::make_shared<net::ClassTable>();
-    for (const std::string& name : metrics_.current_names()) table->emplace(name, metrics_.Of(name, loop));
+    for (const std::string& name : metrics_.class_names())
+      table->emplace(name, metrics_.CountsFor(name, loop));
     return table;
   };
-  options.counts = [this](std::string_view kind, std::size_t loop) { return metrics_.OfAny(kind, loop); };
+  options.counts = [this](std::string_view kind, std::size_t loop) {
+    return metrics_.CountsForReported(kind, loop);
+  };
   return std::make_unique<net::LoopGroup>(base_.get(), listen, handover_.TakeListener(), std::move(options),
                                           std::move(events));
 }
@@ -216,9 +222,9 @@
 // The front tells the table of each connection that it ends, so it must end them while the table stands.
 Node::~Node() { front_->Shutdown({}); }
 
-void Node::Take(const IncomingRequest& request) {
+void Node::HandleRequest(const IncomingRequest& request) {
   if (policy_ && !stopped_) {
-    table_.Take(request);
+    table_.OnRequest(request);
   } else {
     // Without a worker pool nothing can run; without a module, before and after its life, nothing is held.
     front_->Deliver(request.reply_to, Refused());
@@ -242,8 +248,8 @@
       const Steady::time_point now = Steady::now();
       DrainStep();
       const bool done = table_.unanswered() == 0 && front_->AllSent();
-      if ((!listening_ && done && front_->connections() == 0) || now >= kill_at_ - kEnd) break;
-      drain_timer_.After(kDrainLook);
+      if ((!listening_ && done && front_->connections() == 0) || now >= kill_at_ - kExitLead) break;
+      drain_timer_.After(kDrainPollInterval);
     }
   }
   // The last answers must be out before the process ends; what is still read is turned away, also what has
@@ -253,13 +259,13 @@
   front_->StopReading();
   table_.AnswerAll();
   front_->Sweep();
-  while (!front_->AllSent() && Steady::now() < kill_at_ - kLastFlush) {
-    drain_timer_.After(kDrainLook);
+  while (!front_->AllSent() && Steady::now() < kill_at_ - kFlushLead) {
+    drain_timer_.After(kDrainPollInterval);
     event_base_loop(base_.get(), EVLOOP_ONCE);
     front_->Sweep();
   }
   log::Info("stopped", {{"unanswered", table_.unanswered()}, {"connections", front_->connections()}});
-  front_->Shutdown(kill_at_ - kLastClose);
+  front_->Shutdown(kill_at_ - kCloseLead);
   // libevent closes a freed bufferevent's socket in the next round of its loop.
   event_base_loop(base_.get(), EVLOOP_NONBLOCK);
 }
@@ -273,12 +279,12 @@
   if (!good) log::Warn("pin-failed");
 }
 
-void Node::Bound(bool warming_up) {
+void Node::OnPoolConnected(bool warming_up) {
   if (policy_) return;
   hingelink::Settings settings = config_.settings;
   settings.warming_up = warming_up;
   policy_.emplace(settings, config_.seed);
-  policy_->ImportLearned(recalled_);
+  policy_->ImportLearned(imported_);
   step_due_ = true;
   if (listening_ || draining_) return;
   listening_ = true;
@@ -294,13 +300,13 @@
   std::vector<hingelink::Event> events = table_.TakeEvents(std::chrono::system_clock::now());
   if (draining_ && !notice_given_) {
     notice_given_ = true;
-    const Millis left = kill_at_ - Steady::now() - kFlush;
+    const Millis left = kill_at_ - Steady::now() - kPolicyFlushLead;
     events.emplace_back(hingelink::DrainNotice{std::max(0.0, left.count())});
   }
-  EventBatch batch(events, events.empty() ? kAlone : kBesideRequests);
+  EventBatch batch(events, events.empty() ? kIdleBudget : kRequestBudget);
   for (NodeExtension* extension : extensions_) extension->AddEvents(batch);
   FireTimers(events);
-  for (const hingelink::Action& action : policy_->Step(Clock().count(), events)) Carry(action);
+  for (const hingelink::Action& action : policy_->Step(Clock().count(), events)) ExecuteAction(action);
   ArmTimers();
   for (NodeExtension* extension : extensions_) extension->OnStepCompleted();
 }
@@ -320,12 +326,13 @@
   const bool keyed = std::any_of(classes.begin(), classes.end(), [](const auto& c) {
     return c.idempotency == hingelink::Idempotency::kKeyed;
   });
-  if (keyed || store_) text += BelowFigures(table_.keys(), table_.calls(), store_ ? &*store_ : nullptr);
+  if (keyed || store_)
+    text += UpstreamMetricsText(table_.keys(), table_.upstream_calls(), store_ ? &*store_ : nullptr);
   for (const NodeExtension* extension : extensions_) text += extension->MetricsText();
   return text;
 }
 
-void Node::Carry(const hingelink::Action& action) {
+void Node::ExecuteAction(const hingelink::Action& action) {
   std::visit(
       [this](const auto& a) {
         using A = std::decay_t<decltype(a)>;
@@ -334,7 +341,7 @@
                       std::is_same_v<A, hingelink::ReleaseKey> || std::is_same_v<A, hingelink::Replay> ||
                       std::is_same_v<A, hingelink::StartUpstreamCall> ||
                       std::is_same_v<A, hingelink::UseFallback>) {
-          table_.Do(a);
+          table_.Execute(a);
         } else if constexpr (std::is_same_v<A, hingelink::SetTimer>) {
           timers_.emplace(Steady::now() + std::chrono::duration_cast<Steady::duration>(Millis(a.in_ms)),
                           a.token);
