--- a/src/background/job_runner.cpp
+++ b/src/background/job_runner.cpp
@@ -153,7 +153,7 @@
     } else if (std::holds_alternative<decide::CancelJob>(action)) {
       shared_->cancelled = true;
     } else {
-      log::Warn("background-stuck", {{"job", jobs_[std::get<decide::ReportStuckJob>(action).job].spec.name}});
+      log::Warn("background-stuck", {{"job", jobs_[std::get<decide::ReportHungJob>(action).job].spec.name}});
     }
   }
 }
@@ -168,8 +168,8 @@
   if (!done->result.succeeded) {
     log::Warn("background-failed", {{"job", jobs_[done->job].spec.name}, {"what", done->result.error}});
   }
-  ExecuteActions(scheduler_.OnJobFinished(done->job, done->result.succeeded, done->cpu,
-                                          done->result.bytes_written, Now()));
+  ExecuteActions(scheduler_.OnJobFinished(
+      done->job, {done->result.succeeded, {done->cpu, done->result.bytes_written}}, Now()));
   SetTimer();
 }
 
--- a/src/background/job_runner.h
+++ b/src/background/job_runner.h
@@ -34,7 +34,7 @@
 struct JobReport {
   std::string name;
   int priority = 0;
-  decide::JobScheduler::JobStats stats;
+  decide::JobStats stats;
 };
 
 class JobRunner {
--- a/src/background/learned_state_persister.cpp
+++ b/src/background/learned_state_persister.cpp
@@ -32,7 +32,7 @@
       const decide::LearnedImport imported =
           decide::ImportLearnedRecord(found.entry->record, node.name(), UnixNow(), node.settings());
       for (const std::string& what : imported.skipped) log::Info("learned-left-out", {{"what", what}});
-      log::Info("learned-taken", {{"classes", imported.classes},
+      log::Info("learned-taken", {{"classes", imported.learned.classes.size()},
                                   {"faith_percent", std::lround(imported.confidence * 100)},
                                   {"records", found.log_records}});
       node.ImportLearned(imported.learned);
@@ -45,7 +45,7 @@
                   .priority = 2,
                   .period = options.record_interval,
                   .starvation_limit = options.record_interval,
-                  .stuck_after = decide::JobTime(5'000),
+                  .hung_after = decide::JobTime(5'000),
                   .expected_cpu = decide::JobTime(0.2),
                   .expected_bytes = 1'000};
   jobs[0].prepare = [this](bool) { return Record(false); };
@@ -53,7 +53,7 @@
                   .priority = 1,
                   .period = options.snapshot_interval,
                   .starvation_limit = options.snapshot_interval,
-                  .stuck_after = decide::JobTime(5'000),
+                  .hung_after = decide::JobTime(5'000),
                   .expected_cpu = decide::JobTime(0.5),
                   .expected_bytes = 1'000,
                   .run_on_drain = true};
@@ -79,7 +79,7 @@
     }
     families.push_back(std::move(family));
   };
-  using JobStats = decide::JobScheduler::JobStats;
+  using JobStats = decide::JobStats;
   by_job("runs", MetricType::Counter, "Runs of a job beside the requests.",
          [](const JobStats& stats) { return static_cast<double>(stats.runs); });
   by_job("failures", MetricType::Counter, "Runs that did not do what they were for.",
@@ -87,9 +87,9 @@
   by_job("starved", MetricType::Counter, "Runs begun under pressure, as the job had waited long enough.",
          [](const JobStats& stats) { return static_cast<double>(stats.starvation_runs); });
   by_job("cpu_seconds", MetricType::Counter, "CPU time of a job.",
-         [](const JobStats& stats) { return stats.cpu.count() / 1000; });
+         [](const JobStats& stats) { return stats.total_cost.cpu.count() / 1000; });
   by_job("bytes", MetricType::Counter, "Bytes that a job wrote.",
-         [](const JobStats& stats) { return stats.bytes; });
+         [](const JobStats& stats) { return stats.total_cost.bytes; });
   by_job("due_seconds", MetricType::Gauge, "How long a job has been due and waits.",
          [](const JobStats& stats) { return stats.overdue_by.count() / 1000; });
   return prometheus::TextSerializer().Serialize(families);
--- a/src/cli/control_of_node.cpp
+++ b/src/cli/control_of_node.cpp
@@ -101,8 +101,8 @@
                       {"cancelled", job.stats.cancelled},
                       {"due_for_ms", job.stats.overdue_by.count()},
                       {"last_took_ms", job.stats.last_duration.count()},
-                      {"cpu_ms", job.stats.cpu.count()},
-                      {"bytes", job.stats.bytes}});
+                      {"cpu_ms", job.stats.total_cost.cpu.count()},
+                      {"bytes", job.stats.total_cost.bytes}});
     }
     return jobs.dump();
   }
--- a/src/decide/jobs/job_scheduler.h
+++ b/src/decide/jobs/job_scheduler.h
@@ -1,8 +1,7 @@
-// Which background job runs when: priorities, budgets of CPU time and bytes a second, deferral while requests
-// are under pressure, a guard against starving, and the end at a drain. No I/O and no clock: the caller gives
-// the time and carries out the actions.
+// Decides which background job runs when: priorities, budgets of CPU time and written bytes, deferral while
+// the node is overloaded, a bound on that deferral, and the final runs of a drain. No I/O and no clock.
 //
-// One job runs at a time, so that a call that takes long (an fsync on a slow disk) holds up other jobs only.
+// One job runs at a time, so that a slow call (an fsync on a slow disk) delays other jobs only.
 #ifndef HINGELINK_DECIDE_JOBS_JOB_SCHEDULER_H_
 #define HINGELINK_DECIDE_JOBS_JOB_SCHEDULER_H_
 
@@ -15,122 +14,139 @@
 #include <variant>
 #include <vector>
 
+#include "decide/jobs/job_budget.h"
+
 namespace hingelink::decide {
 
-using JobIndex = std::size_t;                               // By place in the list given at construction.
-using JobTime = std::chrono::duration<double, std::milli>;  // On any clock that only goes forward.
+// The place of a job in the list given at construction.
+using JobIndex = std::size_t;
 
 struct JobSpec {
   std::string name;
-  int priority = 0;   // Of those that are due, the highest goes first; equal ones by how long they are due.
-  JobTime period{0};  // Due again so long after its last end; 0: only when asked for.
-  JobTime starvation_limit{
-      60'000};  // Due for so long, it runs under pressure too, and before all that starve less.
-  JobTime stuck_after{10'000};  // A run that takes longer is reported, once.
-  JobTime expected_cpu{1};      // Expected of the first run; later the mean of what runs took.
+  // Of the jobs that are due the one of the highest priority runs first; of equal ones the one due longest.
+  int priority = 0;
+  // From the end of a run to the next one; 0: runs only when requested.
+  JobTime period{0};
+  // A job due for so long runs although the node is overloaded, before all that are not.
+  JobTime starvation_limit{60'000};
+  // A run that takes longer is reported once.
+  JobTime hung_after{10'000};
+  // Cost expected of the first run; later the mean of past runs.
+  JobTime expected_cpu{1};
   double expected_bytes = 0;
-  bool run_on_drain = false;  // Runs once more at a drain, whatever the budgets say.
+  // Runs once more during a drain, whatever the budgets.
+  bool run_on_drain = false;
 };
 
 struct JobSchedulerOptions {
-  // Shares of one core and of the disk that all jobs together may take, and how much may be saved up.
-  double cpu_fraction = 0.02;
-  double bytes_per_second = 1 << 20;
-  JobTime max_burst{5'000};
-  // After a failure a job waits so long, twice as long after each further one, to at most the second.
-  JobTime initial_backoff{1'000}, max_backoff{60'000};
+  JobBudgetOptions budget;
+  // Delay after a failed run; doubles with each consecutive failure.
+  JobTime initial_backoff{1'000};
+  JobTime max_backoff{60'000};
 };
 
 struct StartJob {
   JobIndex job = 0;
-  bool final_run = false;  // The last chance before the process ends.
+  bool final_run = false;  // The last run before the process exits.
   bool operator==(const StartJob&) const = default;
 };
-// It shall end early, with nothing half done. A wish: its end still comes by Ended().
+// Ask the running job to end early, without partial effects. OnJobFinished() still follows.
 struct CancelJob {
   JobIndex job = 0;
   bool operator==(const CancelJob&) const = default;
 };
-struct ReportStuckJob {
+struct ReportHungJob {
   JobIndex job = 0;
-  bool operator==(const ReportStuckJob&) const = default;
+  bool operator==(const ReportHungJob&) const = default;
 };
-using JobAction = std::variant<StartJob, CancelJob, ReportStuckJob>;
+using JobAction = std::variant<StartJob, CancelJob, ReportHungJob>;
 using JobActions = std::vector<JobAction>;
 
+// The outcome of one run.
+struct JobOutcome {
+  bool succeeded = true;
+  JobCost cost;
+};
+
+enum class JobState { kIdle, kDue, kRunning };
+
+struct JobStats {
+  JobState state = JobState::kIdle;
+  std::uint64_t runs = 0;
+  std::uint64_t failures = 0;
+  std::uint64_t starvation_runs = 0;  // Begun because the starvation limit was reached.
+  std::uint64_t cancelled = 0;
+  JobTime overdue_by{0};
+  JobTime last_duration{0};
+  JobCost total_cost;
+};
+
+// Not thread-safe. Each function that takes `now` expects a monotonic time and returns the actions to
+// execute, in order.
 class JobScheduler {
  public:
   JobScheduler(const JobSchedulerOptions& options, std::vector<JobSpec> jobs, JobTime now);
 
-  // Due from now on, if it was not.
-  JobActions RequestRun(JobIndex job, JobTime now);
-  // Requests are under pressure, or no longer: what can wait, waits.
-  JobActions SetOverloaded(bool high, JobTime now);
-  // Time has passed.
-  JobActions Advance(JobTime now);
-  // A run is over, with what it took. `good`: it did what it was for.
-  JobActions OnJobFinished(JobIndex job, bool succeeded, JobTime cpu, double bytes, JobTime now);
-  // The process ends: nothing starts any more but the last chances, highest priority first, each at most
-  // once.
-  JobActions BeginDrain(JobTime now);
-
-  // No job runs, and after a drain none will.
+  // Makes a job due now. A job that is running runs again afterwards.
+  [[nodiscard]] JobActions RequestRun(JobIndex job, JobTime now);
+  // While the node is overloaded only starved jobs are started.
+  [[nodiscard]] JobActions SetOverloaded(bool overloaded, JobTime now);
+  // To be called at NextWakeup().
+  [[nodiscard]] JobActions Advance(JobTime now);
+  [[nodiscard]] JobActions OnJobFinished(JobIndex job, const JobOutcome& outcome, JobTime now);
+  // Cancels what runs. From now on only final runs are started, highest priority first, each at most once.
+  [[nodiscard]] JobActions BeginDrain(JobTime now);
+
+  // Whether no job is running.
   bool idle() const { return !running_; }
-  bool drained() const { return draining_ && !running_ && !NextLast(); }
-  // When to call Pass() again if nothing else happens before; nothing where only an event can change
-  // anything.
-  std::optional<JobTime> NextWakeup(JobTime now) const;
-
-  // What is known of a job, for those who watch.
-  enum class JobState { kIdle, kDue, kRunning };
-  struct JobStats {
-    JobState state = JobState::kIdle;
-    std::uint64_t runs = 0, failures = 0, starvation_runs = 0,
-                  cancelled = 0;  // `starved`: runs begun by that guard.
-    JobTime overdue_by{0}, last_duration{0}, cpu{0};
-    double bytes = 0;  // In all, as `cpu`.
-  };
-  JobStats StatsOf(JobIndex job, JobTime now) const;
-  const JobSpec& spec(JobIndex job) const { return jobs_[job].spec; }
-  std::size_t size() const { return jobs_.size(); }
+  // Whether the drain is complete: no job is running and none will be started.
+  bool drained() const { return draining_ && !running_ && !NextFinalRun(); }
+  // When to call Advance() unless another event comes first; empty where only an event can change anything.
+  [[nodiscard]] std::optional<JobTime> NextWakeup(JobTime now) const;
+  [[nodiscard]] JobStats StatsOf(JobIndex job, JobTime now) const;
 
  private:
   static constexpr JobTime kNever{std::numeric_limits<double>::infinity()};
+  static constexpr JobTime kAlways{-1e300};
+
   struct Job {
     JobSpec spec;
-    JobTime due = kNever;        // Since when, or from when on.
-    JobTime not_before{-1e300};  // After a failure.
-    int failures_in_row = 0;
-    bool asked_again = false;  // While it ran.
-    bool last_given = false;   // It has had its last chance.
-    JobTime mean_cpu{0};
-    double mean_bytes = 0;
+    JobTime due_at = kNever;
+    JobTime not_before = kAlways;  // End of the backoff after a failure.
+    int consecutive_failures = 0;
+    bool requested_while_running = false;
+    bool had_final_run = false;
+    JobCost mean_cost;
     JobStats stats;
   };
-  struct Running {
+  struct Run {
     JobIndex job = 0;
-    JobTime since{0};
-    bool reported = false, cancelled = false, final_run = false;
+    JobTime started_at{0};
+    bool reported_hung = false;
+    bool cancelled = false;
+    bool final_run = false;
   };
 
-  void Fill(JobTime now);
-  void Go(JobTime now, JobActions& actions);
+  static bool IsDue(const Job& job, JobTime now) { return job.due_at <= now && job.not_before <= now; }
+  static bool IsStarved(const Job& job, JobTime now) { return now - job.due_at >= job.spec.starvation_limit; }
+  static bool RunsBefore(const Job& left, const Job& right, JobTime now);
+  void RecordOutcome(Job& job, const Run& run, const JobOutcome& outcome, JobTime now);
+  JobTime Backoff(int consecutive_failures) const;
+  // Starts the next job, or reports a running one that is hung.
+  void Schedule(JobTime now, JobActions& actions);
   void Start(JobIndex job, bool final_run, JobTime now, JobActions& actions);
-  bool Due(const Job& job, JobTime now) const { return job.due <= now && job.not_before <= now; }
-  bool Starves(const Job& job, JobTime now) const { return now - job.due >= job.spec.starvation_limit; }
-  bool Affordable(const Job& job) const;
-  // The one whose turn it is, if its budget allows it.
-  std::optional<JobIndex> First(JobTime now) const;
-  std::optional<JobIndex> NextLast() const;
+  // The job to run next, whether or not the budget allows it yet.
+  std::optional<JobIndex> NextRun(JobTime now) const;
+  std::optional<JobIndex> NextFinalRun() const;
+  // The earliest time at which a job becomes due or starved; kNever where none will.
+  JobTime NextDueTime(JobTime now) const;
 
   JobSchedulerOptions options_;
+  JobBudget budget_;
   std::vector<Job> jobs_;
-  std::optional<Running> running_;
-  bool pressure_ = false;
+  std::optional<Run> running_;
+  bool overloaded_ = false;
   bool draining_ = false;
-  JobTime filled_at_;
-  JobTime cpu_left_{0};  // Saved up; below 0 after a run that took more than it was expected to.
-  double bytes_left_ = 0;
 };
 
 }  // namespace hingelink::decide
--- a/tests/background/learned_state_persister_test.cpp
+++ b/tests/background/learned_state_persister_test.cpp
@@ -23,7 +23,7 @@
 
 Job JobOf(const char* name, std::function<JobResult(const std::atomic<bool>&)> work, bool final_run = false) {
   Job job;
-  job.spec = {.name = name, .priority = 1, .stuck_after = decide::JobTime(1), .run_on_drain = final_run};
+  job.spec = {.name = name, .priority = 1, .hung_after = decide::JobTime(1), .run_on_drain = final_run};
   job.prepare = [work = std::move(work)](bool) { return work; };
   return job;
 }
@@ -71,7 +71,7 @@
     Turn(base.get(), [&] { return gate->waiting() && ticks > 20 && Said("background-stuck job=snapshot"); });
     EXPECT_GT(ticks, 20);
     EXPECT_TRUE(Said("background-stuck job=snapshot"));
-    EXPECT_EQ(runner.JobReports()[0].stats.state, decide::JobScheduler::JobState::kRunning);
+    EXPECT_EQ(runner.JobReports()[0].stats.state, decide::JobState::kRunning);
     runner.Finish(5ms);
     EXPECT_TRUE(Said("background-left-behind"));
   }
--- a/tests/state/learned_store_test.cpp
+++ b/tests/state/learned_store_test.cpp
@@ -1,13 +1,10 @@
-// What was learned, on the disk: the power cut behind each call, each call failing, files of others and from
-// other times; and how much of it a new life takes over.
+// state::LearnedStore: a power cut or a failure at each file operation, and files that are damaged or newer.
 #include "state/learned_store.h"
 
 #include <gtest/gtest.h>
 #include <rapidcheck.h>
 #include <rapidcheck/gtest.h>
 
-#include <limits>
-
 #include "recording_disk.h"
 
 namespace hingelink::state {
@@ -201,65 +198,5 @@
   }
 }
 
-// ---- How much of it counts ----
-
-decide::LearnedImport TryAcquire(const LearnedEntry& stored, milliseconds age,
-                                 const hingelink::Settings& settings = Told(),
-                                 const std::string& site = "shire-1") {
-  return decide::ImportLearnedRecord(stored.record, site, kThen + age, settings);
-}
-
-TEST(Recall, FreshKnowledgeCountsForSoManySamplesAndOldForLess) {
-  const auto now = TryAcquire(Sample(1), milliseconds(0));
-  ASSERT_EQ(now.classes, 2u);
-  EXPECT_EQ(now.confidence, 1);
-  EXPECT_EQ(now.learned.classes[0].samples, 12);
-  EXPECT_EQ(TryAcquire(Sample(1), hours(72)).learned.classes[0].samples, 6);
-  EXPECT_EQ(TryAcquire(Sample(1), hours(144)).learned.classes[0].samples, 3);
-  EXPECT_EQ(TryAcquire(Sample(1), hours(21 * 24)).classes, 0u);  // Three weeks.
-}
-
-TEST(Recall, AClockThatWentBackCountsAsOldNotAsNew) {
-  const auto taken = TryAcquire(Sample(1), -hours(1));
-  EXPECT_EQ(taken.learned.classes[0].samples, 3);
-  ASSERT_EQ(taken.skipped.size(), 1u);
-  EXPECT_NE(taken.skipped[0].find("ahead of the clock"), std::string::npos);
-}
-
-TEST(Recall, AnotherSitesKnowledgeIsNotTaken) {
-  const auto taken = TryAcquire(Sample(1), milliseconds(0), Told(), "shire-2");
-  EXPECT_EQ(taken.classes, 0u);
-  EXPECT_EQ(taken.confidence, 0);
-}
-
-TEST(Recall, AClassToldOtherwiseOrGoneIsLearnedAnew) {
-  hingelink::Settings changed = Told();
-  changed.classes[0].deadline_ms = 2000;
-  changed.classes[1].name = "other";
-  const auto taken = TryAcquire(Sample(1), milliseconds(0), changed);
-  EXPECT_EQ(taken.classes, 0u);
-  EXPECT_EQ(taken.skipped.size(), 2u);
-}
-
-TEST(Recall, PoisonedValuesAreLeftOut) {
-  const double nan = std::numeric_limits<double>::quiet_NaN(), inf = std::numeric_limits<double>::infinity();
-  for (const auto& poisoned : std::vector<hingelink::LearnedClass>{{"view", nan, 1, 1, 9},
-                                                                   {"view", inf, 1, 1, 9},
-                                                                   {"view", -1, -2, 1, 9},
-                                                                   {"view", 10, 11, 1, 9},
-                                                                   {"view", 10, 9, nan, 9},
-                                                                   {"view", 10, 9, 1, 0},
-                                                                   {"view", 10, 9, 1, -5},
-                                                                   {"view", 1e300, 9, 1, 5},
-                                                                   {"", 10, 9, 1, 5}}) {
-    LearnedEntry stored = Sample(1);
-    stored.record.learned.classes[0] = poisoned;
-    const auto taken = TryAcquire(stored, milliseconds(0));
-    EXPECT_EQ(taken.classes, 1u);
-    EXPECT_EQ(taken.learned.classes[0].name, "save");
-    EXPECT_FALSE(decide::SanityCheckFailure(poisoned).empty());
-  }
-}
-
 }  // namespace
 }  // namespace hingelink::state
