--- a/bench/learned_measure.cpp
+++ b/bench/learned_measure.cpp
@@ -39,7 +39,7 @@
     learned.classes.push_back({name, run, run, work, 1000});
   }
   state::LearnedStore store(state::SystemFileSystem(), folder);
-  store.Save({1, decide::MakeLearnedRecord("cores", UnixNow() - kind.age, settings, learned)});
+  store.WriteSnapshot({1, decide::MakeLearnedRecord("cores", UnixNow() - kind.age, settings, learned)});
 }
 
 }  // namespace
--- a/src/background/learned_state_persister.cpp
+++ b/src/background/learned_state_persister.cpp
@@ -112,12 +112,15 @@
       }
     }
     entry.sequence = ++writer->sequence;
-    const bool whole = snapshot || writer->store.snapshot_due();
-    result.bytes_written = static_cast<double>(state::EncodeLearned(entry, !whole).size());
-    if (whole) {
-      writer->store.Save(entry);
+    const bool writes_snapshot = snapshot || writer->store.snapshot_due();
+    result.bytes_written =
+        static_cast<double>(state::EncodeLearned(entry, writes_snapshot ? state::LearnedFrameKind::kSnapshot
+                                                                        : state::LearnedFrameKind::kLogRecord)
+                                .size());
+    if (writes_snapshot) {
+      writer->store.WriteSnapshot(entry);
     } else {
-      writer->store.Append(entry);
+      writer->store.AppendRecord(entry);
     }
     return result;
   };
--- a/src/cli/learned.cpp
+++ b/src/cli/learned.cpp
@@ -29,7 +29,7 @@
 class ReadOnly : public state::FileSystem {
  public:
   std::unique_ptr<state::WritableFile> Create(const std::string& path) override {
-    throw state::FileError("open " + path + ": this command only reads");
+    throw state::FileError("open", path, EROFS);
   }
   void Rename(const std::string&, const std::string&) override {}
   void SyncDirectory(const std::string&) override {}
--- a/src/state/file_system.cpp
+++ b/src/state/file_system.cpp
@@ -12,29 +12,37 @@
 namespace hingelink::state {
 namespace {
 
-constexpr std::size_t kMostRead = 64 << 20;
+constexpr std::size_t kMaxReadBytes = 64 << 20;
+constexpr std::size_t kReadChunkBytes = 16384;
 
-[[noreturn]] void Fail(const char* call, const std::string& path) {
-  throw FileError(std::string(call) + ' ' + path + ": " + std::strerror(errno));
+[[noreturn]] void ThrowLastError(const char* operation, const std::string& path) {
+  throw FileError(operation, path, errno);
 }
 
-class SystemWritableFile : public WritableFile {
+// Closes `fd` without changing errno.
+void CloseKeepingErrno(int fd) {
+  const int error_number = errno;
+  close(fd);
+  errno = error_number;
+}
+
+class PosixFile : public WritableFile {
  public:
-  explicit SystemWritableFile(std::string path)
+  explicit PosixFile(std::string path)
       : path_(std::move(path)), fd_(open(path_.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, 0600)) {
-    if (fd_ < 0) Fail("open", path_);
+    if (fd_ < 0) ThrowLastError("open", path_);
   }
-  ~SystemWritableFile() override { close(fd_); }
+  ~PosixFile() override { close(fd_); }
   void Write(std::string_view bytes) override {
     while (!bytes.empty()) {
-      const ssize_t got = write(fd_, bytes.data(), bytes.size());
-      if (got < 0 && errno == EINTR) continue;
-      if (got < 0) Fail("write", path_);
-      bytes.remove_prefix(static_cast<std::size_t>(got));
+      const ssize_t written = write(fd_, bytes.data(), bytes.size());
+      if (written < 0 && errno == EINTR) continue;
+      if (written < 0) ThrowLastError("write", path_);
+      bytes.remove_prefix(static_cast<std::size_t>(written));
     }
   }
   void Sync() override {
-    if (fsync(fd_) != 0) Fail("fsync", path_);
+    if (fsync(fd_) != 0) ThrowLastError("fsync", path_);
   }
 
  private:
@@ -42,69 +50,70 @@
   int fd_;
 };
 
-class SystemFileSystemImpl : public FileSystem {
+class PosixFileSystem : public FileSystem {
  public:
   std::unique_ptr<WritableFile> Create(const std::string& path) override {
-    return std::make_unique<SystemWritableFile>(path);
+    return std::make_unique<PosixFile>(path);
   }
   void Rename(const std::string& from, const std::string& to) override {
-    if (std::rename(from.c_str(), to.c_str()) != 0) Fail("rename", from);
+    if (std::rename(from.c_str(), to.c_str()) != 0) ThrowLastError("rename", from);
   }
   void SyncDirectory(const std::string& directory) override {
     const int fd = open(directory.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC);
-    if (fd < 0) Fail("open", directory);
-    const int got = fsync(fd);
-    const int error = errno;
-    close(fd);
-    errno = error;
-    if (got != 0) Fail("fsync", directory);
+    if (fd < 0) ThrowLastError("open", directory);
+    const int result = fsync(fd);
+    CloseKeepingErrno(fd);
+    if (result != 0) ThrowLastError("fsync", directory);
   }
   std::optional<std::string> Read(const std::string& path) override {
     const int fd = open(path.c_str(), O_RDONLY | O_CLOEXEC);
     if (fd < 0 && errno == ENOENT) return std::nullopt;
-    if (fd < 0) Fail("open", path);
-    std::string all;
-    char bytes[16384];
-    ssize_t got;
-    while ((got = read(fd, bytes, sizeof bytes)) > 0 && all.size() < kMostRead) {
-      all.append(bytes, static_cast<std::size_t>(got));
+    if (fd < 0) ThrowLastError("open", path);
+    std::string content;
+    char bytes[kReadChunkBytes];
+    ssize_t received;
+    while ((received = read(fd, bytes, sizeof bytes)) > 0 && content.size() < kMaxReadBytes) {
+      content.append(bytes, static_cast<std::size_t>(received));
     }
-    const int error = errno;
-    close(fd);
-    errno = error;
-    if (got < 0) Fail("read", path);
-    return all;
+    CloseKeepingErrno(fd);
+    if (received < 0) ThrowLastError("read", path);
+    return content;
   }
 };
 
 }  // namespace
 
+FileError::FileError(std::string operation, std::string path, int error_number)
+    : std::runtime_error(operation + ' ' + path + ": " + std::strerror(error_number)),
+      operation_(std::move(operation)),
+      path_(std::move(path)),
+      error_number_(error_number) {}
+
 FileSystem& SystemFileSystem() {
-  static SystemFileSystemImpl system;
+  static PosixFileSystem system;
   return system;
 }
 
 void WriteFileAtomically(FileSystem& files, const std::string& directory, const std::string& name,
                          std::string_view bytes) {
-  const std::string path = directory + '/' + name, fresh = path + ".new";
+  const std::string path = directory + '/' + name;
+  const std::string temporary_path = path + ".new";
   {
-    const auto file = files.Create(fresh);
+    const auto file = files.Create(temporary_path);
     file->Write(bytes);
-    // Before the rename: a name that leads to bytes which are not on the disk yet is a torn file.
+    // Before the rename: after a power cut the name must not lead to bytes that were never written.
     file->Sync();
   }
-  files.Rename(fresh, path);
+  files.Rename(temporary_path, path);
   files.SyncDirectory(directory);
 }
 
 std::optional<DirectoryLock> DirectoryLock::TryAcquire(const std::string& path) {
   const int fd = open(path.c_str(), O_RDWR | O_CREAT | O_CLOEXEC, 0600);
-  if (fd < 0) Fail("open", path);
+  if (fd < 0) ThrowLastError("open", path);
   if (flock(fd, LOCK_EX | LOCK_NB) != 0) {
-    const int error = errno;
-    close(fd);
-    errno = error;
-    if (error != EWOULDBLOCK) Fail("flock", path);
+    CloseKeepingErrno(fd);
+    if (errno != EWOULDBLOCK) ThrowLastError("flock", path);
     return std::nullopt;
   }
   return DirectoryLock(fd);
--- a/src/state/supervisor_state_store.cpp
+++ b/src/state/supervisor_state_store.cpp
@@ -14,124 +14,141 @@
 using decide::DesiredState;
 using decide::Incarnation;
 using decide::SupervisorState;
+using Status = LoadedSupervisorState::Status;
 
-constexpr int kFormat = 1;
-constexpr char kName[] = "plan.json";
-// Bounds on what is read: a file that was damaged and still checks out must not make the supervisor signal
-// processes at random.
-constexpr std::int64_t kMostPid = 1 << 22;
+constexpr int kFormatVersion = 1;
+constexpr char kFileName[] = "plan.json";
+// The kernel's bound on process ids. Checked so that a damaged file never makes the supervisor signal other
+// processes.
+constexpr std::int64_t kMaxPid = 1 << 22;
 
-std::string CheckOf(const Json& json) {
+std::string Checksum(const Json& json) {
   const std::string text = json.dump();
-  char check[20];
-  std::snprintf(check, sizeof check, "%016llx",
+  char digits[20];
+  std::snprintf(digits, sizeof digits, "%016llx",
                 static_cast<unsigned long long>(XXH3_64bits(text.data(), text.size())));
-  return check;
+  return digits;
 }
 
-const char* WantName(DesiredState want) {
-  return want == DesiredState::kServing ? "serve" : want == DesiredState::kDrained ? "drained" : "down";
+const char* DesiredStateName(DesiredState desired) {
+  switch (desired) {
+    case DesiredState::kServing:
+      return "serve";
+    case DesiredState::kDrained:
+      return "drained";
+    case DesiredState::kStopped:
+      break;
+  }
+  return "down";
+}
+
+DesiredState ParseDesiredState(const std::string& name) {
+  for (const DesiredState desired :
+       {DesiredState::kServing, DesiredState::kDrained, DesiredState::kStopped}) {
+    if (name == DesiredStateName(desired)) return desired;
+  }
+  throw CorruptSupervisorState("want: " + name);
+}
+
+Json ToJson(const Incarnation& incarnation) {
+  return {{"generation", incarnation.generation},
+          {"pid", incarnation.process.pid},
+          {"start_ticks", incarnation.process.start_ticks},
+          {"ready", incarnation.ready},
+          {"leaving", incarnation.draining}};
 }
 
-Json ToJson(const Incarnation& life) {
-  return {{"generation", life.generation},
-          {"pid", life.process.pid},
-          {"start_ticks", life.process.start_ticks},
-          {"ready", life.ready},
-          {"leaving", life.draining}};
+Incarnation ToIncarnation(const Json& json) {
+  Incarnation incarnation;
+  incarnation.generation = json.at("generation").get<std::uint64_t>();
+  incarnation.process.pid = json.at("pid").get<std::int64_t>();
+  incarnation.process.start_ticks = json.at("start_ticks").get<std::uint64_t>();
+  incarnation.ready = json.at("ready").get<bool>();
+  incarnation.draining = json.at("leaving").get<bool>();
+  const std::int64_t pid = incarnation.process.pid;
+  if (pid < 0 || pid > kMaxPid || pid == 1) throw CorruptSupervisorState("a pid is out of range");
+  return incarnation;
 }
 
-Incarnation ToLife(const Json& json) {
-  Incarnation life;
-  life.generation = json.at("generation").get<std::uint64_t>();
-  life.process.pid = json.at("pid").get<std::int64_t>();
-  life.process.start_ticks = json.at("start_ticks").get<std::uint64_t>();
-  life.ready = json.at("ready").get<bool>();
-  life.draining = json.at("leaving").get<bool>();
-  if (life.process.pid < 0 || life.process.pid > kMostPid || life.process.pid == 1) {
-    throw std::runtime_error("a pid is out of range");
+// Of a file that passed its checksum. Throws Json::exception and CorruptSupervisorState.
+LoadedSupervisorState FromJson(const Json& json, const std::string& boot_id) {
+  LoadedSupervisorState loaded;
+  SupervisorState& state = loaded.state;
+  state.desired = ParseDesiredState(json.at("want").get<std::string>());
+  state.last_generation = json.at("last_generation").get<std::uint64_t>();
+  state.consecutive_crashes = json.at("crashes_in_row").get<std::uint32_t>();
+  if (json.at("boot").get<std::string>() != boot_id) {
+    loaded.status = Status::kPreviousBoot;
+    return loaded;
   }
-  return life;
+  if (json.contains("current")) state.current = ToIncarnation(json["current"]);
+  if (json.contains("successor")) state.successor = ToIncarnation(json["successor"]);
+  if (json.contains("predecessor")) state.predecessor = ToIncarnation(json["predecessor"]);
+  loaded.status = Status::kValid;
+  return loaded;
 }
 
 }  // namespace
 
-std::string SupervisorStateStore::Encode(const SupervisorState& state, const std::string& boot) {
-  Json json = {{"format", kFormat},
-               {"boot", boot},
-               {"want", WantName(state.desired)},
+std::string SupervisorStateStore::Encode(const SupervisorState& state, const std::string& boot_id) {
+  Json json = {{"format", kFormatVersion},
+               {"boot", boot_id},
+               {"want", DesiredStateName(state.desired)},
                {"last_generation", state.last_generation},
                {"crashes_in_row", state.consecutive_crashes}};
   if (state.current) json["current"] = ToJson(*state.current);
   if (state.successor) json["successor"] = ToJson(*state.successor);
   if (state.predecessor) json["predecessor"] = ToJson(*state.predecessor);
-  json["check"] = CheckOf(json);
+  json["check"] = Checksum(json);
   return json.dump(1) + '\n';
 }
 
-LoadedSupervisorState SupervisorStateStore::Decode(const std::string& text, const std::string& boot) {
-  LoadedSupervisorState found;
+LoadedSupervisorState SupervisorStateStore::Decode(const std::string& text, const std::string& boot_id) {
   Json json = Json::parse(text, nullptr, false);
-  if (!json.is_object()) throw std::runtime_error("it is no whole JSON object");
-  // A newer format may check itself otherwise.
-  if (json.contains("format") && json["format"].is_number_integer() && json["format"].get<int>() > kFormat) {
-    found.status = LoadedSupervisorState::Status::kUnsupportedVersion;
-    found.detail = "its format is " + json["format"].dump() + ", and this program knows up to " +
-                   std::to_string(kFormat);
-    return found;
+  if (!json.is_object()) throw CorruptSupervisorState("it is no whole JSON object");
+  const Json format = json.value("format", Json());
+  // Checked before the checksum, which a newer format may define otherwise.
+  if (format.is_number_integer() && format.get<int>() > kFormatVersion) {
+    LoadedSupervisorState loaded;
+    loaded.status = Status::kUnsupportedVersion;
+    loaded.detail =
+        "its format is " + format.dump() + ", and this program knows up to " + std::to_string(kFormatVersion);
+    return loaded;
   }
-  const Json check = json.value("check", Json());
+  const Json checksum = json.value("check", Json());
   json.erase("check");
-  if (!check.is_string() || check.get<std::string>() != CheckOf(json)) {
-    throw std::runtime_error("its check does not match what stands in it");
+  if (!checksum.is_string() || checksum.get<std::string>() != Checksum(json)) {
+    throw CorruptSupervisorState("its check does not match what stands in it");
   }
   try {
-    SupervisorState& state = found.state;
-    const std::string want = json.at("want").get<std::string>();
-    if (want != "serve" && want != "drained" && want != "down") throw std::runtime_error("want: " + want);
-    state.desired = want == "serve"     ? DesiredState::kServing
-                    : want == "drained" ? DesiredState::kDrained
-                                        : DesiredState::kStopped;
-    state.last_generation = json.at("last_generation").get<std::uint64_t>();
-    state.consecutive_crashes = json.at("crashes_in_row").get<std::uint32_t>();
-    if (json.at("boot").get<std::string>() != boot) {
-      found.status = LoadedSupervisorState::Status::kPreviousBoot;
-      return found;
-    }
-    if (json.contains("current")) state.current = ToLife(json["current"]);
-    if (json.contains("successor")) state.successor = ToLife(json["successor"]);
-    if (json.contains("predecessor")) state.predecessor = ToLife(json["predecessor"]);
-  } catch (const Json::exception& fault) {
-    throw std::runtime_error(fault.what());
+    return FromJson(json, boot_id);
+  } catch (const Json::exception& error) {
+    throw CorruptSupervisorState(error.what());
   }
-  found.status = LoadedSupervisorState::Status::kValid;
-  return found;
 }
 
-SupervisorStateStore::SupervisorStateStore(FileSystem& files, std::string directory, std::string boot)
-    : files_(files), directory_(std::move(directory)), boot_(std::move(boot)) {}
+SupervisorStateStore::SupervisorStateStore(FileSystem& files, std::string directory, std::string boot_id)
+    : files_(files), directory_(std::move(directory)), boot_id_(std::move(boot_id)) {}
 
 LoadedSupervisorState SupervisorStateStore::Load() {
-  const auto text = files_.Read(directory_ + '/' + kName);
+  const std::string path = directory_ + '/' + kFileName;
+  const auto text = files_.Read(path);
   if (!text) return {};
-  LoadedSupervisorState found;
+  LoadedSupervisorState loaded;
   try {
-    found = Decode(*text, boot_);
-  } catch (const std::runtime_error& fault) {
-    found.status = LoadedSupervisorState::Status::kCorrupt;
-    found.state = {};
-    found.detail = fault.what();
+    loaded = Decode(*text, boot_id_);
+  } catch (const CorruptSupervisorState& error) {
+    loaded.status = Status::kCorrupt;
+    loaded.detail = error.what();
   }
-  // Kept for whoever looks into it, and out of the way of what is saved next.
-  const char* aside = found.status == LoadedSupervisorState::Status::kCorrupt              ? ".damaged"
-                      : found.status == LoadedSupervisorState::Status::kUnsupportedVersion ? ".newer"
-                                                                                           : nullptr;
-  if (aside != nullptr) files_.Rename(directory_ + '/' + kName, directory_ + '/' + kName + aside);
-  return found;
+  // Kept for inspection, where the next Save() does not overwrite it.
+  if (loaded.status == Status::kCorrupt) files_.Rename(path, path + ".damaged");
+  if (loaded.status == Status::kUnsupportedVersion) files_.Rename(path, path + ".newer");
+  return loaded;
 }
 
 void SupervisorStateStore::Save(const SupervisorState& state) {
-  WriteFileAtomically(files_, directory_, kName, Encode(state, boot_));
+  WriteFileAtomically(files_, directory_, kFileName, Encode(state, boot_id_));
 }
 
 std::string BootId() {
--- a/tests/background/learned_state_persister_test.cpp
+++ b/tests/background/learned_state_persister_test.cpp
@@ -82,7 +82,7 @@
   std::vector<Job> jobs;
   auto runs = std::make_shared<std::atomic<int>>(0);
   jobs.push_back(JobOf("clean", [runs](const std::atomic<bool>&) -> JobResult {
-    if (++*runs == 1) throw state::FileError("write x: No space left on device");
+    if (++*runs == 1) throw state::FileError("write", "x", ENOSPC);
     return {};
   }));
   decide::JobSchedulerOptions options;
@@ -229,7 +229,7 @@
     EXPECT_EQ(TimesSaid("background-failed"), failures);
     // The next one begins, and then the other, which still has the lock, writes for the last time.
     Life next(disk, directory);
-    other.Save({500, decide::MakeLearnedRecord("n3", 0ms, {}, {})});
+    other.WriteSnapshot({500, decide::MakeLearnedRecord("n3", 0ms, {}, {})});
     held.reset();
     next.Serve(20);
   }
@@ -287,7 +287,7 @@
   const auto now = std::chrono::duration_cast<std::chrono::milliseconds>(
       std::chrono::system_clock::now().time_since_epoch());
   state::LearnedStore(disk, directory + "/state")
-      .Save({1, decide::MakeLearnedRecord("n3", now, told.settings, known(111))});
+      .WriteSnapshot({1, decide::MakeLearnedRecord("n3", now, told.settings, known(111))});
   // The predecessor: its listener, and then its lines, one of them of a class that was told otherwise.
   const net::Descriptor listener(socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC | SOCK_NONBLOCK, 0));
   ASSERT_EQ(listen(listener.get(), 8), 0);
--- a/tests/compatibility/stored_formats_test.cpp
+++ b/tests/compatibility/stored_formats_test.cpp
@@ -109,10 +109,10 @@
 TEST(LearnedState, IsReadAndWrittenAgainWithTheSameBytes) {
   for (const char* name : {"learned/learned.state", "learned/learned.state.1"}) {
     const std::string bytes = ReadFixture(name);
-    const state::DecodedLearned decoded = state::DecodeLearned(bytes, false);
+    const state::DecodedLearned decoded = state::DecodeLearned(bytes, state::LearnedFrameKind::kSnapshot);
     ASSERT_EQ(decoded.status, state::DecodedLearned::Status::kValid) << name;
     EXPECT_EQ(decoded.bytes, bytes.size());
-    EXPECT_EQ(state::EncodeLearned(decoded.entry, false), bytes) << name;
+    EXPECT_EQ(state::EncodeLearned(decoded.entry, state::LearnedFrameKind::kSnapshot), bytes) << name;
     EXPECT_FALSE(decoded.entry.record.learned.classes.empty());
   }
   std::string_view log_bytes;
@@ -120,9 +120,10 @@
   log_bytes = log;
   std::string again;
   while (!log_bytes.empty()) {
-    const state::DecodedLearned decoded = state::DecodeLearned(log_bytes, true);
+    const state::DecodedLearned decoded =
+        state::DecodeLearned(log_bytes, state::LearnedFrameKind::kLogRecord);
     ASSERT_EQ(decoded.status, state::DecodedLearned::Status::kValid);
-    again += state::EncodeLearned(decoded.entry, true);
+    again += state::EncodeLearned(decoded.entry, state::LearnedFrameKind::kLogRecord);
     log_bytes.remove_prefix(decoded.bytes);
   }
   EXPECT_EQ(again, log);
--- a/tests/fuzz.sh
+++ b/tests/fuzz.sh
@@ -4,7 +4,7 @@
 cd "$(dirname "$0")/.."
 command -v clang++ >/dev/null || { echo "fuzz: there is no clang++ here (Debian: clang)"; exit 0; }
 case "${1:-}" in
-  learned) sources="tests/state/learned_fuzz.cpp src/state/learned_store.cpp src/state/file_system.cpp src/decide/learned/learned_state_import.cpp" ;;
+  learned) sources="tests/state/learned_fuzz.cpp src/state/learned_codec.cpp src/state/learned_store.cpp src/state/file_system.cpp src/decide/learned/learned_state_import.cpp" ;;
   peers) sources="tests/fleet/gossip_message_fuzz.cpp src/fleet/codec.cpp src/decide/membership/gossip_message.cpp src/decide/membership/member.cpp src/decide/membership/membership.cpp src/decide/membership/membership_event.cpp src/decide/membership/membership_messages.cpp src/decide/membership/membership_probes.cpp src/decide/membership/membership_suspicion.cpp" ;;
   *) echo "fuzz: wanted learned or peers" >&2; exit 2 ;;
 esac
--- a/tests/state/recording_disk.h
+++ b/tests/state/recording_disk.h
@@ -1,9 +1,10 @@
-// A disk in memory that records what is done to it, and rebuilds every state in which a power cut could leave
-// it: behind each call, with each subset of the name changes since the folder's last sync, and with none,
-// half or all of the bytes that no sync has followed.
+// A file system in memory that records its operations, and rebuilds every state in which a power cut could
+// leave it: after each operation, with each subset of the changes of names since the last sync of the
+// directory, and with none, half or all of the unsynced bytes.
 #ifndef HINGELINK_TESTS_STATE_RECORDING_DISK_H_
 #define HINGELINK_TESTS_STATE_RECORDING_DISK_H_
 
+#include <cerrno>
 #include <functional>
 #include <map>
 #include <memory>
@@ -18,7 +19,7 @@
 
 class RecordingDisk : public FileSystem {
  public:
-  int fail_at = 0;  // This call fails, from 1 on.
+  int fail_at = 0;  // This operation fails, counted from 1.
   int calls = 0;
 
   RecordingDisk() = default;
@@ -32,28 +33,28 @@
   }
 
   std::unique_ptr<WritableFile> Create(const std::string& path) override {
-    Call("open " + path);
-    // A file that is there is emptied and keeps its place.
+    Call("open", path);
+    // An existing file is truncated and keeps its inode.
     if (const auto it = names_.find(path); it != names_.end()) {
-      ops_.push_back({.kind = Op::kTruncate, .inode = it->second});
+      operations_.push_back({.kind = Kind::kTruncate, .inode = it->second});
       bytes_[static_cast<std::size_t>(it->second)].clear();
       return std::make_unique<File>(*this, it->second);
     }
     const int inode = static_cast<int>(bytes_.size());
     bytes_.emplace_back();
     names_[path] = inode;
-    ops_.push_back({.kind = Op::kName, .inode = inode, .to = path});
+    operations_.push_back({.kind = Kind::kName, .inode = inode, .to = path});
     return std::make_unique<File>(*this, inode);
   }
   void Rename(const std::string& from, const std::string& to) override {
-    Call("rename " + from);
-    ops_.push_back({.kind = Op::kRename, .from = from, .to = to});
+    Call("rename", from);
+    operations_.push_back({.kind = Kind::kRename, .from = from, .to = to});
     names_[to] = names_.at(from);
     names_.erase(from);
   }
   void SyncDirectory(const std::string& directory) override {
-    Call("fsync " + directory);
-    ops_.push_back({.kind = Op::kSyncNames});
+    Call("fsync", directory);
+    operations_.push_back({.kind = Kind::kSyncNames});
   }
   std::optional<std::string> Read(const std::string& path) override {
     const auto it = names_.find(path);
@@ -61,30 +62,35 @@
     return bytes_[static_cast<std::size_t>(it->second)];
   }
   bool Has(const std::string& path) const { return names_.count(path) != 0; }
-  std::size_t recorded() const { return ops_.size(); }
+  std::size_t recorded() const { return operations_.size(); }
 
-  // `see` gets each state that a cut behind the first `count` recorded calls could leave.
+  // Visits each state that a power cut after the first `count` recorded operations could leave.
   void EachCut(std::size_t count,
-               const std::function<void(const std::map<std::string, std::string>&)>& see) const {
+               const std::function<void(const std::map<std::string, std::string>&)>& visit) const {
     std::size_t names_synced = 0;
     for (std::size_t i = 0; i < count; ++i) {
-      if (ops_[i].kind == Op::kSyncNames) names_synced = i;
+      if (operations_[i].kind == Kind::kSyncNames) names_synced = i;
     }
     std::vector<std::size_t> open_names;
     for (std::size_t i = names_synced; i < count; ++i) {
-      if (ops_[i].kind == Op::kName || ops_[i].kind == Op::kRename) open_names.push_back(i);
+      if (operations_[i].kind == Kind::kName || operations_[i].kind == Kind::kRename) open_names.push_back(i);
     }
     for (std::size_t subset = 0; subset < (std::size_t{1} << open_names.size()); ++subset) {
-      for (int part = 0; part <= 2; ++part) see(Rebuild(count, names_synced, subset, part));
+      for (const UnsyncedPart part : {UnsyncedPart::kNone, UnsyncedPart::kHalf, UnsyncedPart::kAll})
+        visit(Rebuild(count, names_synced, subset, part));
     }
   }
 
  private:
-  struct Op {
-    enum Kind { kName, kRename, kWrite, kTruncate, kSync, kSyncNames };
-    Kind kind = kName;
+  // How much of what no sync followed survives a power cut.
+  enum class UnsyncedPart { kNone, kHalf, kAll };
+  enum class Kind { kName, kRename, kWrite, kTruncate, kSync, kSyncNames };
+  struct Operation {
+    Kind kind = Kind::kName;
     int inode = 0;
-    std::string from{}, to{}, bytes{};
+    std::string from{};
+    std::string to{};
+    std::string bytes{};
   };
   class File : public WritableFile {
    public:
@@ -92,11 +98,11 @@
     void Write(std::string_view bytes) override {
       disk_.Call("write");
       disk_.bytes_[static_cast<std::size_t>(inode_)].append(bytes);
-      disk_.ops_.push_back({.kind = Op::kWrite, .inode = inode_, .bytes = std::string(bytes)});
+      disk_.operations_.push_back({.kind = Kind::kWrite, .inode = inode_, .bytes = std::string(bytes)});
     }
     void Sync() override {
       disk_.Call("fsync");
-      disk_.ops_.push_back({.kind = Op::kSync, .inode = inode_});
+      disk_.operations_.push_back({.kind = Kind::kSync, .inode = inode_});
     }
 
    private:
@@ -104,57 +110,74 @@
     int inode_;
   };
 
-  void Call(const std::string& status) {
-    if (++calls == fail_at) throw FileError(status + ": No space left on device");
+  void Call(const char* operation, const std::string& path = "file") {
+    if (++calls == fail_at) throw FileError(operation, path, ENOSPC);
   }
 
   std::map<std::string, std::string> Rebuild(std::size_t count, std::size_t names_synced, std::size_t subset,
-                                             int part) const {
+                                             UnsyncedPart part) const {
+    const std::vector<std::string> bytes = RebuildBytes(count, part);
+    std::map<std::string, std::string> files;
+    for (const auto& [path, inode] : RebuildNames(count, names_synced, subset)) {
+      files[path] = bytes[static_cast<std::size_t>(inode)];
+    }
+    return files;
+  }
+
+  // `subset`: a bit for each change of names since operation `names_synced`, set where it became durable.
+  std::map<std::string, int> RebuildNames(std::size_t count, std::size_t names_synced,
+                                          std::size_t subset) const {
     std::map<std::string, int> names = first_names_;
-    std::size_t next = 0;
+    std::size_t next_change = 0;
     for (std::size_t i = 0; i < count; ++i) {
-      const Op& op = ops_[i];
-      if (op.kind != Op::kName && op.kind != Op::kRename) continue;
-      if (i >= names_synced && (subset >> next++ & 1) == 0) continue;
-      if (op.kind == Op::kName) {
-        names[op.to] = op.inode;
-      } else if (const auto it = names.find(op.from); it != names.end()) {
-        names[op.to] = it->second;
-        names.erase(op.from);
+      const Operation& operation = operations_[i];
+      if (operation.kind != Kind::kName && operation.kind != Kind::kRename) continue;
+      if (i >= names_synced && (subset >> next_change++ & 1) == 0) continue;
+      if (operation.kind == Kind::kName) {
+        names[operation.to] = operation.inode;
+      } else if (const auto it = names.find(operation.from); it != names.end()) {
+        names[operation.to] = it->second;
+        names.erase(operation.from);
       }
     }
+    return names;
+  }
+
+  // By inode.
+  std::vector<std::string> RebuildBytes(std::size_t count, UnsyncedPart part) const {
     std::vector<std::string> bytes = first_bytes_;
     bytes.resize(bytes_.size());
-    std::map<int, std::string>
-        pending;  // Behind the last sync of each; a truncation that no sync followed too.
-    std::map<int, bool> emptied;
+    // Since the last sync of each inode. A truncation is unsynced, too.
+    std::map<int, std::string> unsynced;
+    std::map<int, bool> truncated;
     for (std::size_t i = 0; i < count; ++i) {
-      const Op& op = ops_[i];
-      if (op.kind == Op::kTruncate) {
-        emptied[op.inode] = true;
-        pending[op.inode].clear();
-      } else if (op.kind == Op::kWrite) {
-        pending[op.inode] += op.bytes;
-      } else if (op.kind == Op::kSync) {
-        std::string& all = bytes[static_cast<std::size_t>(op.inode)];
-        if (std::exchange(emptied[op.inode], false)) all.clear();
-        all += std::exchange(pending[op.inode], {});
+      const Operation& operation = operations_[i];
+      if (operation.kind == Kind::kTruncate) {
+        truncated[operation.inode] = true;
+        unsynced[operation.inode].clear();
+      } else if (operation.kind == Kind::kWrite) {
+        unsynced[operation.inode] += operation.bytes;
+      } else if (operation.kind == Kind::kSync) {
+        std::string& content = bytes[static_cast<std::size_t>(operation.inode)];
+        if (std::exchange(truncated[operation.inode], false)) content.clear();
+        content += std::exchange(unsynced[operation.inode], {});
       }
     }
-    for (const auto& [inode, more] : pending) {
-      if (part == 0) continue;  // Nothing of it, the emptying neither.
-      std::string& all = bytes[static_cast<std::size_t>(inode)];
-      if (emptied[inode]) all.clear();
-      all += more.substr(0, part == 1 ? more.size() / 2 : more.size());
+    if (part == UnsyncedPart::kNone) return bytes;
+    for (const auto& [inode, more] : unsynced) {
+      std::string& content = bytes[static_cast<std::size_t>(inode)];
+      if (truncated[inode]) content.clear();
+      content += more.substr(0, part == UnsyncedPart::kHalf ? more.size() / 2 : more.size());
     }
-    std::map<std::string, std::string> files;
-    for (const auto& [path, inode] : names) files[path] = bytes[static_cast<std::size_t>(inode)];
-    return files;
+    return bytes;
   }
 
-  std::map<std::string, int> names_, first_names_;
-  std::vector<std::string> bytes_, first_bytes_;  // By inode.
-  std::vector<Op> ops_;
+  std::map<std::string, int> names_;
+  std::map<std::string, int> first_names_;
+  // By inode.
+  std::vector<std::string> bytes_;
+  std::vector<std::string> first_bytes_;
+  std::vector<Operation> operations_;
 };
 
 }  // namespace hingelink::state
