--- a/src/net/connection_set.cpp
+++ b/src/net/connection_set.cpp
@@ -145,17 +145,17 @@
 
 void ConnectionSet::Sweep() { ended_.clear(); }
 
-void ConnectionSet::Deliver(core::ReplyTo to, const core::FinalAnswer& answer) {
+void ConnectionSet::Deliver(core::StreamAddress to, const core::FinalAnswer& answer) {
   const auto it = connections_.find(to.connection);
   if (it == connections_.end()) return;
   it->second->Deliver(to.stream, answer);
   if (it->second->given_up()) End(to.connection, EndReason::kSlowReader);
 }
 
-void ConnectionSet::AnswerCheck(core::ReplyTo to, bool good) {
+void ConnectionSet::AnswerHealthCheck(core::StreamAddress to, bool good) {
   const auto it = connections_.find(to.connection);
   if (it == connections_.end()) return;
-  it->second->AnswerCheck(to.stream, good);
+  it->second->AnswerHealthCheck(to.stream, good);
   if (it->second->given_up()) End(to.connection, EndReason::kSlowReader);
 }
 
--- a/src/net/connection_set.h
+++ b/src/net/connection_set.h
@@ -11,7 +11,7 @@
 #include <unordered_map>
 #include <vector>
 
-#include "core/front.h"
+#include "core/front_end.h"
 #include "decide/connections/connection_admission.h"
 #include "net/event.h"
 #include "net/lingering_closer.h"
@@ -40,8 +40,8 @@
  public:
   struct Events {
     std::function<void(const core::IncomingRequest&)> request;
-    std::function<void(core::ReplyTo)> gone;   // Nobody waits for this answer any more, or that of a check.
-    std::function<void(core::ReplyTo)> check;  // A deep check. Empty: none is told.
+    std::function<void(core::StreamAddress)> gone;   // Nobody waits for this answer any more, or that of a check.
+    std::function<void(core::StreamAddress)> check;  // A deep check. Empty: none is told.
     // The counts of a class by its name, or null. Each answer is counted there as it is written.
     std::function<core::ClassCountsPtr(std::string_view kind)> counts;
     // Its descriptor is free; after its last `gone`. May be empty.
@@ -57,14 +57,14 @@
 
   // Takes a connected socket, under a name that no other connection ever has.
   void Add(std::uint64_t id, evutil_socket_t fd, Steady::time_point accepted = Steady::now());
-  void Deliver(core::ReplyTo to, const core::FinalAnswer& answer);
+  void Deliver(core::StreamAddress to, const core::FinalAnswer& answer);
   void SetHealth(bool good, bool shallow) {
     healthy_ = good;
     deep_ = !shallow;
   }
   // Does nothing where the check's connection has ended.
-  void AnswerCheck(core::ReplyTo to, bool good);
-  void SetSignal(std::optional<double> value) { signal_ = value; }
+  void AnswerHealthCheck(core::StreamAddress to, bool good);
+  void SetLoadSignal(std::optional<double> value) { signal_ = value; }
   void CloseIdle(std::chrono::milliseconds after);
   // Asks for no new request on any connection that stands and has not been asked.
   void AskForNoMore();
--- a/src/net/gateway/connection.cpp
+++ b/src/net/gateway/connection.cpp
@@ -97,7 +97,7 @@
   Answer(stream, open.mapped().get(), answer);
 }
 
-void ConnectionSet::Connection::AnswerCheck(std::uint32_t stream, bool good) {
+void ConnectionSet::Connection::AnswerHealthCheck(std::uint32_t stream, bool good) {
   if (checks_.erase(stream) != 0) Write(proto::EncodeHealthResponse(stream, good, set_.signal_));
 }
 
@@ -313,32 +313,32 @@
   ++requests_;
   proto::RequestFrame frame;
   const char* fault = too_long ? "too long" : proto::ParseRequest(payload, frame);
-  const core::ClassCountsPtr counts = set_.events_.counts(frame.kind);
+  const core::ClassCountsPtr counts = set_.events_.counts(frame.class_name);
   if (fault != nullptr) {
     // It never ran, and no other node would read it otherwise.
-    Answer(stream, counts.get(), core::Refused(true));
+    Answer(stream, counts.get(), core::Rejected(true));
     // Guards against a peer that sends such requests without end, and takes the core with them.
     if (++malformed_ >= kMostMalformed) Fault("malformed");
     return;
   }
   if (open_.size() >= kMostOpen) {
-    Answer(stream, counts.get(), core::Refused());
+    Answer(stream, counts.get(), core::Rejected());
     return;
   }
   open_.emplace(stream, counts);
   set_.events_.request({.reply_to = {id_, stream},
-                        .kind = frame.kind,
-                        .req = frame.req,
-                        .arrived = frame.ts,
-                        .timeout = frame.timeout,
-                        .work = frame.work,
+                        .class_name = frame.class_name,
+                        .request_id = frame.request_id,
+                        .arrived_at = frame.sent_at,
+                        .remaining_wait = frame.remaining_wait,
+                        .expected_work = frame.expected_work,
                         .reserved_kb = frame.reserved_kb,
-                        .rank = frame.level,
+                        .rank = frame.rank,
                         .subject = frame.subject,
-                        .key = frame.operation_key,
-                        .owner = frame.owner,
-                        .is_retry = frame.resent,
-                        .caller = frame.via,
+                        .idempotency_key = frame.idempotency_key,
+                        .tenant = frame.tenant,
+                        .is_retry = frame.is_retry,
+                        .caller = frame.caller,
                         .body = frame.body});
 }
 
@@ -348,8 +348,8 @@
   if (counts != nullptr) counts->Count(answer.verdict);
   proto::AnswerCode code = proto::AnswerCode::kFailed;
   if (answer.verdict == core::Verdict::kServed) code = proto::AnswerCode::kServed;
-  if (answer.verdict == core::Verdict::kRefused) code = proto::AnswerCode::kRejected;
-  const proto::AnswerFields fields{set_.signal_, answer.stay_away, answer.try_no_other};
+  if (answer.verdict == core::Verdict::kRejected) code = proto::AnswerCode::kRejected;
+  const proto::AnswerFields fields{set_.signal_, answer.retry_after, answer.no_other_server};
   Write(proto::EncodeAnswerHeader(stream, code, fields, answer.result.size()));
   if (!answer.result.empty()) Write(answer.result);
 }
--- a/src/net/gateway/connection.h
+++ b/src/net/gateway/connection.h
@@ -19,7 +19,7 @@
   void Attach();
 
   void Deliver(std::uint32_t stream, const core::FinalAnswer& answer);
-  void AnswerCheck(std::uint32_t stream, bool good);
+  void AnswerHealthCheck(std::uint32_t stream, bool good);
 
   void AskForNoMore();
   ConnectionSet::Look AsSeen() const;
--- a/src/net/gateway_front.cpp
+++ b/src/net/gateway_front.cpp
@@ -15,11 +15,11 @@
 }  // namespace
 
 GatewayFront::GatewayFront(event_base* base, const sockaddr_in& listen, Descriptor handed_over,
-                           std::size_t most_connections, core::FrontEvents events)
+                           std::size_t most_connections, core::FrontEndEvents events)
     : set_(base, {.request = std::move(events.request),
-                  .gone = std::move(events.gone),
-                  .check = std::move(events.check),
-                  .counts = std::move(events.counts),
+                  .gone = std::move(events.disconnected),
+                  .check = std::move(events.deep_check),
+                  .counts = std::move(events.class_counts),
                   .ended = {},
                   .may_read = {},
                   .reading = {}}),
--- a/src/net/gateway_front.h
+++ b/src/net/gateway_front.h
@@ -12,12 +12,12 @@
   // Listens at once; on a socket that was handed over, from ResumeListening() on. Throws std::runtime_error
   // where it cannot.
   GatewayFront(event_base* base, const sockaddr_in& listen, Descriptor handed_over,
-               std::size_t most_connections, core::FrontEvents events);
+               std::size_t most_connections, core::FrontEndEvents events);
 
-  void Deliver(core::ReplyTo to, const core::FinalAnswer& answer) override { set_.Deliver(to, answer); }
+  void Deliver(core::StreamAddress to, const core::FinalAnswer& answer) override { set_.Deliver(to, answer); }
   void SetHealth(bool good, bool shallow) override { set_.SetHealth(good, shallow); }
-  void AnswerCheck(core::ReplyTo to, bool good) override { set_.AnswerCheck(to, good); }
-  void SetSignal(double value) override { set_.SetSignal(value); }
+  void AnswerHealthCheck(core::StreamAddress to, bool good) override { set_.AnswerHealthCheck(to, good); }
+  void SetLoadSignal(double value) override { set_.SetLoadSignal(value); }
   void CloseIdle(std::chrono::milliseconds after) override { set_.CloseIdle(after); }
   void AskForNoMore() override { set_.AskForNoMore(); }
   void SetMostConnections(std::size_t most, bool shared) override;
--- a/src/net/gateway_side.h
+++ b/src/net/gateway_side.h
@@ -6,12 +6,12 @@
 #include <cstdint>
 #include <vector>
 
-#include "core/front.h"
+#include "core/front_end.h"
 #include "net/connection_set.h"
 
 namespace hingelink::net {
 
-class GatewaySide : public core::Front {
+class GatewaySide : public core::FrontEnd {
  public:
   struct LoopLook {
     std::size_t connections = 0;
--- a/src/net/loop.cpp
+++ b/src/net/loop.cpp
@@ -61,12 +61,12 @@
       set_(base_.get(),
            {.request =
                 [this](const core::IncomingRequest& request) {
-                  ReadRequest read{request, std::string(request.kind), std::string(request.owner),
+                  ReadRequest read{request, std::string(request.class_name), std::string(request.tenant),
                                    std::string(request.body)};
                   told_.Put(std::move(read));
                 },
-            .gone = [this](core::ReplyTo from) { told_.Put(GoneCaller{from}); },
-            .check = [this](core::ReplyTo from) { told_.Put(DeepCheck{from}); },
+            .gone = [this](core::StreamAddress from) { told_.Put(GoneCaller{from}); },
+            .check = [this](core::StreamAddress from) { told_.Put(DeepCheck{from}); },
             .counts =
                 [this](std::string_view kind) {
                   const auto known = classes_->find(std::string(kind));
@@ -175,12 +175,12 @@
 
 void Loop::Do(ToLoop& order) {
   if (auto* answer = std::get_if<GiveAnswer>(&order); answer != nullptr && answer->check) {
-    set_.AnswerCheck(answer->to, *answer->check);
+    set_.AnswerHealthCheck(answer->to, *answer->check);
   } else if (answer != nullptr) {
     core::FinalAnswer final;
     final.verdict = answer->verdict;
-    final.stay_away = answer->stay_away;
-    final.try_no_other = answer->try_no_other;
+    final.retry_after = answer->retry_after;
+    final.no_other_server = answer->no_other_server;
     final.result = answer->result;
     set_.Deliver(answer->to, final);
   } else if (auto* take = std::get_if<TakeConnection>(&order)) {
@@ -195,7 +195,7 @@
     told_.Put(std::move(released));
   } else if (const auto* state = std::get_if<SetState>(&order)) {
     set_.SetHealth(state->healthy, state->shallow);
-    set_.SetSignal(state->signal);
+    set_.SetLoadSignal(state->signal);
   } else if (auto* classes = std::get_if<SetClasses>(&order)) {
     classes_ = std::move(classes->classes);
   } else if (const auto* idle = std::get_if<CloseIdleAfter>(&order)) {
--- a/src/net/loop.h
+++ b/src/net/loop.h
@@ -16,7 +16,7 @@
 #include <variant>
 #include <vector>
 
-#include "core/front.h"
+#include "core/front_end.h"
 #include "decide/connections/connection_balancer.h"
 #include "net/channel.h"
 #include "net/connection_set.h"
@@ -36,10 +36,10 @@
   std::string body;
 };
 struct GoneCaller {
-  core::ReplyTo from;
+  core::StreamAddress from;
 };
 struct DeepCheck {
-  core::ReplyTo from;
+  core::StreamAddress from;
 };
 struct EndedConnection {
   std::uint64_t id = 0;
@@ -65,10 +65,10 @@
 
 // ---- From the node to a loop ----
 struct GiveAnswer {
-  core::ReplyTo to;
+  core::StreamAddress to;
   core::Verdict verdict = core::Verdict::kFailed;
-  bool try_no_other = false;
-  std::optional<std::chrono::milliseconds> stay_away;
+  bool no_other_server = false;
+  std::optional<std::chrono::milliseconds> retry_after;
   std::string result;
   std::optional<bool> check = std::nullopt;  // Where set: the answer to a deep check, and no more than that.
 };
--- a/src/net/loop_group.cpp
+++ b/src/net/loop_group.cpp
@@ -25,7 +25,7 @@
 }  // namespace
 
 LoopGroup::LoopGroup(event_base* base, const sockaddr_in& listen, Descriptor handed_over, Options options,
-                     core::FrontEvents events)
+                     core::FrontEndEvents events)
     : options_(std::move(options)),
       events_(std::move(events)),
       wake_(event_new(
@@ -116,15 +116,15 @@
       [this, at](auto& m) {
         using M = std::decay_t<decltype(m)>;
         if constexpr (std::is_same_v<M, ReadRequest>) {
-          m.request.kind = m.kind;
-          m.request.owner = m.owner;
+          m.request.class_name = m.kind;
+          m.request.tenant = m.owner;
           m.request.body = m.body;
-          m.request.own_body = &m.body;
+          m.request.movable_body = &m.body;
           events_.request(m.request);
         } else if constexpr (std::is_same_v<M, GoneCaller>) {
-          events_.gone(m.from);
+          events_.disconnected(m.from);
         } else if constexpr (std::is_same_v<M, DeepCheck>) {
-          events_.check(m.from);
+          events_.deep_check(m.from);
         } else if constexpr (std::is_same_v<M, EndedConnection>) {
           if (book_.Remove(m.id, at)) CarryOut(door_.OnClosed(Counts()));
         } else if constexpr (std::is_same_v<M, ReleasedConnection>) {
@@ -161,14 +161,14 @@
   for (GiveAnswer& answer : settled->held_answers) Send(settled->loop, std::move(answer));
 }
 
-void LoopGroup::Deliver(core::ReplyTo to, const core::FinalAnswer& answer) {
+void LoopGroup::Deliver(core::StreamAddress to, const core::FinalAnswer& answer) {
   GiveAnswer give{
-      to, answer.verdict, answer.try_no_other, answer.stay_away, std::string(answer.result), std::nullopt};
+      to, answer.verdict, answer.no_other_server, answer.retry_after, std::string(answer.result), std::nullopt};
   if (const auto loop = book_.Route(to.connection, give)) Send(*loop, std::move(give));
 }
 
-void LoopGroup::AnswerCheck(core::ReplyTo to, bool good) {
-  GiveAnswer give{.to = to, .stay_away = {}, .result = {}, .check = good};
+void LoopGroup::AnswerHealthCheck(core::StreamAddress to, bool good) {
+  GiveAnswer give{.to = to, .retry_after = {}, .result = {}, .check = good};
   if (const auto loop = book_.Route(to.connection, give)) Send(*loop, std::move(give));
 }
 
@@ -178,7 +178,7 @@
   from_store_ = shallow;
 }
 
-void LoopGroup::SetSignal(double value) {
+void LoopGroup::SetLoadSignal(double value) {
   state_changed_ = state_changed_ || value != signal_;
   signal_ = value;
 }
--- a/src/net/loop_group.h
+++ b/src/net/loop_group.h
@@ -33,13 +33,13 @@
   // Listens at once; on a socket that was handed over, from ResumeListening() on. Throws std::runtime_error
   // where it cannot.
   LoopGroup(event_base* base, const sockaddr_in& listen, Descriptor handed_over, Options options,
-            core::FrontEvents events);
+            core::FrontEndEvents events);
   ~LoopGroup() override;
 
-  void Deliver(core::ReplyTo to, const core::FinalAnswer& answer) override;
+  void Deliver(core::StreamAddress to, const core::FinalAnswer& answer) override;
   void SetHealth(bool good, bool shallow) override;
-  void AnswerCheck(core::ReplyTo to, bool good) override;
-  void SetSignal(double value) override;
+  void AnswerHealthCheck(core::StreamAddress to, bool good) override;
+  void SetLoadSignal(double value) override;
   void CloseIdle(std::chrono::milliseconds after) override;
   void AskForNoMore() override { Order(LoopOrder::kAskForNoMore); }
   void SetMostConnections(std::size_t most, bool shared) override;
@@ -88,7 +88,7 @@
   std::vector<std::size_t> Counts() const;
 
   Options options_;
-  core::FrontEvents events_;
+  core::FrontEndEvents events_;
   Waker waker_;
   EventPtr wake_;
   Listener listener_;
--- a/src/net/ops_server.cpp
+++ b/src/net/ops_server.cpp
@@ -81,7 +81,7 @@
     const proto::AdminRequest call = proto::ParseAdminRequest(all);
     if (call.state == proto::AdminRequest::State::kNeedMore) return;
     answered_ = true;
-    Send(bev_.get(), call.state == proto::AdminRequest::State::kBad
+    Send(bev_.get(), call.state == proto::AdminRequest::State::kMalformed
                          ? proto::EncodeAdminResponse(400, "bad request\n")
                          : server_.Response(call.method, call.path));
     Consume(bev_.get(), all.size());
--- a/src/net/pool_group.cpp
+++ b/src/net/pool_group.cpp
@@ -165,15 +165,15 @@
 }
 
 void PoolGroup::Finished(Id id, const proto::RunFinished& run) {
-  const auto it = sent_.find(run.req);
+  const auto it = sent_.find(run.request_id);
   // Of a run that has ended elsewhere, or told again by a pool to a link that is new here.
   if (it == sent_.end()) return;
   const Sent& sent = it->second;
   if (sent.service == id) {
     const RequestOutcome how =
-        run.end == proto::RunEnd::kComplete ? RequestOutcome::kSuccess : RequestOutcome::kError;
+        run.outcome == proto::RunOutcome::kComplete ? RequestOutcome::kSuccess : RequestOutcome::kError;
     spread_.OnRequestFinished(Now(), id, sent.run, how, run.elapsed);
-  } else if (run.end != proto::RunEnd::kComplete) {
+  } else if (run.outcome != proto::RunOutcome::kComplete) {
     // Where it was before it was moved: that it failed there decides nothing.
     return;
   } else {
@@ -184,13 +184,13 @@
 }
 
 void PoolGroup::Blocked(Id id, const proto::RunBlocked& run) {
-  const auto it = sent_.find(run.req);
+  const auto it = sent_.find(run.request_id);
   if (it != sent_.end() && it->second.service == id) {
     if (events_.blocked) events_.blocked(run);
     return;
   }
   // A run that went on elsewhere makes no call here: what it asks for may be made once.
-  if (Service& service = services_[id]; service.link) service.link->Pass(run.req, run.number);
+  if (Service& service = services_[id]; service.link) service.link->Pass(run.request_id, run.notice_number);
 }
 
 PoolSide::Mark PoolGroup::AtItsService(std::uint64_t req, const std::function<Mark(PoolLink&)>& send) {
@@ -337,8 +337,8 @@
   }
   for (const std::uint64_t req : lost) {
     proto::RunFinished failed;
-    failed.req = req;
-    failed.end = proto::RunOutcome::kError;
+    failed.request_id = req;
+    failed.outcome = proto::RunOutcome::kError;
     Finished(sent_.at(req).service, failed);
   }
 }
--- a/src/net/pool_link.cpp
+++ b/src/net/pool_link.cpp
@@ -127,7 +127,7 @@
 
 bool PoolLink::Take(const proto::PoolMessage& message) {
   if (const auto* bad = std::get_if<proto::MalformedMessage>(&message)) {
-    Lose(bad->why);
+    Lose(bad->reason);
     return false;
   }
   if (const auto* bound = std::get_if<proto::BindAcknowledged>(&message)) {
@@ -138,9 +138,9 @@
     Ask();
     barrier_ = polls_;
   } else if (const auto* finished = std::get_if<proto::RunFinished>(&message)) {
-    if (IsNew(finished->number)) events_.finished(*finished);
+    if (IsNew(finished->notice_number)) events_.finished(*finished);
   } else if (const auto* blocked = std::get_if<proto::RunBlocked>(&message)) {
-    if (IsNew(blocked->number) && events_.blocked) events_.blocked(*blocked);
+    if (IsNew(blocked->notice_number) && events_.blocked) events_.blocked(*blocked);
   } else if (const auto* verified = std::get_if<proto::RoundTripVerified>(&message)) {
     const auto tag = proto::Tokenizer(verified->tag).Number<std::uint64_t>();
     if (tag && events_.verified) events_.verified(*tag, verified->good);
@@ -155,10 +155,10 @@
     settled_ = settled_ || (bound_ && tag >= barrier_);
     if (watch_.polled) watch_.polled();
   } else if (const auto* unknown = std::get_if<proto::UnknownCommand>(&message)) {
-    log::PeerEvent("pool-unknown", {{"req", proto::FormatRequestId(unknown->req)}});
-    if (unknown->command == "spawn") events_.spawn_unknown(unknown->req);
+    log::PeerEvent("pool-unknown", {{"req", proto::FormatRequestId(unknown->request_id)}});
+    if (unknown->command == "spawn") events_.spawn_unknown(unknown->request_id);
   } else if (const auto* chatter = std::get_if<proto::PoolRemark>(&message)) {
-    IsNew(chatter->number);
+    IsNew(chatter->notice_number);
     in_remark_ = chatter->is_partial;
   }
   return true;
--- a/src/net/registry_client.cpp
+++ b/src/net/registry_client.cpp
@@ -85,11 +85,11 @@
 void RegistryClient::Read() {
   const proto::HttpResponse response = proto::ParseHttpResponse(Arrived(bev_.get()));
   if (response.state == proto::HttpResponse::State::kNeedMore) return;
-  if (response.state == proto::HttpResponse::State::kBad || !waiting_) {
+  if (response.state == proto::HttpResponse::State::kMalformed || !waiting_) {
     Drop("bad-response");
     return;
   }
-  Consume(bev_.get(), response.size);
+  Consume(bev_.get(), response.total_bytes);
   if (response.status >= 100 && response.status < 200) return Read();
   if (response.status != kNoContent) {
     Drop("status");
@@ -99,7 +99,7 @@
   failing_ = waiting_ = false;
   reported_ = true;
   overdue_.Stop();
-  if (response.close) Retire("response-closes");
+  if (response.closes_connection) Retire("response-closes");
   next_.After(report_next_ ? Steady::duration(0) : kPeriod);
   report_next_ = false;
 }
--- a/src/net/store/store_client.cpp
+++ b/src/net/store/store_client.cpp
@@ -247,18 +247,18 @@
 }
 
 void StoreClient::Took(StoreConnection& connection, const proto::StoreReply& reply) {
-  const auto it = calls_.find(reply.req);
+  const auto it = calls_.find(reply.request_id);
   // Of a call that was given up, or was made anew since.
   if (it == calls_.end() || it->second.on != &connection) return;
   backoff_.OnSuccess();
-  if (reply.kind != proto::ReplyKind::kBusy && reply.kind != proto::ReplyKind::kVoid) {
+  if (reply.status != proto::StoreReplyStatus::kBusy && reply.status != proto::StoreReplyStatus::kNotRun) {
     ++replies_;
     silence_.OnReply(Steady::now() - it->second.since);
   }
   if (std::exchange(failing_, false)) log::Info("store-answers-again");
-  connection.Over(reply.req, false);
+  connection.Over(reply.request_id, false);
   Outcome outcome = Outcome::kError;
-  switch (reply.kind) {
+  switch (reply.status) {
     case proto::StoreReplyStatus::kOk:
       ++counts_.ok;
       outcome = Outcome::kOk;
@@ -267,14 +267,14 @@
       ++counts_.busy;
       outcome = Outcome::kFull;
       break;
-    case proto::StoreReplyStatus::kErr:
+    case proto::StoreReplyStatus::kError:
       ++counts_.errors;
       break;
-    case proto::StoreReplyStatus::kLate:
+    case proto::StoreReplyStatus::kTimedOut:
       ++counts_.late;
       outcome = Outcome::kTimeout;
       break;
-    case proto::StoreReplyStatus::kVoid:
+    case proto::StoreReplyStatus::kNotRun:
       ++counts_.refused;
       outcome = Outcome::kConnectFailed;
       break;
--- a/src/net/store/store_connection.cpp
+++ b/src/net/store/store_connection.cpp
@@ -120,7 +120,7 @@
     const proto::StoreMessage message = proto::ParseStoreReply(Arrived(bev_.get()), size);
     if (std::holds_alternative<proto::IncompleteStoreReply>(message)) return;
     if (const auto* bad = std::get_if<proto::MalformedStoreReply>(&message)) {
-      log::PeerEvent("store-bad-line", {{"what", bad->why}});
+      log::PeerEvent("store-bad-line", {{"what", bad->reason}});
       events_.lost(*this);
       return;
     }
--- a/src/node/checks/deep_checks.cpp
+++ b/src/node/checks/deep_checks.cpp
@@ -14,7 +14,7 @@
 DeepChecks::DeepChecks(event_base* base, Ends ends)
     : ends_(std::move(ends)), due_(base, [this] { CarryOut(decide_.ExpireWaiting(Now())); }) {}
 
-void DeepChecks::Ask(core::ReplyTo from) { CarryOut(decide_.OnCheck(from, Now())); }
+void DeepChecks::Ask(core::StreamAddress from) { CarryOut(decide_.OnCheck(from, Now())); }
 
 void DeepChecks::Verified(std::uint64_t tag, bool good) { CarryOut(decide_.OnVerified(tag, good)); }
 
--- a/src/node/checks/deep_checks.h
+++ b/src/node/checks/deep_checks.h
@@ -5,7 +5,7 @@
 #include <cstdint>
 #include <functional>
 
-#include "core/front.h"
+#include "core/front_end.h"
 #include "decide/health/deep_health_checks.h"
 #include "net/event.h"
 
@@ -15,12 +15,12 @@
  public:
   struct Ends {
     std::function<bool(std::uint64_t tag)> verify;  // False where nothing carries commands just now.
-    std::function<void(core::ReplyTo to, bool good)> answer;
+    std::function<void(core::StreamAddress to, bool good)> answer;
   };
   DeepChecks(event_base* base, Ends ends);
 
-  void Ask(core::ReplyTo from);
-  void Left(core::ReplyTo from) { decide_.OnCallerDisconnected(from); }
+  void Ask(core::StreamAddress from);
+  void Left(core::StreamAddress from) { decide_.OnCallerDisconnected(from); }
   void Verified(std::uint64_t tag, bool good);
   // The pool's link has settled.
   void Rebound();
@@ -28,7 +28,7 @@
   std::size_t asking() const { return decide_.waiting(); }
 
  private:
-  using Decide = decide::DeepHealthChecks<core::ReplyTo>;
+  using Decide = decide::DeepHealthChecks<core::StreamAddress>;
   void CarryOut(const Decide::Actions& steps);
 
   Ends ends_;
--- a/src/node/keys/key_table.cpp
+++ b/src/node/keys/key_table.cpp
@@ -17,14 +17,14 @@
          record.fate != KeyFate::kRuns;
 }
 
-bool KeyTable::Fits(const OperationKey& key, std::uint64_t content, Time arrived) {
+bool KeyTable::Fits(const IdempotencyKey& key, std::uint64_t content, Time arrived) {
   const auto it = records_.find(key);
   if (it == records_.end() || Over(it->second, arrived) || it->second.content == content) return true;
   ++counts_.mismatched;
   return false;
 }
 
-KeyTable::Id KeyTable::Arrive(const OperationKey& key, std::uint64_t content, Id id, Time arrived, Time now) {
+KeyTable::Id KeyTable::Arrive(const IdempotencyKey& key, std::uint64_t content, Id id, Time arrived, Time now) {
   Expire(now);
   const auto it = records_.find(key);
   if (it != records_.end() && Over(it->second, arrived)) {
@@ -49,7 +49,7 @@
   return 0;
 }
 
-bool KeyTable::Keep(const OperationKey& key, Id id, Millis ttl, Millis late, Time now) {
+bool KeyTable::Keep(const IdempotencyKey& key, Id id, Millis ttl, Millis late, Time now) {
   const auto it = records_.find(key);
   if (it == records_.end() || (it->second.fate != KeyFate::kHeld && it->second.holder != id)) return false;
   if (records_.size() > limits_.most_keys) {
@@ -66,11 +66,11 @@
   return true;
 }
 
-std::optional<OperationKey> KeyTable::Drop(Id id) {
+std::optional<IdempotencyKey> KeyTable::Drop(Id id) {
   // Guards against a second run, whatever the module says of a key that has run: it is not here any more.
   const auto held = held_.find(id);
   if (held == held_.end()) return std::nullopt;
-  const OperationKey key = held->second;
+  const IdempotencyKey key = held->second;
   held_.erase(held);
   const auto it = records_.find(key);
   if (it->second.tries.empty()) {
@@ -82,7 +82,7 @@
   return key;
 }
 
-bool KeyTable::Start(const OperationKey& key, Id id) {
+bool KeyTable::Start(const IdempotencyKey& key, Id id) {
   const auto it = records_.find(key);
   if (it == records_.end() || it->second.holder != id || !it->second.kept ||
       it->second.fate != KeyFate::kHeld) {
@@ -93,19 +93,19 @@
   return true;
 }
 
-bool KeyTable::MayHaveRun(const OperationKey& key) const {
+bool KeyTable::MayHaveRun(const IdempotencyKey& key) const {
   const auto it = records_.find(key);
   return it != records_.end() && it->second.fate != KeyFate::kHeld;
 }
 
-void KeyTable::End(const OperationKey& key, Id id, bool good, std::string_view result) {
+void KeyTable::End(const IdempotencyKey& key, Id id, bool good, std::string_view result) {
   const auto it = records_.find(key);
   if (it == records_.end() || it->second.holder != id || it->second.fate != KeyFate::kRuns) return;
   it->second.fate = good ? KeyFate::kServed : KeyFate::kFailed;
   if (good) SetResult(key, it->second, result);
 }
 
-void KeyTable::Leave(const OperationKey& key, Id id) {
+void KeyTable::Leave(const IdempotencyKey& key, Id id) {
   const auto it = records_.find(key);
   if (it == records_.end()) return;
   Record& record = it->second;
@@ -116,7 +116,7 @@
   }
 }
 
-KeyTable::Replay KeyTable::Look(const OperationKey& key, const std::string** result) const {
+KeyTable::Replay KeyTable::Look(const IdempotencyKey& key, const std::string** result) const {
   const auto it = records_.find(key);
   if (it == records_.end()) return Replay::kFailed;
   const Record& record = it->second;
@@ -137,7 +137,7 @@
   return alive ? Replay::kWait : Replay::kFailed;
 }
 
-KeyNews KeyTable::Of(const OperationKey& key, Time now) const {
+KeyNews KeyTable::Of(const IdempotencyKey& key, Time now) const {
   const auto it = records_.find(key);
   // Nothing of it is left: its try never ran.
   if (it == records_.end())
@@ -193,7 +193,7 @@
   return record.fate == KeyFate::kServed || record.fate == KeyFate::kFailed;
 }
 
-std::vector<KeyTable::Id> KeyTable::Repeats(const OperationKey& key) const {
+std::vector<KeyTable::Id> KeyTable::Repeats(const IdempotencyKey& key) const {
   const auto it = records_.find(key);
   if (it == records_.end()) return {};
   std::vector<Id> tries = it->second.tries;
@@ -201,8 +201,8 @@
   return tries;
 }
 
-std::vector<OperationKey> KeyTable::OthersEnded() {
-  std::vector<OperationKey> settled;
+std::vector<IdempotencyKey> KeyTable::OthersEnded() {
+  std::vector<IdempotencyKey> settled;
   for (auto& [key, record] : records_) {
     if (record.holder < kElsewhere || record.fate == KeyFate::kServed || record.fate == KeyFate::kFailed) {
       continue;
@@ -217,7 +217,7 @@
 
 void KeyTable::Expire(Time now) {
   while (!by_end_.empty() && by_end_.begin()->first < now) {
-    const OperationKey key = by_end_.begin()->second;
+    const IdempotencyKey key = by_end_.begin()->second;
     const auto it = records_.find(key);
     Record& record = it->second;
     if (record.fate == KeyFate::kRuns || !record.tries.empty()) {
@@ -229,7 +229,7 @@
   }
 }
 
-void KeyTable::SetForget(const OperationKey& key, Record& record, Time forget) {
+void KeyTable::SetForget(const IdempotencyKey& key, Record& record, Time forget) {
   by_end_.erase({record.forget, key});
   if (record.result) {
     results_.erase({record.forget, key});
@@ -239,7 +239,7 @@
   by_end_.insert({forget, key});
 }
 
-void KeyTable::SetResult(const OperationKey& key, Record& record, std::string_view result) {
+void KeyTable::SetResult(const IdempotencyKey& key, Record& record, std::string_view result) {
   DropResult(record);
   results_.erase({record.forget, key});
   record.result = result;
--- a/src/node/keys/key_table.h
+++ b/src/node/keys/key_table.h
@@ -25,18 +25,18 @@
 #include <utility>
 #include <vector>
 
-#include "core/front.h"
+#include "core/front_end.h"
 #include "hingelink/server_policy.h"
 
 namespace hingelink::node {
 
-using core::OperationKey;
+using core::IdempotencyKey;
 
 enum class KeyFate { kHeld, kRuns, kServed, kFailed };
 
 // A key as one process of the node tells another of it.
 struct KeyNews {
-  OperationKey key;
+  IdempotencyKey key;
   std::uint64_t content = 0;
   KeyFate fate = KeyFate::kHeld;
   std::chrono::duration<double, std::milli> left{0};  // Until its window is over.
@@ -67,41 +67,41 @@
 
   // ---- Arrivals ----
   // Whether a try of this key with this content (a hash of its class and body) is one of the same request.
-  bool Fits(const OperationKey& key, std::uint64_t content, Time arrived);
+  bool Fits(const IdempotencyKey& key, std::uint64_t content, Time arrived);
   // The try that one arriving now repeats, or 0 where there is none and `id` is the first. `arrived`: when it
   // came to the machine, which may lie before `now`. Each id is told once, and before any action on it.
-  Id Arrive(const OperationKey& key, std::uint64_t content, Id id, Time arrived, Time now);
+  Id Arrive(const IdempotencyKey& key, std::uint64_t content, Id id, Time arrived, Time now);
 
   // ---- The module's actions, and what became of tries ----
   // False where there is no room. `late`: how long past its time a try may still be read.
-  bool Keep(const OperationKey& key, Id id, Millis ttl, Millis late, Time now);
+  bool Keep(const IdempotencyKey& key, Id id, Millis ttl, Millis late, Time now);
   // Its request may be over by then. The key, where one was let go.
-  std::optional<OperationKey> Drop(Id id);
+  std::optional<IdempotencyKey> Drop(Id id);
   // Whether `id` may run: it holds the key, kept, and no try has run.
-  bool Start(const OperationKey& key, Id id);
-  void End(const OperationKey& key, Id id, bool good, std::string_view result);
+  bool Start(const IdempotencyKey& key, Id id);
+  void End(const IdempotencyKey& key, Id id, bool good, std::string_view result);
   // The try is no longer in hand.
-  void Leave(const OperationKey& key, Id id);
+  void Leave(const IdempotencyKey& key, Id id);
 
-  bool MayHaveRun(const OperationKey& key) const;
+  bool MayHaveRun(const IdempotencyKey& key) const;
   // What a repeat is answered with.
   enum class Replay { kWait, kResult, kFailed };
-  Replay Look(const OperationKey& key, const std::string** result) const;
+  Replay Look(const IdempotencyKey& key, const std::string** result) const;
   void CountReplay() { ++counts_.replayed; }
 
   // ---- Other processes of this node ----
   // All that is known of the keys of this process.
   void Tell(Time now, const std::function<void(const KeyNews&)>& each) const;
-  KeyNews Of(const OperationKey& key, Time now) const;
+  KeyNews Of(const IdempotencyKey& key, Time now) const;
   // Takes in what another process tells. True where tries that wait for the key can now be answered.
   bool Hear(const KeyNews& news, Millis late, Time now);
   // The others have ended: what they still had in hand may have run, and fails. The keys whose tries can now
   // be answered, in order.
-  std::vector<OperationKey> OthersEnded();
+  std::vector<IdempotencyKey> OthersEnded();
   // Whether another process has this key, or had it.
-  bool IsKnown(const OperationKey& key) const { return records_.count(key) != 0; }
+  bool IsKnown(const IdempotencyKey& key) const { return records_.count(key) != 0; }
   // The tries of a key that are in hand, but for its holder.
-  std::vector<Id> Repeats(const OperationKey& key) const;
+  std::vector<Id> Repeats(const IdempotencyKey& key) const;
 
   void Expire(Time now);
 
@@ -121,21 +121,21 @@
     std::vector<Id> tries;  // In hand.
   };
   struct Hash {
-    std::size_t operator()(const OperationKey& key) const { return absl::HashOf(key.high, key.low); }
+    std::size_t operator()(const IdempotencyKey& key) const { return absl::HashOf(key.high, key.low); }
   };
-  using Records = absl::flat_hash_map<OperationKey, Record, Hash>;
+  using Records = absl::flat_hash_map<IdempotencyKey, Record, Hash>;
 
   bool Over(const Record& record, Time arrived) const;
-  void SetForget(const OperationKey& key, Record& record, Time forget);
-  void SetResult(const OperationKey& key, Record& record, std::string_view result);
+  void SetForget(const IdempotencyKey& key, Record& record, Time forget);
+  void SetResult(const IdempotencyKey& key, Record& record, std::string_view result);
   void DropResult(Record& record);
   void Erase(Records::iterator it);
 
   Limits limits_;
   Records records_;
-  absl::flat_hash_map<Id, OperationKey> held_;  // By their holders: keys kept of which no try has started.
-  std::set<std::pair<Time, OperationKey>> by_end_;
-  std::set<std::pair<Time, OperationKey>> results_;  // Of those with a result, by the end of their windows.
+  absl::flat_hash_map<Id, IdempotencyKey> held_;  // By their holders: keys kept of which no try has started.
+  std::set<std::pair<Time, IdempotencyKey>> by_end_;
+  std::set<std::pair<Time, IdempotencyKey>> results_;  // Of those with a result, by the end of their windows.
   std::size_t bytes_ = 0;
   Id last_elsewhere_ = kElsewhere;
   Counts counts_;
--- a/src/node/metrics.cpp
+++ b/src/node/metrics.cpp
@@ -56,7 +56,7 @@
     ClassCounts sum{.name = shown->name};
     for (const ClassCountsPtr& one : shown->counts) {
       sum.served += one->served;
-      sum.refused += one->refused;
+      sum.rejected += one->rejected;
       sum.failed += one->failed;
     }
     sums.push_back(std::move(sum));
@@ -111,7 +111,7 @@
           sample(MetricType::Counter, {{"tier", c.name}, {"code", code}}, static_cast<double>(value)));
     };
     add("success", c.served);
-    add("busy", c.refused);
+    add("busy", c.rejected);
     add("failure", c.failed);
   }
   plain("backend_calls", MetricType::Counter, "Runs handed to the worker pool.", runs_);
--- a/src/node/metrics.h
+++ b/src/node/metrics.h
@@ -11,7 +11,7 @@
 #include <unordered_map>
 #include <vector>
 
-#include "core/front.h"
+#include "core/front_end.h"
 #include "hingelink/server_policy.h"
 #include "node/snapshot.h"
 
@@ -21,11 +21,11 @@
 using core::ClassCountsPtr;
 using core::Failed;
 using core::FinalAnswer;
-using core::Front;
+using core::FrontEnd;
 using core::IncomingRequest;
 using core::Millis;
-using core::Refused;
-using core::ReplyTo;
+using core::Rejected;
+using core::StreamAddress;
 using core::Served;
 using core::UnixTime;
 
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -80,11 +80,11 @@
           [this](std::uint64_t req, std::string_view kind, std::string_view body) {
             return pool_->Spawn(req, kind, body);
           },
-          Below(), KeyLimits(), [this](const core::OperationKey& key) { TellKey(key); }),
+          Below(), KeyLimits(), [this](const core::IdempotencyKey& key) { TellKey(key); }),
       pool_(MakePool(make_pool)),
       checks_(base_.get(),
               {.verify = [this](std::uint64_t tag) { return pool_->Verify(tag); },
-               .answer = [this](core::ReplyTo to, bool good) { front_->AnswerCheck(to, good); }}),
+               .answer = [this](core::StreamAddress to, bool good) { front_->AnswerHealthCheck(to, good); }}),
       registry_(base_.get(), net::ParseAddress(config_.registry), config_.registry, config_.name),
       timer_(
           base_.get(),
@@ -120,9 +120,9 @@
   net::PoolEvents events;
   events.bound = [this](bool warming_up) { Bound(warming_up); };
   events.finished = [this](const proto::RunFinished& run) {
-    table_.Finished({run.req, ToOutcome(run.end), run.elapsed, run.result});
+    table_.Finished({run.request_id, ToOutcome(run.outcome), run.elapsed, run.result});
   };
-  events.blocked = [this](const proto::RunBlocked& run) { table_.Blocked(run.req, run.number, run.body); };
+  events.blocked = [this](const proto::RunBlocked& run) { table_.Blocked(run.request_id, run.notice_number, run.body); };
   events.spawn_unknown = [this](std::uint64_t req) { table_.SpawnUnknown(req); };
   events.verified = [this](std::uint64_t tag, bool good) { checks_.Verified(tag, good); };
   events.settled = [this] {
@@ -186,14 +186,14 @@
   const sockaddr_in listen = net::ParseAddress(config_.listen);
   const auto sockets = static_cast<std::size_t>(config_.sockets);
   const std::size_t most = sockets > reserved() ? sockets - reserved() : 1;
-  core::FrontEvents events{.request = [this](const IncomingRequest& request) { Take(request); },
-                           .gone =
-                               [this](ReplyTo from) {
+  core::FrontEndEvents events{.request = [this](const IncomingRequest& request) { Take(request); },
+                           .disconnected =
+                               [this](StreamAddress from) {
                                  table_.CallerDisconnected(from);
                                  checks_.Left(from);
                                },
-                           .check = [this](ReplyTo from) { checks_.Ask(from); },
-                           .counts = [this](std::string_view kind) { return metrics_.Of(kind); }};
+                           .deep_check = [this](StreamAddress from) { checks_.Ask(from); },
+                           .class_counts = [this](std::string_view kind) { return metrics_.Of(kind); }};
   if (loops() == 0) {
     return std::make_unique<net::GatewayFront>(base_.get(), listen, handover_.TakeListener(), most,
                                                std::move(events));
@@ -219,7 +219,7 @@
     table_.Take(request);
   } else {
     // Without a worker pool nothing can run; without a module, before and after its life, nothing is held.
-    front_->Deliver(request.reply_to, Refused());
+    front_->Deliver(request.reply_to, Rejected());
   }
 }
 
@@ -338,7 +338,7 @@
         } else if constexpr (std::is_same_v<A, hingelink::SetHealth>) {
           front_->SetHealth(a.healthy, a.shallow);
         } else if constexpr (std::is_same_v<A, hingelink::PublishLoadSignal>) {
-          front_->SetSignal(a.value);
+          front_->SetLoadSignal(a.value);
         } else if constexpr (std::is_same_v<A, hingelink::CloseIdle>) {
           const double ms = a.after_ms > 0 ? a.after_ms : config_.settings.caller_idle_timeout_ms;
           front_->CloseIdle(std::chrono::milliseconds(static_cast<std::int64_t>(ms)));
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -110,7 +110,7 @@
   // What is known of their keys has changed; a key of this process has; another tells of one of its own.
   void SeeKeys();
   void TellKeys(const net::Handover::EachKey& each) const;
-  void TellKey(const core::OperationKey& key);
+  void TellKey(const core::IdempotencyKey& key);
   void HearKey(const proto::KeyMessage& line, std::string_view result);
   std::string Figures() const;
   void Turn(Joined::Turn turn);
--- a/src/node/node_look.cpp
+++ b/src/node/node_look.cpp
@@ -41,12 +41,12 @@
     const auto count = in_hand.classes.extract(counts.name);
     const RequestTable::InHand::Count open = count.empty() ? RequestTable::InHand::Count{} : count.mapped();
     seen.classes.push_back(
-        {counts.name, open.held, open.running, counts.served, counts.refused, counts.failed});
+        {counts.name, open.held, open.running, counts.served, counts.rejected, counts.failed});
   }
   for (const auto& [via, counts] : metrics_.gateways()) {
     const auto open = in_hand.open_by_gateway.find(via);
     seen.gateways.push_back({via, open == in_hand.open_by_gateway.end() ? 0 : open->second, counts.requests,
-                             counts.answers.served, counts.answers.refused, counts.answers.failed});
+                             counts.answers.served, counts.answers.rejected, counts.answers.failed});
   }
   seen.gateways_known = seen.gateways.size();
   std::sort(seen.gateways.begin(), seen.gateways.end(),
--- a/src/node/node_others.cpp
+++ b/src/node/node_others.cpp
@@ -61,7 +61,7 @@
   table_.keys().Tell(Steady::now(), [&each](const KeyNews& news) { each(LineOf(news), ResultOf(news)); });
 }
 
-void Node::TellKey(const core::OperationKey& key) {
+void Node::TellKey(const core::IdempotencyKey& key) {
   if (!handed_over_) return;
   const KeyNews news = table_.keys().Of(key, Steady::now());
   handover_.TellKey(LineOf(news), ResultOf(news));
@@ -69,9 +69,9 @@
 
 void Node::HearKey(const proto::KeyMessage& line, std::string_view result) {
   KeyNews news{.key = line.key,
-               .content = line.content,
-               .fate = static_cast<KeyFate>(line.fate),
-               .left = line.left,
+               .content = line.content_hash,
+               .fate = static_cast<KeyFate>(line.state),
+               .left = line.remaining,
                .result = std::nullopt};
   if (line.has_result) news.result = result;
   table_.Hear(news);
@@ -104,8 +104,8 @@
   const decide::LearnedRecord remembered{config_.name,
                                          std::chrono::milliseconds(0),
                                          config_.settings.cores,
-                                         {{line.name, line.aim, line.deadline}},
-                                         {{{line.name, line.run, line.cost, line.hint, line.samples}}}};
+                                         {{line.name, line.latency_objective_ms, line.deadline_ms}},
+                                         {{{line.name, line.run_ms, line.core_time_ms, line.expected_work_ms, line.samples}}}};
   Recall(decide::ImportLearnedRecord(remembered, config_.name, std::chrono::milliseconds(0), config_.settings)
              .learned);
 }
--- a/src/node/request_table.cpp
+++ b/src/node/request_table.cpp
@@ -30,7 +30,7 @@
 
 }  // namespace
 
-RequestTable::RequestTable(const hingelink::Settings& settings, Front& front, Metrics& metrics, Spawn spawn,
+RequestTable::RequestTable(const hingelink::Settings& settings, FrontEnd& front, Metrics& metrics, Spawn spawn,
                            Calls::Below below, KeyTable::Limits keys, KeyChanged key_changed)
     : settings_(settings),
       front_(front),
@@ -87,52 +87,52 @@
 }
 
 void RequestTable::Take(const IncomingRequest& request) {
-  const auto cls = classes_.find(request.kind);
+  const auto cls = classes_.find(request.class_name);
   if (cls == classes_.end()) {
-    front_.Deliver(request.reply_to, Refused());
+    front_.Deliver(request.reply_to, Rejected());
     return;
   }
   // What the settings say every request has. Guards against a keyed request that nothing would tell from its
   // repeats, and against one that no share bounds.
   const bool keyed = cls->second->idempotency == hingelink::Idempotency::kKeyed;
-  const auto tenant = tenants_.find(std::string(request.owner));
-  if ((keyed && !request.key) || (settings_.callers_send_remaining_wait && !request.timeout) ||
+  const auto tenant = tenants_.find(std::string(request.tenant));
+  if ((keyed && !request.idempotency_key) || (settings_.callers_send_remaining_wait && !request.remaining_wait) ||
       (!tenants_.empty() && tenant == tenants_.end())) {
-    front_.Deliver(request.reply_to, Refused(true));
+    front_.Deliver(request.reply_to, Rejected(true));
     return;
   }
   // Guards against a second run of one try: it is never told apart from the first at the pool. Failed, as a
   // refusal would promise that no try of this id ever ran.
-  if (by_req_.count(request.req) != 0 || recent_.count(request.req) != 0) {
+  if (by_req_.count(request.request_id) != 0 || recent_.count(request.request_id) != 0) {
     front_.Deliver(request.reply_to, Failed());
     return;
   }
   const hingelink::RequestId id = ++last_id_;
   Entry& entry = entries_[id];
   entry.reply_to = request.reply_to;
-  entry.req = request.req;
+  entry.req = request.request_id;
   entry.caller = request.caller;
   entry.cls = cls->second;
-  if (request.own_body != nullptr) {
-    entry.body = std::move(*request.own_body);
+  if (request.movable_body != nullptr) {
+    entry.body = std::move(*request.movable_body);
   } else {
     entry.body = request.body;
   }
   entry.subject = request.subject;
-  if (keyed) entry.key = request.key;
+  if (keyed) entry.key = request.idempotency_key;
   if (Shares(entry)) {
     entry.original = reads_.Fresh({entry.cls->id, entry.subject}, std::chrono::steady_clock::now(),
                                   Millis(settings_.read_cache_ttl_ms),
                                   [this](auto open) { return entries_.count(open) != 0; });
   }
-  by_req_[request.req] = id;
+  by_req_[request.request_id] = id;
   waiting_[request.reply_to] = id;
   metrics_.CountRequest(request.caller);
   hingelink::Arrival arrival;
   arrival.id = id;
   arrival.original = entry.original;
   arrival.reserved_kb = request.reserved_kb;
-  arrival.expected_work_ms = request.work.count();
+  arrival.expected_work_ms = request.expected_work.count();
   arrival.subject = request.subject;
   arrival.rank = request.rank;
   arrival.caller = request.caller;
@@ -140,8 +140,8 @@
   arrival.is_retry = request.is_retry;
   arrival.request_class = cls->second->place;
   events_.emplace_back(arrival);
-  const auto timeout = std::chrono::duration_cast<UnixTime::duration>(request.timeout.value_or(Millis(0)));
-  arrivals_.push_back({request.arrived, request.arrived + timeout});
+  const auto timeout = std::chrono::duration_cast<UnixTime::duration>(request.remaining_wait.value_or(Millis(0)));
+  arrivals_.push_back({request.arrived_at, request.arrived_at + timeout});
 }
 
 // Guards against a try that waits for the word of a predecessor for longer than its caller waits for an
@@ -200,8 +200,8 @@
   const std::uint64_t content = ContentOf(entry.cls->name, entry.body);
   std::optional<FinalAnswer> answer;
   if (others_ == Others::kNever) {
-    answer = Refused();
-    if (settings_.sends_retry_after) answer->stay_away = kKeysUnknown;
+    answer = Rejected();
+    if (settings_.sends_retry_after) answer->retry_after = kKeysUnknown;
   } else if ((others_ == Others::kElsewhere && !keys_.IsKnown(*entry.key)) ||
              !keys_.Fits(*entry.key, content, came)) {
     // It may run in another process, or it is another request under a key that is taken. Failed: a refusal
@@ -217,7 +217,7 @@
   return true;
 }
 
-void RequestTable::CallerDisconnected(ReplyTo from) {
+void RequestTable::CallerDisconnected(StreamAddress from) {
   const auto waiting = waiting_.find(from);
   if (waiting == waiting_.end()) return;
   const auto it = entries_.find(waiting->second);
@@ -241,13 +241,13 @@
       break;
     case Outcome::kNotStarted:
       // Nothing was started by the last spawn; an earlier one may have been.
-      Answer(it, it->second.spawns > 1 ? Failed() : Refused());
+      Answer(it, it->second.spawns > 1 ? Failed() : Rejected());
       break;
     default:
       Answer(it, Failed());
   }
   calls_.Over(run.req);
-  const std::optional<OperationKey> key = it->second.key;
+  const std::optional<IdempotencyKey> key = it->second.key;
   if (key) keys_.End(*key, it->first, run.outcome == Outcome::kOk, run.result);
   Leave(it);
   if (!key) return;
--- a/src/node/request_table.h
+++ b/src/node/request_table.h
@@ -20,7 +20,7 @@
 #include <utility>
 #include <vector>
 
-#include "core/front.h"
+#include "core/front_end.h"
 #include "hingelink/server_policy.h"
 #include "node/calls.h"
 #include "node/keys/key_table.h"
@@ -46,9 +46,9 @@
   using Spawn = std::function<Mark(std::uint64_t req, std::string_view kind, std::string_view body)>;
 
   // A key of this process has changed what it stands for.
-  using KeyChanged = std::function<void(const OperationKey&)>;
+  using KeyChanged = std::function<void(const IdempotencyKey&)>;
 
-  RequestTable(const hingelink::Settings& settings, Front& front, Metrics& metrics, Spawn spawn,
+  RequestTable(const hingelink::Settings& settings, FrontEnd& front, Metrics& metrics, Spawn spawn,
                Calls::Below below, KeyTable::Limits keys, KeyChanged key_changed);
 
   // The settings have changed: their classes hold for what comes from now on. The events must have been
@@ -57,7 +57,7 @@
 
   // ---- What came; each adds what the module must know to events(). ----
   void Take(const IncomingRequest& request);
-  void CallerDisconnected(ReplyTo from);
+  void CallerDisconnected(StreamAddress from);
   void Finished(const RunResult& run);
   // A run stands at a call, and: a call has ended.
   void Blocked(std::uint64_t req, std::uint64_t notice, std::string_view body);
@@ -123,7 +123,7 @@
   };
   using ClassPtr = std::shared_ptr<const Class>;
   struct Entry {
-    ReplyTo reply_to;
+    StreamAddress reply_to;
     std::uint64_t req = 0;
     std::uint32_t caller = 0;
     ClassPtr cls;
@@ -135,14 +135,14 @@
     Mark mark = kNeverSent;
     std::uint64_t subject = 0;
     hingelink::RequestId original = 0;
-    std::optional<OperationKey> key;  // In keyed classes.
+    std::optional<IdempotencyKey> key;  // In keyed classes.
     bool replaying = false;           // It waits for what comes of another try.
   };
   // Flat tables: a request is entered in four of them and taken out again, and a node of its own in each is a
   // malloc and a free. Entering one moves others; taking one out does not.
   using Entries = absl::flat_hash_map<hingelink::RequestId, Entry>;
-  struct ReplyToHash {
-    std::size_t operator()(const ReplyTo& to) const { return absl::HashOf(to.connection, to.stream); }
+  struct StreamAddressHash {
+    std::size_t operator()(const StreamAddress& to) const { return absl::HashOf(to.connection, to.stream); }
   };
 
   using TenantPlaces = std::unordered_map<std::string, std::uint16_t>;  // Places in the settings, by name.
@@ -158,13 +158,13 @@
   void AnswerOverdueKeptBack(UnixTime now);
   void PlaceKeptBackAnew(const TenantPlaces& before);
   bool AnswerReplay(hingelink::RequestId id);
-  void AnswerRepeats(const OperationKey& key);
+  void AnswerRepeats(const IdempotencyKey& key);
   // How long past its time a try may still be read.
   Millis Late() const;
   Entries::iterator ByReq(std::uint64_t req);
 
   const hingelink::Settings& settings_;
-  Front& front_;
+  FrontEnd& front_;
   Metrics& metrics_;
   Spawn spawn_;
   std::unordered_map<std::string_view, ClassPtr> classes_;  // The names lie in the classes.
@@ -172,7 +172,7 @@
   hingelink::RequestId last_id_ = 0;
   Entries entries_;
   absl::flat_hash_map<std::uint64_t, hingelink::RequestId> by_req_;
-  absl::flat_hash_map<ReplyTo, hingelink::RequestId, ReplyToHash> waiting_;
+  absl::flat_hash_map<StreamAddress, hingelink::RequestId, StreamAddressHash> waiting_;
   SharedReads reads_;
   KeyTable keys_;
   KeyChanged key_changed_;
--- a/src/node/request_table_actions.cpp
+++ b/src/node/request_table_actions.cpp
@@ -33,10 +33,10 @@
     return;
   }
   FinalAnswer answer = NotRun(it->second);
-  if (answer.verdict == core::Verdict::kRefused && action.retry_after_ms > 0) {
-    answer.stay_away = std::chrono::milliseconds(std::llround(std::ceil(action.retry_after_ms)));
+  if (answer.verdict == core::Verdict::kRejected && action.retry_after_ms > 0) {
+    answer.retry_after = std::chrono::milliseconds(std::llround(std::ceil(action.retry_after_ms)));
   }
-  answer.try_no_other = answer.verdict == core::Verdict::kRefused && action.no_other_server;
+  answer.no_other_server = answer.verdict == core::Verdict::kRejected && action.no_other_server;
   Answer(it, answer);
   Leave(it);
 }
@@ -54,7 +54,7 @@
 }
 
 FinalAnswer RequestTable::NotRun(const Entry& entry) const {
-  return entry.key && keys_.MayHaveRun(*entry.key) ? Failed() : Refused();
+  return entry.key && keys_.MayHaveRun(*entry.key) ? Failed() : Rejected();
 }
 
 Millis RequestTable::Late() const {
@@ -76,7 +76,7 @@
 }
 
 void RequestTable::Do(const hingelink::ReleaseKey& action) {
-  if (const std::optional<OperationKey> key = keys_.Drop(action.id)) {
+  if (const std::optional<IdempotencyKey> key = keys_.Drop(action.id)) {
     key_changed_(*key);
   } else {
     reads_.Drop(action.id);
@@ -111,7 +111,7 @@
   return true;
 }
 
-void RequestTable::AnswerRepeats(const OperationKey& key) {
+void RequestTable::AnswerRepeats(const IdempotencyKey& key) {
   for (const hingelink::RequestId id : keys_.Repeats(key)) AnswerReplay(id);
 }
 
@@ -140,7 +140,7 @@
 }
 
 void RequestTable::OthersEnded() {
-  for (const OperationKey& key : keys_.OthersEnded()) AnswerRepeats(key);
+  for (const IdempotencyKey& key : keys_.OthersEnded()) AnswerRepeats(key);
 }
 
 }  // namespace hingelink::node
--- a/src/proto/admin_http.cpp
+++ b/src/proto/admin_http.cpp
@@ -35,10 +35,10 @@
   const std::size_t end = bytes.substr(0, kMaxAdminRequestBytes).find("\r\n\r\n");
   if (end == std::string_view::npos) {
     // Guards against a head without end.
-    if (bytes.size() >= kMaxAdminRequestBytes) call.state = AdminRequest::State::kBad;
+    if (bytes.size() >= kMaxAdminRequestBytes) call.state = AdminRequest::State::kMalformed;
     return call;
   }
-  call.state = AdminRequest::State::kBad;
+  call.state = AdminRequest::State::kMalformed;
   std::string_view head = bytes.substr(0, end + 2);
   const std::string_view line = head.substr(0, head.find("\r\n"));
   const std::size_t method = line.find(' '), version = line.rfind(' ');
@@ -54,7 +54,7 @@
     head.remove_prefix(field.size() + 2);
     if (!IsToken(field.substr(0, field.find(':'))) || field.find(':') == field.npos) return call;
   }
-  call.state = AdminRequest::State::kWhole;
+  call.state = AdminRequest::State::kComplete;
   call.method = line.substr(0, method);
   call.path = target.substr(0, target.find('?'));
   return call;
--- a/src/proto/admin_http.h
+++ b/src/proto/admin_http.h
@@ -11,7 +11,7 @@
 inline constexpr std::size_t kMaxAdminRequestBytes = 8192;
 
 struct AdminRequest {
-  enum class State { kNeedMore, kWhole, kBad } state = State::kNeedMore;
+  enum class State { kNeedMore, kComplete, kMalformed } state = State::kNeedMore;
   std::string_view method;
   std::string_view path;  // Without its query.
 };
--- a/src/proto/frames.cpp
+++ b/src/proto/frames.cpp
@@ -37,7 +37,7 @@
   return text.size() == 16 && Whole(text, UINT64_MAX, value, 16);
 }
 
-bool HexKey(std::string_view text, core::OperationKey& key) {
+bool HexKey(std::string_view text, core::IdempotencyKey& key) {
   return text.size() == 32 && HexId(text.substr(0, 16), key.high) && HexId(text.substr(16), key.low);
 }
 
@@ -63,9 +63,9 @@
     PutBigEndian(out, value.size(), 2);
     out.append(value);
   };
-  if (fields.signal) {
+  if (fields.load_signal) {
     char text[32];
-    const int size = std::snprintf(text, sizeof text, "%.4f", *fields.signal);
+    const int size = std::snprintf(text, sizeof text, "%.4f", *fields.load_signal);
     add("signal", std::string_view(text, static_cast<std::size_t>(size)));
   }
   if (fields.retry_after) add("holdoff", std::to_string(fields.retry_after->count()));
@@ -99,24 +99,24 @@
     if (!TakeSized(payload, 1, name) || !TakeSized(payload, 2, value)) return "fields run past the frame";
     std::uint64_t whole = 0;
     if (name == "kind") {
-      request.kind = value;
+      request.class_name = value;
     } else if (name == "req") {
-      if (!HexId(value, request.req)) return "req";
+      if (!HexId(value, request.request_id)) return "req";
       has_req = true;
     } else if (name == "ts") {
       if (!Whole(value, kMostStampMs, whole)) return "ts";
-      request.ts = std::chrono::sys_time<std::chrono::milliseconds>(std::chrono::milliseconds(whole));
+      request.sent_at = std::chrono::sys_time<std::chrono::milliseconds>(std::chrono::milliseconds(whole));
       has_ts = true;
     } else if (name == "via") {
       if (!Whole(value, UINT32_MAX, whole)) return "via";
-      request.via = static_cast<std::uint32_t>(whole);
+      request.caller = static_cast<std::uint32_t>(whole);
     } else if (name == "timeout") {
       if (!Whole(value, kMostTimeoutMs, whole)) return "timeout";
-      request.timeout = std::chrono::milliseconds(whole);
+      request.remaining_wait = std::chrono::milliseconds(whole);
     } else if (name == "ms") {
       double work = 0;
       if (!Decimal(value, work) || work < 0 || work > kMostWorkMs) return "ms";
-      request.work = std::chrono::duration<double, std::milli>(work);
+      request.expected_work = std::chrono::duration<double, std::milli>(work);
     } else if (name == "need") {
       if (!Decimal(value, request.reserved_kb) || request.reserved_kb <= 0 ||
           request.reserved_kb >= kNeedUnderKb) {
@@ -124,20 +124,20 @@
       }
       has_need = true;
     } else if (name == "level") {
-      if (!Decimal(value, request.level) || request.level < 0 || request.level >= 1) return "level";
+      if (!Decimal(value, request.rank) || request.rank < 0 || request.rank >= 1) return "level";
     } else if (name == "subject") {
       if (!HexId(value, request.subject)) return "subject";
     } else if (name == "owner") {
       if (value.empty()) return "owner";
-      request.owner = value;
+      request.tenant = value;
     } else if (name == "resent") {
       if (value != "1") return "resent";
-      request.resent = true;
+      request.is_retry = true;
     } else if (name == "opkey") {
-      if (!HexKey(value, request.operation_key.emplace())) return "opkey";
+      if (!HexKey(value, request.idempotency_key.emplace())) return "opkey";
     }
   }
-  if (!has_req || !has_ts || !has_need || request.kind.empty()) return "a field is missing";
+  if (!has_req || !has_ts || !has_need || request.class_name.empty()) return "a field is missing";
   if (payload.size() > kMaxRequestBodyBytes) return "body too long";
   request.body = payload;
   return nullptr;
@@ -164,7 +164,7 @@
 
 std::string EncodeHealthResponse(std::uint32_t stream, bool good, std::optional<double> signal) {
   const std::string list =
-      FieldsOf({.signal = signal, .retry_after = std::nullopt, .no_other_server = false});
+      FieldsOf({.load_signal = signal, .retry_after = std::nullopt, .no_other_server = false});
   std::string out = Head(FrameType::kHealthResponse, stream, 1 + list.size());
   out.push_back(good ? '\0' : '\1');
   return out + list;
--- a/src/proto/frames.h
+++ b/src/proto/frames.h
@@ -10,7 +10,7 @@
 #include <string>
 #include <string_view>
 
-#include "core/front.h"
+#include "core/front_end.h"
 
 namespace hingelink::proto {
 
@@ -48,18 +48,18 @@
 
 // What a request says. The text fields are slices of the payload.
 struct RequestFrame {
-  std::string_view kind;
-  std::uint64_t req = 0;
-  std::chrono::sys_time<std::chrono::milliseconds> ts{};
-  std::optional<std::chrono::milliseconds> timeout;  // Nothing where callers' waits are not told.
-  std::chrono::duration<double, std::milli> work{0};
-  std::uint32_t via = 0;
+  std::string_view class_name;
+  std::uint64_t request_id = 0;
+  std::chrono::sys_time<std::chrono::milliseconds> sent_at{};
+  std::optional<std::chrono::milliseconds> remaining_wait;  // Nothing where callers' waits are not told.
+  std::chrono::duration<double, std::milli> expected_work{0};
+  std::uint32_t caller = 0;
   double reserved_kb = 0;
-  double level = 0;
+  double rank = 0;
   std::uint64_t subject = 0;
-  std::optional<core::OperationKey> operation_key;
-  std::string_view owner;  // The tenant's name; empty where none is told.
-  bool resent = false;     // A further try or a second copy.
+  std::optional<core::IdempotencyKey> idempotency_key;
+  std::string_view tenant;  // The tenant's name; empty where none is told.
+  bool is_retry = false;     // A further try or a second copy.
   std::string_view body;
 };
 
@@ -71,7 +71,7 @@
 
 // The fields an answer may carry.
 struct AnswerFields {
-  std::optional<double> signal;
+  std::optional<double> load_signal;
   std::optional<std::chrono::milliseconds> retry_after;
   bool no_other_server = false;
 };
--- a/src/proto/handover_lines.cpp
+++ b/src/proto/handover_lines.cpp
@@ -77,7 +77,7 @@
   char line[kMaxHandoverLineBytes];
   std::snprintf(line, sizeof line, "key %016llx %016llx %016llx %d %.3f",
                 static_cast<unsigned long long>(key.key.high), static_cast<unsigned long long>(key.key.low),
-                static_cast<unsigned long long>(key.content), key.fate, key.left.count());
+                static_cast<unsigned long long>(key.content_hash), key.state, key.remaining.count());
   return line + (key.has_result ? ' ' + std::to_string(key.size) : std::string()) + '\n';
 }
 
@@ -101,8 +101,8 @@
 
 std::optional<std::string> EncodeLearnedClassMessage(const LearnedClassMessage& learned) {
   char numbers[160];
-  const int size = std::snprintf(numbers, sizeof numbers, " %.4f %.4f %.4f %.4f %.4f %d\n", learned.aim,
-                                 learned.deadline, learned.run, learned.cost, learned.hint, learned.samples);
+  const int size = std::snprintf(numbers, sizeof numbers, " %.4f %.4f %.4f %.4f %.4f %d\n", learned.latency_objective_ms,
+                                 learned.deadline_ms, learned.run_ms, learned.core_time_ms, learned.expected_work_ms, learned.samples);
   std::string line = std::string(kLearned) + EncodeName(learned.name) + numbers;
   if (size < 0 || size >= static_cast<int>(sizeof numbers) || line.size() > kMaxHandoverLineBytes)
     return std::nullopt;
@@ -117,8 +117,8 @@
   const auto name = ReadName(line.substr(0, space));
   line.remove_prefix(space + 1);
   LearnedClassMessage learned;
-  if (!name || !Take(line, learned.aim) || !Take(line, learned.deadline) || !Take(line, learned.run) ||
-      !Take(line, learned.cost) || !Take(line, learned.hint) || !Take(line, learned.samples) ||
+  if (!name || !Take(line, learned.latency_objective_ms) || !Take(line, learned.deadline_ms) || !Take(line, learned.run_ms) ||
+      !Take(line, learned.core_time_ms) || !Take(line, learned.expected_work_ms) || !Take(line, learned.samples) ||
       !line.empty()) {
     return std::nullopt;
   }
--- a/src/proto/handover_lines.h
+++ b/src/proto/handover_lines.h
@@ -9,7 +9,7 @@
 #include <string>
 #include <string_view>
 
-#include "core/front.h"
+#include "core/front_end.h"
 
 namespace hingelink::proto {
 
@@ -28,10 +28,10 @@
 
 // A key of a keyed request at the sender. Its result, where it has one, follows the line, and a newline that.
 struct KeyMessage {
-  core::OperationKey key;
-  std::uint64_t content = 0;                          // A hash of the request's class and body.
-  int fate = 0;                                       // 0 held, 1 runs, 2 served, 3 failed.
-  std::chrono::duration<double, std::milli> left{0};  // Until its window is over; 0: it is free.
+  core::IdempotencyKey key;
+  std::uint64_t content_hash = 0;                          // A hash of the request's class and body.
+  int state = 0;                                       // 0 held, 1 runs, 2 served, 3 failed.
+  std::chrono::duration<double, std::milli> remaining{0};  // Until its window is over; 0: it is free.
   bool has_result = false;
   std::size_t size = 0;
   bool operator==(const KeyMessage&) const = default;
@@ -56,8 +56,11 @@
 // class. Times in ms.
 struct LearnedClassMessage {
   std::string name;
-  double aim = 0, deadline = 0;
-  double run = 0, cost = 0, hint = 0;
+  double latency_objective_ms = 0;
+  double deadline_ms = 0;
+  double run_ms = 0;
+  double core_time_ms = 0;
+  double expected_work_ms = 0;
   int samples = 0;
   bool operator==(const LearnedClassMessage&) const = default;
 };
--- a/src/proto/pool_lines.cpp
+++ b/src/proto/pool_lines.cpp
@@ -80,7 +80,7 @@
   }
   if (verb == "unknown") {
     UnknownCommand unknown{words.Next(), 0};
-    unknown.req = words.Number<std::uint64_t>(16).value_or(0);
+    unknown.request_id = words.Number<std::uint64_t>(16).value_or(0);
     return unknown;
   }
   if (verb == "chatter") {
--- a/src/proto/pool_lines.h
+++ b/src/proto/pool_lines.h
@@ -23,16 +23,16 @@
   std::chrono::duration<double, std::milli> since_start{0};
 };
 struct RunFinished {
-  std::uint64_t number = 0;
-  std::uint64_t req = 0;
-  RunOutcome end = RunOutcome::kError;
+  std::uint64_t notice_number = 0;
+  std::uint64_t request_id = 0;
+  RunOutcome outcome = RunOutcome::kError;
   std::chrono::duration<double, std::milli> elapsed{0};
   std::string_view result;
 };
 // A run waits for a call with this body.
 struct RunBlocked {
-  std::uint64_t number = 0;
-  std::uint64_t req = 0;
+  std::uint64_t notice_number = 0;
+  std::uint64_t request_id = 0;
   std::string_view body;
 };
 struct RoundTripVerified {
@@ -45,15 +45,15 @@
 };
 struct UnknownCommand {
   std::string_view command;
-  std::uint64_t req = 0;  // 0 where the line names none.
+  std::uint64_t request_id = 0;  // 0 where the line names none.
 };
 struct PoolRemark {
-  std::uint64_t number = 0;
+  std::uint64_t notice_number = 0;
   bool is_partial = false;  // Only its start has come: what follows up to the next CR LF belongs to it.
 };
 struct IncompleteMessage {};
 struct MalformedMessage {
-  const char* why;
+  const char* reason;
 };
 
 using PoolMessage = std::variant<IncompleteMessage, MalformedMessage, BindAcknowledged, RunFinished,
--- a/src/proto/registry_http.cpp
+++ b/src/proto/registry_http.cpp
@@ -38,16 +38,16 @@
   HttpResponse response;
   const std::size_t end = bytes.find("\r\n\r\n");
   if (end == std::string_view::npos) {
-    if (bytes.size() > kMaxHttpResponseBytes) response.state = HttpResponse::State::kBad;
+    if (bytes.size() > kMaxHttpResponseBytes) response.state = HttpResponse::State::kMalformed;
     return response;
   }
-  response.state = HttpResponse::State::kBad;
+  response.state = HttpResponse::State::kMalformed;
   std::string_view head = bytes.substr(0, end + 2);
   const std::string_view line = head.substr(0, head.find("\r\n"));
   if (line.size() < 12 || !line.starts_with("HTTP/1.") || !Whole(line.substr(9, 3), response.status)) {
     return response;
   }
-  response.close = line[7] == '0';
+  response.closes_connection = line[7] == '0';
   // A 1xx, 204 or 304 has no body; any other without a length ends with its connection.
   const bool bodiless = response.status < 200 || response.status == 204 || response.status == 304;
   bool sized = bodiless;
@@ -58,16 +58,16 @@
     const std::size_t colon = field.find(':');
     if (colon == std::string_view::npos) return response;
     const std::string_view name = field.substr(0, colon), value = Trim(field.substr(colon + 1));
-    if (SameText(name, "connection") && SameText(value, "close")) response.close = true;
+    if (SameText(name, "connection") && SameText(value, "close")) response.closes_connection = true;
     if (SameText(name, "content-length") && !bodiless) {
       if (!Whole(value, body) || body > kMaxHttpResponseBytes) return response;
       sized = true;
     }
   }
-  if (!sized) response.close = true;
-  response.size = end + 4 + body;
-  const bool whole = bytes.size() >= response.size;
-  response.state = whole ? HttpResponse::State::kWhole : HttpResponse::State::kNeedMore;
+  if (!sized) response.closes_connection = true;
+  response.total_bytes = end + 4 + body;
+  const bool whole = bytes.size() >= response.total_bytes;
+  response.state = whole ? HttpResponse::State::kComplete : HttpResponse::State::kNeedMore;
   return response;
 }
 
--- a/src/proto/registry_http.h
+++ b/src/proto/registry_http.h
@@ -13,10 +13,10 @@
 std::string EncodeReportRequest(std::string_view name, std::string_view host, bool draining);
 
 struct HttpResponse {
-  enum class State { kNeedMore, kWhole, kBad } state = State::kNeedMore;
+  enum class State { kNeedMore, kComplete, kMalformed } state = State::kNeedMore;
   int status = 0;
-  std::size_t size = 0;  // Bytes it takes, once whole.
-  bool close = false;    // The connection cannot carry another call.
+  std::size_t total_bytes = 0;  // Bytes it takes, once whole.
+  bool closes_connection = false;    // The connection cannot carry another call.
 };
 
 HttpResponse ParseHttpResponse(std::string_view bytes);
--- a/src/proto/store_lines.cpp
+++ b/src/proto/store_lines.cpp
@@ -13,9 +13,9 @@
 std::optional<StoreReplyStatus> ToKind(std::string_view word) {
   if (word == "OK") return StoreReplyStatus::kOk;
   if (word == "BUSY") return StoreReplyStatus::kBusy;
-  if (word == "ERR") return StoreReplyStatus::kErr;
-  if (word == "LATE") return StoreReplyStatus::kLate;
-  if (word == "VOID") return StoreReplyStatus::kVoid;
+  if (word == "ERR") return StoreReplyStatus::kError;
+  if (word == "LATE") return StoreReplyStatus::kTimedOut;
+  if (word == "VOID") return StoreReplyStatus::kNotRun;
   return std::nullopt;
 }
 
--- a/src/proto/store_lines.h
+++ b/src/proto/store_lines.h
@@ -17,19 +17,19 @@
 enum class StoreReplyStatus {
   kOk,
   kBusy,  // Never ran.
-  kErr,   // May have had its effect.
-  kLate,  // May have had its effect.
-  kVoid,  // Never ran.
+  kError,   // May have had its effect.
+  kTimedOut,  // May have had its effect.
+  kNotRun,  // Never ran.
 };
 
 struct StoreReply {
-  std::uint64_t req = 0;
-  StoreReplyStatus kind = StoreReplyStatus::kErr;
+  std::uint64_t request_id = 0;
+  StoreReplyStatus status = StoreReplyStatus::kError;
   std::string_view body;
 };
 struct IncompleteStoreReply {};
 struct MalformedStoreReply {
-  const char* why;
+  const char* reason;
 };
 using StoreMessage = std::variant<IncompleteStoreReply, MalformedStoreReply, StoreReply>;
 
--- a/tests/background/learned_state_persister_test.cpp
+++ b/tests/background/learned_state_persister_test.cpp
@@ -273,7 +273,7 @@
   Turn(base.get(), [&] { return !heard.empty(); });
   ASSERT_EQ(heard.size(), 1u);
   EXPECT_EQ(heard[0].name, "order-lodge");
-  EXPECT_EQ(heard[0].deadline, 4900);
+  EXPECT_EQ(heard[0].deadline_ms, 4900);
   EXPECT_EQ(heard[0].samples, 41);
 }
 
--- a/tests/compatibility/wire_formats_test.cpp
+++ b/tests/compatibility/wire_formats_test.cpp
@@ -25,9 +25,9 @@
   std::string bytes;
   bytes += EncodeAnswerHeader(1, AnswerCode::kServed, {}, 4) + "done";
   bytes += EncodeAnswerHeader(2, AnswerCode::kRejected,
-                              {.signal = 0.25, .retry_after = milliseconds(120), .no_other_server = true}, 0);
+                              {.load_signal = 0.25, .retry_after = milliseconds(120), .no_other_server = true}, 0);
   bytes += EncodeAnswerHeader(3, AnswerCode::kFailed,
-                              {.signal = 1.0, .retry_after = std::nullopt, .no_other_server = false}, 0);
+                              {.load_signal = 1.0, .retry_after = std::nullopt, .no_other_server = false}, 0);
   bytes += EncodeHealthResponse(4, true, 0.5);
   bytes += EncodeHealthResponse(5, false, std::nullopt);
   bytes += EncodeStopNewRequests();
@@ -44,20 +44,20 @@
   ASSERT_EQ(head->Size(), bytes.size());
   RequestFrame request;
   ASSERT_EQ(ParseRequest(std::string_view(bytes).substr(kFrameHeaderBytes), request), nullptr);
-  EXPECT_EQ(request.kind, "order-lodge");
-  EXPECT_EQ(request.req, kRequestId);
-  EXPECT_EQ(request.ts.time_since_epoch(), milliseconds(1796153535000));
-  EXPECT_EQ(request.timeout, milliseconds(1500));
-  EXPECT_EQ(request.work, Millis(12.5));
-  EXPECT_EQ(request.via, 3u);
+  EXPECT_EQ(request.class_name, "order-lodge");
+  EXPECT_EQ(request.request_id, kRequestId);
+  EXPECT_EQ(request.sent_at.time_since_epoch(), milliseconds(1796153535000));
+  EXPECT_EQ(request.remaining_wait, milliseconds(1500));
+  EXPECT_EQ(request.expected_work, Millis(12.5));
+  EXPECT_EQ(request.caller, 3u);
   EXPECT_EQ(request.reserved_kb, 20.25);
-  EXPECT_EQ(request.level, 0.75);
+  EXPECT_EQ(request.rank, 0.75);
   EXPECT_EQ(request.subject, 0x1111222233334444u);
-  ASSERT_TRUE(request.operation_key);
-  EXPECT_EQ(request.operation_key->high, 0x5555666677778888u);
-  EXPECT_EQ(request.operation_key->low, 0x9999aaaabbbbccccu);
-  EXPECT_EQ(request.owner, "acme");
-  EXPECT_TRUE(request.resent);
+  ASSERT_TRUE(request.idempotency_key);
+  EXPECT_EQ(request.idempotency_key->high, 0x5555666677778888u);
+  EXPECT_EQ(request.idempotency_key->low, 0x9999aaaabbbbccccu);
+  EXPECT_EQ(request.tenant, "acme");
+  EXPECT_TRUE(request.is_retry);
   EXPECT_EQ(request.body, "the body");
 }
 
@@ -94,20 +94,20 @@
   for (const RunOutcome end : ends) {
     const PoolMessage message = next();
     ASSERT_TRUE(std::holds_alternative<RunFinished>(message));
-    EXPECT_EQ(std::get<RunFinished>(message).end, end);
-    EXPECT_EQ(std::get<RunFinished>(message).req, kRequestId);
+    EXPECT_EQ(std::get<RunFinished>(message).outcome, end);
+    EXPECT_EQ(std::get<RunFinished>(message).request_id, kRequestId);
     EXPECT_EQ(std::get<RunFinished>(message).elapsed, Millis(30.5));
     EXPECT_EQ(std::get<RunFinished>(message).result, "ok");
   }
   const PoolMessage blocked = next();
   ASSERT_TRUE(std::holds_alternative<RunBlocked>(blocked));
-  EXPECT_EQ(std::get<RunBlocked>(blocked).number, 9u);
+  EXPECT_EQ(std::get<RunBlocked>(blocked).notice_number, 9u);
   EXPECT_EQ(std::get<RunBlocked>(blocked).body, "call");
   EXPECT_TRUE(std::get<RoundTripVerified>(next()).good);
   EXPECT_FALSE(std::get<RoundTripVerified>(next()).good);
   EXPECT_EQ(std::get<GaugesReported>(next()).gauges, (std::vector<double>{0.5, 3, 0.25, 17}));
-  EXPECT_EQ(std::get<UnknownCommand>(next()).req, kRequestId);
-  EXPECT_EQ(std::get<PoolRemark>(next()).number, 12u);
+  EXPECT_EQ(std::get<UnknownCommand>(next()).request_id, kRequestId);
+  EXPECT_EQ(std::get<PoolRemark>(next()).notice_number, 12u);
   EXPECT_TRUE(rest.empty());
 }
 
@@ -119,14 +119,14 @@
 TEST(StoreLines, RepliesAreReadWithEveryKind) {
   const std::string bytes = ReadFixture("store-replies.txt");
   std::string_view rest = bytes;
-  const StoreReplyStatus kinds[] = {StoreReplyStatus::kOk, StoreReplyStatus::kBusy, StoreReplyStatus::kErr,
-                                    StoreReplyStatus::kLate, StoreReplyStatus::kVoid};
+  const StoreReplyStatus kinds[] = {StoreReplyStatus::kOk, StoreReplyStatus::kBusy, StoreReplyStatus::kError,
+                                    StoreReplyStatus::kTimedOut, StoreReplyStatus::kNotRun};
   for (const StoreReplyStatus kind : kinds) {
     std::size_t size = 0;
     const StoreMessage message = ParseStoreReply(rest, size);
     ASSERT_TRUE(std::holds_alternative<StoreReply>(message));
-    EXPECT_EQ(std::get<StoreReply>(message).kind, kind);
-    EXPECT_EQ(std::get<StoreReply>(message).req, kRequestId);
+    EXPECT_EQ(std::get<StoreReply>(message).status, kind);
+    EXPECT_EQ(std::get<StoreReply>(message).request_id, kRequestId);
     rest.remove_prefix(size);
   }
   EXPECT_TRUE(rest.empty());
@@ -147,18 +147,18 @@
 TEST(HandoverLines, KeepTheirBytesAndAreReadBack) {
   const LoadMessage load{.running = 3, .memory_kb = 120.5, .queued_work_ms = 80.25, .connections = 9};
   const KeyMessage key{.key = {0x5555666677778888, 0x9999aaaabbbbcccc},
-                       .content = kRequestId,
-                       .fate = 2,
-                       .left = Millis(1500.5),
+                       .content_hash = kRequestId,
+                       .state = 2,
+                       .remaining = Millis(1500.5),
                        .has_result = true,
                        .size = 4};
   LearnedClassMessage learned;
   learned.name = "usage view";
-  learned.aim = 500;
-  learned.deadline = 1200;
-  learned.run = 31.5;
-  learned.cost = 30.25;
-  learned.hint = 28;
+  learned.latency_objective_ms = 500;
+  learned.deadline_ms = 1200;
+  learned.run_ms = 31.5;
+  learned.core_time_ms = 30.25;
+  learned.expected_work_ms = 28;
   learned.samples = 812;
   std::string bytes(kHandoverListener);
   bytes.append(kHandoverKeys).append(kHandoverReady).append(kHandoverDraining).append(kHandoverExiting);
--- a/tests/net/connection_lifecycle_test.cpp
+++ b/tests/net/connection_lifecycle_test.cpp
@@ -104,13 +104,13 @@
   };
 
   BasePtr base_ = MakeBase();
-  std::vector<core::ReplyTo> requests_;
-  std::vector<core::ReplyTo> gone_;
+  std::vector<core::StreamAddress> requests_;
+  std::vector<core::StreamAddress> gone_;
   std::vector<std::uint64_t> freed_;
   std::unique_ptr<ConnectionSet> set_ = std::make_unique<ConnectionSet>(
       base_.get(), ConnectionSet::Events{
                        .request = [this](const core::IncomingRequest& r) { requests_.push_back(r.reply_to); },
-                       .gone = [this](core::ReplyTo from) { gone_.push_back(from); },
+                       .gone = [this](core::StreamAddress from) { gone_.push_back(from); },
                        .check = {},
                        .counts = [](std::string_view) { return core::ClassCountsPtr(); },
                        .ended = [this](std::uint64_t id) { freed_.push_back(id); },
@@ -360,7 +360,7 @@
     set_->Deliver(requests_[i], core::Served(std::string(4096, 'r')));
   peer.gateway.Write(Gateway::Request(kOpen + 1, "00000000000000a2", "not read"));
   TurnUntil([&] { return set_->size() == 0; });
-  EXPECT_EQ(gone_, std::vector<core::ReplyTo>{requests_.back()});
+  EXPECT_EQ(gone_, std::vector<core::StreamAddress>{requests_.back()});
   EXPECT_EQ(requests_.size(), kOpen);
 }
 
@@ -380,9 +380,9 @@
   GatewayFront MakeFront(std::size_t most) {
     return GatewayFront(base_.get(), ParseAddress("127.0.0.1:0"), Descriptor(), most,
                         {.request = [this](const core::IncomingRequest& r) { Take(r); },
-                         .gone = [](core::ReplyTo) {},
-                         .check = {},
-                         .counts = [](std::string_view) { return core::ClassCountsPtr(); }});
+                         .disconnected = [](core::StreamAddress) {},
+                         .deep_check = {},
+                         .class_counts = [](std::string_view) { return core::ClassCountsPtr(); }});
   }
   void Take(const core::IncomingRequest& request) {
     if (on_request_) on_request_();
@@ -396,7 +396,7 @@
 
   BasePtr base_ = MakeBase();
   std::function<void()> on_request_;
-  std::vector<core::ReplyTo> requests_;
+  std::vector<core::StreamAddress> requests_;
 
  private:
   Timer tick_{base_.get(), [] {}};
--- a/tests/net/interleaving_test.cpp
+++ b/tests/net/interleaving_test.cpp
@@ -223,7 +223,7 @@
   }
   std::vector<std::uint64_t> ids;
   rig.Do([&] {
-    for (const core::ReplyTo& to : rig.came) ids.push_back(to.connection);
+    for (const core::StreamAddress& to : rig.came) ids.push_back(to.connection);
     rig.came.clear();
     rig.came.reserve(kClients * kEach);  // The test's own list, of one round.
   });
--- a/tests/net/loop_group_test.cpp
+++ b/tests/net/loop_group_test.cpp
@@ -317,7 +317,7 @@
   ASSERT_TRUE(rig.Await([&] { return rig.held.size() == 30; }));
   rig.Do([&] {
     rig.group->AskForNoMore();
-    for (const core::ReplyTo& to : rig.came)
+    for (const core::StreamAddress& to : rig.came)
       rig.group->Move({to.connection, 0, (to.connection >> 56) == 0 ? 1u : 0u});
     rig.group->StopReading();
     EXPECT_FALSE(rig.group->AllSent());
--- a/tests/net/loop_rig.h
+++ b/tests/net/loop_rig.h
@@ -38,9 +38,9 @@
       for (std::size_t i = 0; i < loops; ++i) {
         counts_.push_back(std::make_shared<core::ClassCounts>(core::ClassCounts{.name = "order-lodge"}));
       }
-      core::FrontEvents events;
+      core::FrontEndEvents events;
       events.request = [this](const core::IncomingRequest& request) { Take(request); };
-      events.gone = [this](core::ReplyTo from) {
+      events.disconnected = [this](core::StreamAddress from) {
         ++gone;
         std::erase_if(held, [from](const auto& entry) { return entry.first == from; });
       };
@@ -96,7 +96,7 @@
   }
   std::uint64_t refused() const {
     std::uint64_t sum = 0;
-    for (const auto& one : counts_) sum += one->refused;
+    for (const auto& one : counts_) sum += one->rejected;
     return sum;
   }
   std::uint64_t counted() const {
@@ -110,8 +110,8 @@
   std::uint16_t port = 0;
   // ---- Of the deciding thread ----
   bool hold = false;  // Requests are answered when told, not at once.
-  std::vector<std::pair<core::ReplyTo, std::string>> held;
-  std::vector<core::ReplyTo> came;
+  std::vector<std::pair<core::StreamAddress, std::string>> held;
+  std::vector<core::StreamAddress> came;
   int gone = 0;
   bool dropped = false;  // The class is no more.
 
@@ -128,7 +128,7 @@
   void Take(const core::IncomingRequest& request) {
     came.push_back(request.reply_to);
     if (dropped) {
-      group->Deliver(request.reply_to, core::Refused());
+      group->Deliver(request.reply_to, core::Rejected());
     } else if (hold) {
       held.emplace_back(request.reply_to, std::string(request.body));
     } else {
--- a/tests/net/store_client_test.cpp
+++ b/tests/net/store_client_test.cpp
@@ -30,7 +30,7 @@
   const std::string more = reply + "next";
   const auto whole = proto::ParseStoreReply(more, size);
   ASSERT_TRUE(std::holds_alternative<proto::StoreReply>(whole));
-  EXPECT_EQ(std::get<proto::StoreReply>(whole).req, 0x9b1f03aa5c7e2d41u);
+  EXPECT_EQ(std::get<proto::StoreReply>(whole).request_id, 0x9b1f03aa5c7e2d41u);
   EXPECT_EQ(std::get<proto::StoreReply>(whole).body, "a\r\nb");
   EXPECT_EQ(size, reply.size());
   for (const char* bad : {"9b1f03aa5c7e2d4 OK 4\r\n", "9b1f03aa5c7e2d41 FINE\r\n", "9b1f03aa5c7e2d41 OK\r\n",
--- a/tests/node/deep_checks_test.cpp
+++ b/tests/node/deep_checks_test.cpp
@@ -34,11 +34,11 @@
       below.spawn_unknown = [](std::uint64_t) {};
       below.verified = [this](std::uint64_t tag, bool good) { checks_->Verified(tag, good); };
       below.settled = [this] { checks_->Rebound(); };
-      core::FrontEvents events;
+      core::FrontEndEvents events;
       events.request = [](const core::IncomingRequest&) {};
-      events.gone = [this](core::ReplyTo from) { checks_->Left(from); };
-      events.check = [this](core::ReplyTo from) { checks_->Ask(from); };
-      events.counts = [](std::string_view) { return nullptr; };
+      events.disconnected = [this](core::StreamAddress from) { checks_->Left(from); };
+      events.deep_check = [this](core::StreamAddress from) { checks_->Ask(from); };
+      events.class_counts = [](std::string_view) { return nullptr; };
       const auto any = net::ParseAddress("127.0.0.1:0");
       if (loops == 0) {
         front_ =
@@ -55,7 +55,7 @@
       checks_.emplace(
           host_.base(),
           DeepChecks::Ends{.verify = [this](std::uint64_t tag) { return link_->Verify(tag); },
-                           .answer = [this](core::ReplyTo to, bool good) { front_->AnswerCheck(to, good); }});
+                           .answer = [this](core::StreamAddress to, bool good) { front_->AnswerHealthCheck(to, good); }});
       link_.emplace(host_.base(), net::ParseAddress(pool_->address()), std::move(below));
       sweep_ = std::make_unique<net::Timer>(host_.base(), [this] {
         front_->Sweep();
--- a/tests/node/key_table_test.cpp
+++ b/tests/node/key_table_test.cpp
@@ -13,17 +13,17 @@
 
 using namespace std::chrono_literals;
 using Millis = KeyTable::Millis;
-constexpr OperationKey kKey{0x5c0f6e1a2b3d4c59u, 0xa8b7c6d5e4f30211u};
+constexpr IdempotencyKey kKey{0x5c0f6e1a2b3d4c59u, 0xa8b7c6d5e4f30211u};
 constexpr Millis kWindow{10'000}, kLate{4'000};
 
 struct Table : KeyTable {
   using KeyTable::KeyTable;
   Table() : KeyTable(Limits{}) {}
   Time now = Time{} + 1h;
-  Id Come(Id id, OperationKey key = kKey, std::uint64_t content = 1) {
+  Id Come(Id id, IdempotencyKey key = kKey, std::uint64_t content = 1) {
     return Arrive(key, content, id, now, now);
   }
-  bool KeepIt(Id id, OperationKey key = kKey) { return Keep(key, id, kWindow, kLate, now); }
+  bool KeepIt(Id id, IdempotencyKey key = kKey) { return Keep(key, id, kWindow, kLate, now); }
 };
 
 TEST(KeyTable, ARepeatNamesTheTryThatHoldsTheKeyWhateverBecameOfIt) {
@@ -102,7 +102,7 @@
   Table table;
   table.SetLimits({.most_keys = 4, .most_bytes = 25});
   for (KeyTable::Id id = 1; id <= 4; ++id) {
-    const OperationKey key{id, 0};
+    const IdempotencyKey key{id, 0};
     table.Come(id, key);
     ASSERT_TRUE(table.KeepIt(id, key));
     ASSERT_TRUE(table.Start(key, id));
@@ -140,7 +140,7 @@
   old.Come(1);
   old.KeepIt(1);
   old.Start(kKey, 1);
-  const OperationKey held{7, 7};
+  const IdempotencyKey held{7, 7};
   old.Come(2, held);
   old.KeepIt(2, held);
   old.Tell(old.now, [&](const KeyNews& news) { EXPECT_FALSE(fresh.Hear(news, kLate, fresh.now)); });
@@ -167,7 +167,7 @@
   Table fresh;
   fresh.Hear({kKey, 1, KeyFate::kRuns, kWindow, std::nullopt}, kLate, fresh.now);
   fresh.Come(10);
-  EXPECT_EQ(fresh.OthersEnded(), std::vector<OperationKey>{kKey});
+  EXPECT_EQ(fresh.OthersEnded(), std::vector<IdempotencyKey>{kKey});
   const std::string* result = nullptr;
   EXPECT_EQ(fresh.Look(kKey, &result), KeyTable::Replay::kFailed);
   EXPECT_EQ(fresh.Repeats(kKey), std::vector<KeyTable::Id>{10});
@@ -180,15 +180,15 @@
   bool second_up = false;
   struct Try {
     int at;
-    OperationKey key;
+    IdempotencyKey key;
     bool running = false, holds = false;
   };
   std::map<KeyTable::Id, Try> tries;
-  std::map<OperationKey, KeyTable::Time> ran;
+  std::map<IdempotencyKey, KeyTable::Time> ran;
   KeyTable::Id last = 0;
   const int steps = *rc::gen::inRange(20, 200);
   for (int i = 0; i < steps; ++i) {
-    const auto tell = [&](const OperationKey& key) {
+    const auto tell = [&](const IdempotencyKey& key) {
       if (second_up) tables[1].Hear(tables[0].Of(key, tables[0].now), kLate, tables[1].now);
     };
     const int what = *rc::gen::inRange(0, 12);
@@ -199,7 +199,7 @@
       second_up = true;
       tables[0].Tell(tables[0].now, [&](const KeyNews& news) { tables[1].Hear(news, kLate, tables[1].now); });
     } else if (what < 6) {
-      const OperationKey key{static_cast<std::uint64_t>(*rc::gen::inRange(1, 4)), 0};
+      const IdempotencyKey key{static_cast<std::uint64_t>(*rc::gen::inRange(1, 4)), 0};
       const int at = second_up ? 1 : 0;
       const KeyTable::Id id = ++last;
       const KeyTable::Id before = tables[at].Come(id, key);
@@ -228,7 +228,7 @@
         tell(t.key);
         tries.erase(it);
       } else if (what >= 10 && !t.running) {
-        const OperationKey key = t.key;
+        const IdempotencyKey key = t.key;
         table.Leave(key, id);
         const int at = t.at;
         const KeyTable::Id gone = id;
--- a/tests/node/metrics_test.cpp
+++ b/tests/node/metrics_test.cpp
@@ -10,7 +10,7 @@
   Metrics metrics({{.name = "usage-view"}, {.name = "odd\"\\\nname"}}, 2);
   ++metrics.Of("usage-view", 0)->served;
   metrics.Of("usage-view", 1)->served += 11;
-  ++metrics.Of("usage-view", 1)->refused;
+  ++metrics.Of("usage-view", 1)->rejected;
   metrics.CountRun();
   metrics.CountReload(true);
   EXPECT_EQ(metrics.Text(3, {}),
--- a/tests/node/request_table_test.cpp
+++ b/tests/node/request_table_test.cpp
@@ -13,14 +13,14 @@
 
 using namespace std::chrono_literals;
 
-class RecordingFront : public core::Front {
+class RecordingFront : public core::FrontEnd {
  public:
-  void Deliver(ReplyTo to, const FinalAnswer& answer) override {
+  void Deliver(StreamAddress to, const FinalAnswer& answer) override {
     answers.emplace_back(to.stream, answer.verdict);
   }
   void SetHealth(bool, bool) override {}
-  void AnswerCheck(ReplyTo, bool) override {}
-  void SetSignal(double) override {}
+  void AnswerHealthCheck(StreamAddress, bool) override {}
+  void SetLoadSignal(double) override {}
   void CloseIdle(std::chrono::milliseconds) override {}
 
   std::vector<std::pair<std::uint32_t, core::Verdict>> answers;
@@ -48,12 +48,12 @@
   void Take(std::uint32_t stream, const std::string& kind, const std::string& owner) {
     core::IncomingRequest request;
     request.reply_to = {1, stream};
-    request.kind = kind;
-    request.owner = owner;
-    request.req = stream;
-    request.arrived = began_;
-    request.timeout = told_timeout_;
-    request.key = core::OperationKey{stream, stream};
+    request.class_name = kind;
+    request.tenant = owner;
+    request.request_id = stream;
+    request.arrived_at = began_;
+    request.remaining_wait = told_timeout_;
+    request.idempotency_key = core::IdempotencyKey{stream, stream};
     request.body = "body";
     table_.Take(request);
   }
@@ -76,7 +76,7 @@
                       [](auto, auto, auto) { return RequestTable::kNeverSent; },
                       Calls::Below{},
                       KeyTable::Limits{},
-                      [](const OperationKey&) {}};
+                      [](const IdempotencyKey&) {}};
 };
 
 // With the wait that its caller told, and without one, with its class's.
--- a/tests/policy/deadline_queue_test.cpp
+++ b/tests/policy/deadline_queue_test.cpp
@@ -64,10 +64,10 @@
   deadlines.Schedule(2, second, 200);
   deadlines.Schedule(1, first, 100);
   EXPECT_EQ(deadlines.next(), 100);
-  EXPECT_FALSE(deadlines.PopDue(99));
-  EXPECT_EQ(deadlines.PopDue(200), 1u);
-  EXPECT_EQ(deadlines.PopDue(200), 2u);
-  EXPECT_FALSE(deadlines.PopDue(200));
+  EXPECT_FALSE(deadlines.PopExpired(99));
+  EXPECT_EQ(deadlines.PopExpired(200), 1u);
+  EXPECT_EQ(deadlines.PopExpired(200), 2u);
+  EXPECT_FALSE(deadlines.PopExpired(200));
   EXPECT_EQ(deadlines.next(), policy::kForever);
 }
 
@@ -77,8 +77,8 @@
   OpenRequest request;
   deadlines.Schedule(1, request, 100);
   deadlines.Schedule(1, request, 300);
-  EXPECT_FALSE(deadlines.PopDue(299));
-  EXPECT_EQ(deadlines.PopDue(300), 1u);
+  EXPECT_FALSE(deadlines.PopExpired(299));
+  EXPECT_EQ(deadlines.PopExpired(300), 1u);
 }
 
 TEST(DeadlineQueue, CancelledRequestDoesNotExpire) {
@@ -87,7 +87,7 @@
   OpenRequest request;
   deadlines.Schedule(1, request, 100);
   deadlines.Cancel(1, request);
-  EXPECT_FALSE(deadlines.PopDue(100));
+  EXPECT_FALSE(deadlines.PopExpired(100));
 }
 
 }  // namespace
--- a/tests/policy/request_completion_test.cpp
+++ b/tests/policy/request_completion_test.cpp
@@ -82,7 +82,7 @@
 TEST(RequestCompletion, QueuedRequestIsRejectedAtItsDeadline) {
   PolicyParts parts;
   parts.admission.Enqueue(1, parts.Open(1, kRead));
-  parts.completion.AnswerDue(4000);
+  parts.completion.AnswerExpired(4000);
   ASSERT_EQ(parts.Emitted<Reject>().size(), 1u);
   EXPECT_EQ(parts.requests.Find(1), nullptr);
 }
@@ -91,7 +91,7 @@
   PolicyParts parts;
   parts.admission.Enqueue(1, parts.Open(1, kRead));
   parts.dispatch.StartQueued(0);
-  parts.completion.AnswerDue(4000);
+  parts.completion.AnswerExpired(4000);
   ASSERT_EQ(parts.Emitted<Fail>().size(), 1u);
   ASSERT_NE(parts.requests.Find(1), nullptr);
   EXPECT_TRUE(parts.requests.Get(1).answered);
--- a/tests/standin/gateways_test.cpp
+++ b/tests/standin/gateways_test.cpp
@@ -84,7 +84,7 @@
       if (type != 0) continue;
       proto::RequestFrame request;
       EXPECT_EQ(proto::ParseRequest(payload, request), nullptr);
-      ++c.node->seen[request.req];
+      ++c.node->seen[request.request_id];
       c.node->take_(c, stream, request);
     }
   }
@@ -134,7 +134,7 @@
   ClassAccount sum;
 };
 
-std::string Right(const proto::RequestFrame& request) { return ResultOf(request.req, request.body); }
+std::string Right(const proto::RequestFrame& request) { return ResultOf(request.request_id, request.body); }
 const FakeNode::Take kServe = [](FakeNode::Connection& c, std::uint32_t stream,
                                  const proto::RequestFrame& r) {
   c.Answer(stream, proto::AnswerCode::kServed, Right(r));
@@ -228,7 +228,7 @@
   const auto told = [](double value) {
     return [value](FakeNode::Connection& c, std::uint32_t stream, const proto::RequestFrame& r) {
       proto::AnswerFields fields;
-      fields.signal = value;
+      fields.load_signal = value;
       c.Answer(stream, proto::AnswerCode::kServed, Right(r), fields);
     };
   };
@@ -249,7 +249,7 @@
   const Story window({[&](FakeNode::Connection& c, std::uint32_t stream, const proto::RequestFrame& r) {
                        if (answered++ > 0) return;
                        proto::AnswerFields fields;
-                       fields.signal = 2;
+                       fields.load_signal = 2;
                        c.Answer(stream, proto::AnswerCode::kServed, Right(r), fields);
                      }},
                      [](GatewaysOptions& o) {
