--- a/src/decide/load_balancing/load_balancer.h
+++ b/src/decide/load_balancing/load_balancer.h
@@ -87,8 +87,8 @@
   Milliseconds max_probe_age{250};
   double hot_quantile = 0.75;  // Of the probes, by work; those above are hot.
   // Against herds.
-  double slow_start_responses = 12;  // So many answers until a service that is back has its whole share.
-  Milliseconds max_slow_start{4'000};   // And at the latest.
+  double slow_start_responses = 12;    // So many answers until a service that is back has its whole share.
+  Milliseconds max_slow_start{4'000};  // And at the latest.
   double reaction_delay_factor =
       1.0;  // Of the time in which those that share it could fill it with one run each.
   Milliseconds max_reaction_delay{2'000};
@@ -220,11 +220,11 @@
     double figure = -1;
     Milliseconds figure_at{0};                              // When it was asked for: it is no younger.
     Milliseconds asked_at{-1e9};                            // The last question.
-    double net = 0;                                      // Own starts less own ends, of all time ...
-    double net_then = 0;                                 // ... and when the figure was asked for.
+    double net = 0;                                         // Own starts less own ends, of all time ...
+    double net_then = 0;                                    // ... and when the figure was asked for.
     std::deque<std::pair<Milliseconds, double>> questions;  // That are open: when, and `net` then.
-    int uses = 0;                                        // Of this figure, by choices.
-    double run_ms = 0;                                   // Mean of what it answered.
+    int uses = 0;                                           // Of this figure, by choices.
+    double run_ms = 0;                                      // Mean of what it answered.
     double slowness = 1;
     double slow_weight = 0;  // Answers behind it.
     double errors = 0;       // Share, lately.
--- a/src/net/connection_set.h
+++ b/src/net/connection_set.h
@@ -40,7 +40,8 @@
  public:
   struct Events {
     std::function<void(const core::IncomingRequest&)> request;
-    std::function<void(core::StreamAddress)> gone;   // Nobody waits for this answer any more, or that of a check.
+    std::function<void(core::StreamAddress)>
+        gone;  // Nobody waits for this answer any more, or that of a check.
     std::function<void(core::StreamAddress)> check;  // A deep check. Empty: none is told.
     // The counts of a class by its name, or null. Each answer is counted there as it is written.
     std::function<core::ClassCountsPtr(std::string_view kind)> counts;
--- a/src/net/loop_group.cpp
+++ b/src/net/loop_group.cpp
@@ -163,7 +163,8 @@
 
 void LoopGroup::Deliver(core::StreamAddress to, const core::FinalAnswer& answer) {
   GiveAnswer give{
-      to, answer.verdict, answer.no_other_server, answer.retry_after, std::string(answer.result), std::nullopt};
+      to,          answer.verdict, answer.no_other_server, answer.retry_after, std::string(answer.result),
+      std::nullopt};
   if (const auto loop = book_.Route(to.connection, give)) Send(*loop, std::move(give));
 }
 
--- a/src/net/pool_group.cpp
+++ b/src/net/pool_group.cpp
@@ -9,8 +9,8 @@
 namespace {
 
 using namespace std::chrono_literals;
-using decide::Milliseconds;
 using decide::LoadBalancer;
+using decide::Milliseconds;
 using decide::RequestOutcome;
 using decide::RequestTraits;
 
--- a/src/node/keys/key_table.cpp
+++ b/src/node/keys/key_table.cpp
@@ -24,7 +24,8 @@
   return false;
 }
 
-KeyTable::Id KeyTable::Arrive(const IdempotencyKey& key, std::uint64_t content, Id id, Time arrived, Time now) {
+KeyTable::Id KeyTable::Arrive(const IdempotencyKey& key, std::uint64_t content, Id id, Time arrived,
+                              Time now) {
   Expire(now);
   const auto it = records_.find(key);
   if (it != records_.end() && Over(it->second, arrived)) {
--- a/src/node/metrics.h
+++ b/src/node/metrics.h
@@ -25,8 +25,8 @@
 using core::IncomingRequest;
 using core::Millis;
 using core::Rejected;
-using core::StreamAddress;
 using core::Served;
+using core::StreamAddress;
 using core::UnixTime;
 
 class Metrics {
--- a/src/node/request_table.cpp
+++ b/src/node/request_table.cpp
@@ -30,8 +30,8 @@
 
 }  // namespace
 
-RequestTable::RequestTable(const hingelink::Settings& settings, FrontEnd& front, Metrics& metrics, Spawn spawn,
-                           Calls::Below below, KeyTable::Limits keys, KeyChanged key_changed)
+RequestTable::RequestTable(const hingelink::Settings& settings, FrontEnd& front, Metrics& metrics,
+                           Spawn spawn, Calls::Below below, KeyTable::Limits keys, KeyChanged key_changed)
     : settings_(settings),
       front_(front),
       metrics_(metrics),
@@ -96,7 +96,8 @@
   // repeats, and against one that no share bounds.
   const bool keyed = cls->second->idempotency == hingelink::Idempotency::kKeyed;
   const auto tenant = tenants_.find(std::string(request.tenant));
-  if ((keyed && !request.idempotency_key) || (settings_.callers_send_remaining_wait && !request.remaining_wait) ||
+  if ((keyed && !request.idempotency_key) ||
+      (settings_.callers_send_remaining_wait && !request.remaining_wait) ||
       (!tenants_.empty() && tenant == tenants_.end())) {
     front_.Deliver(request.reply_to, Rejected(true));
     return;
@@ -140,7 +141,8 @@
   arrival.is_retry = request.is_retry;
   arrival.request_class = cls->second->place;
   events_.emplace_back(arrival);
-  const auto timeout = std::chrono::duration_cast<UnixTime::duration>(request.remaining_wait.value_or(Millis(0)));
+  const auto timeout =
+      std::chrono::duration_cast<UnixTime::duration>(request.remaining_wait.value_or(Millis(0)));
   arrivals_.push_back({request.arrived_at, request.arrived_at + timeout});
 }
 
--- a/src/node/request_table.h
+++ b/src/node/request_table.h
@@ -136,7 +136,7 @@
     std::uint64_t subject = 0;
     hingelink::RequestId original = 0;
     std::optional<IdempotencyKey> key;  // In keyed classes.
-    bool replaying = false;           // It waits for what comes of another try.
+    bool replaying = false;             // It waits for what comes of another try.
   };
   // Flat tables: a request is entered in four of them and taken out again, and a node of its own in each is a
   // malloc and a free. Entering one moves others; taking one out does not.
--- a/src/proto/frames.h
+++ b/src/proto/frames.h
@@ -59,7 +59,7 @@
   std::uint64_t subject = 0;
   std::optional<core::IdempotencyKey> idempotency_key;
   std::string_view tenant;  // The tenant's name; empty where none is told.
-  bool is_retry = false;     // A further try or a second copy.
+  bool is_retry = false;    // A further try or a second copy.
   std::string_view body;
 };
 
--- a/src/proto/handover_lines.h
+++ b/src/proto/handover_lines.h
@@ -30,7 +30,7 @@
 struct KeyMessage {
   core::IdempotencyKey key;
   std::uint64_t content_hash = 0;                          // A hash of the request's class and body.
-  int state = 0;                                       // 0 held, 1 runs, 2 served, 3 failed.
+  int state = 0;                                           // 0 held, 1 runs, 2 served, 3 failed.
   std::chrono::duration<double, std::milli> remaining{0};  // Until its window is over; 0: it is free.
   bool has_result = false;
   std::size_t size = 0;
--- a/src/proto/registry_http.h
+++ b/src/proto/registry_http.h
@@ -15,8 +15,8 @@
 struct HttpResponse {
   enum class State { kNeedMore, kComplete, kMalformed } state = State::kNeedMore;
   int status = 0;
-  std::size_t total_bytes = 0;  // Bytes it takes, once whole.
-  bool closes_connection = false;    // The connection cannot carry another call.
+  std::size_t total_bytes = 0;     // Bytes it takes, once whole.
+  bool closes_connection = false;  // The connection cannot carry another call.
 };
 
 HttpResponse ParseHttpResponse(std::string_view bytes);
--- a/src/proto/store_lines.h
+++ b/src/proto/store_lines.h
@@ -16,10 +16,10 @@
 
 enum class StoreReplyStatus {
   kOk,
-  kBusy,  // Never ran.
-  kError,   // May have had its effect.
+  kBusy,      // Never ran.
+  kError,     // May have had its effect.
   kTimedOut,  // May have had its effect.
-  kNotRun,  // Never ran.
+  kNotRun,    // Never ran.
 };
 
 struct StoreReply {
--- a/tests/compatibility/wire_formats_test.cpp
+++ b/tests/compatibility/wire_formats_test.cpp
@@ -24,8 +24,9 @@
 TEST(GatewayFrames, AnswersKeepTheirBytes) {
   std::string bytes;
   bytes += EncodeAnswerHeader(1, AnswerCode::kServed, {}, 4) + "done";
-  bytes += EncodeAnswerHeader(2, AnswerCode::kRejected,
-                              {.load_signal = 0.25, .retry_after = milliseconds(120), .no_other_server = true}, 0);
+  bytes +=
+      EncodeAnswerHeader(2, AnswerCode::kRejected,
+                         {.load_signal = 0.25, .retry_after = milliseconds(120), .no_other_server = true}, 0);
   bytes += EncodeAnswerHeader(3, AnswerCode::kFailed,
                               {.load_signal = 1.0, .retry_after = std::nullopt, .no_other_server = false}, 0);
   bytes += EncodeHealthResponse(4, true, 0.5);
--- a/tests/node/deep_checks_test.cpp
+++ b/tests/node/deep_checks_test.cpp
@@ -8,10 +8,10 @@
 #include <optional>
 #include <string>
 
-#include "../scripted_peers.h"
 #include "net/gateway_front.h"
 #include "net/loop_group.h"
 #include "net/pool_link.h"
+#include "scripted_peers.h"
 #include "standin/host.h"
 #include "standin/pool.h"
 
@@ -52,10 +52,10 @@
         front_ = std::make_unique<net::LoopGroup>(host_.base(), any, net::Descriptor(), std::move(group),
                                                   std::move(events));
       }
-      checks_.emplace(
-          host_.base(),
-          DeepChecks::Ends{.verify = [this](std::uint64_t tag) { return link_->Verify(tag); },
-                           .answer = [this](core::StreamAddress to, bool good) { front_->AnswerHealthCheck(to, good); }});
+      checks_.emplace(host_.base(),
+                      DeepChecks::Ends{.verify = [this](std::uint64_t tag) { return link_->Verify(tag); },
+                                       .answer = [this](core::StreamAddress to,
+                                                        bool good) { front_->AnswerHealthCheck(to, good); }});
       link_.emplace(host_.base(), net::ParseAddress(pool_->address()), std::move(below));
       sweep_ = std::make_unique<net::Timer>(host_.base(), [this] {
         front_->Sweep();
