--- a/src/simulator_adapter/codec.cpp
+++ b/src/simulator_adapter/codec.cpp
@@ -7,92 +7,101 @@
 #include <type_traits>
 #include <utility>
 
+#include "simulator_adapter/errors.h"
+
 namespace hingelink::simulator_adapter {
 namespace {
 
 static_assert(std::endian::native == std::endian::little, "frames are little-endian");
 
+// The codes of the protocol, named after the events and actions of the policy. Errors name fields as the
+// protocol does.
 enum class EventCode : std::uint8_t {
   kOpenInstance = 1,
-  kSubmit = 2,
+  kArrival = 2,
   kFinished = 3,
-  kBlocked = 4,
-  kCallResult = 5,
-  kSigterm = 6,
-  kAborted = 7,
-  kTickDue = 8,
-  kRetire = 9,
+  kUpstreamCallRequested = 4,
+  kUpstreamCallFinished = 5,
+  kDrainNotice = 6,
+  kCallerDisconnected = 7,
+  kTimerFired = 8,
+  kRetireInstance = 9,
 };
 
 enum class ActionCode : std::uint8_t {
-  kAnnounce = 1,
-  kSchedule = 2,
-  kBounce = 3,
-  kAskBelow = 4,
-  kRetain = 5,
-  kSayLog = 6,
-  kPreempt = 7,
+  kPublishLoadSignal = 1,
+  kSetTimer = 2,
+  kReject = 3,
+  kStartUpstreamCall = 4,
+  kRetainKey = 5,
+  kLog = 6,
+  kCancelRun = 7,
   kStart = 8,
-  kFallBack = 9,
+  kUseFallback = 9,
   kCloseIdle = 10,
   kReplay = 12,
-  kUnpin = 13,
-  kDropRequest = 14,
-  kStatus = 15,
+  kReleaseKey = 13,
+  kFail = 14,
+  kSetHealth = 15,
 };
 
+// Bits of the field "opts": an expected work is given, the request is a retry, it is a write.
+constexpr std::uint16_t kExpectedWorkBit = 1;
 constexpr std::uint16_t kRetryBit = 2;
-constexpr std::uint16_t kHintBit = 1;
 constexpr std::uint16_t kWriteBit = 4;
 
-class Reader {
+// Count of actions and length.
+constexpr std::size_t kReplyHeaderBytes = 8;
+
+// Reads the fields of a frame in order. Throws FrameError at one that runs past the frame.
+class FrameReader {
  public:
-  explicit Reader(std::string_view bytes) : bytes_(bytes) {}
+  explicit FrameReader(std::string_view bytes) : bytes_(bytes) {}
 
   template <typename T>
   T Get(const char* field) {
     static_assert(std::is_trivially_copyable_v<T>);
-    Need(sizeof(T), field);
+    Require(sizeof(T), field);
     T value;
-    std::memcpy(&value, bytes_.data() + at_, sizeof(T));
-    at_ += sizeof(T);
+    std::memcpy(&value, bytes_.data() + offset_, sizeof(T));
+    offset_ += sizeof(T);
     return value;
   }
 
-  double Number(const char* field) { return Finite(Get<double>(field), field); }
-  double SmallNumber(const char* field) { return Finite(Get<float>(field), field); }
+  double Number(const char* field) { return RequireFinite(Get<double>(field), field); }
+  double FloatNumber(const char* field) { return RequireFinite(Get<float>(field), field); }
 
   std::string Bytes(std::size_t count, const char* field) {
-    Need(count, field);
-    std::string text(bytes_.substr(at_, count));
-    at_ += count;
+    Require(count, field);
+    std::string text(bytes_.substr(offset_, count));
+    offset_ += count;
     return text;
   }
 
-  void Skip(std::size_t count) { at_ += count; }
-  std::size_t at() const { return at_; }
-  std::size_t left() const { return bytes_.size() - at_; }
+  std::size_t offset() const { return offset_; }
+  std::size_t remaining() const { return bytes_.size() - offset_; }
 
  private:
-  void Need(std::size_t count, const char* field) const {
-    if (left() < count) {
-      throw WireError(std::string(field) + " at byte " + std::to_string(at_) + " runs past the frame of " +
-                      std::to_string(bytes_.size()) + " bytes");
+  void Require(std::size_t count, const char* field) const {
+    if (remaining() < count) {
+      throw FrameError(offset_, std::string(field) + " at byte " + std::to_string(offset_) +
+                                    " runs past the frame of " + std::to_string(bytes_.size()) + " bytes");
     }
   }
 
-  double Finite(double value, const char* field) const {
+  double RequireFinite(double value, const char* field) const {
     if (!std::isfinite(value)) {
-      throw WireError(std::string(field) + " before byte " + std::to_string(at_) + " is not a finite number");
+      throw FrameError(offset_, std::string(field) + " before byte " + std::to_string(offset_) +
+                                    " is not a finite number");
     }
     return value;
   }
 
   std::string_view bytes_;
-  std::size_t at_ = 0;
+  std::size_t offset_ = 0;
 };
 
-Outcome ToOutcome(std::uint16_t code, std::size_t at) {
+Outcome ToOutcome(std::uint16_t code, std::size_t offset) {
   switch (code) {
     case 0:
       return Outcome::kError;
@@ -111,96 +120,99 @@
     case 7:
       return Outcome::kNotStarted;
     default:
-      throw WireError("unknown outcome code " + std::to_string(code) + " before byte " + std::to_string(at));
+      throw FrameError(
+          offset, "unknown outcome code " + std::to_string(code) + " before byte " + std::to_string(offset));
   }
 }
 
-Arrival ReadSubmit(Reader& in) {
-  Arrival a;
-  a.id = in.Get<std::uint64_t>("ticket");
-  a.original = in.Get<std::uint64_t>("forerunner");
-  a.reserved_kb = in.SmallNumber("kb");
-  a.subject = in.Get<std::uint64_t>("entity");
-  a.rank = in.SmallNumber("prio");
-  a.tenant = in.Get<std::uint16_t>("customer");
-  a.read_delay_ms = in.Number("queuedForMs");
-  a.caller = in.Get<std::uint32_t>("who");
-  const auto opts = in.Get<std::uint16_t>("opts");
-  a.expected_work_ms = in.Number("estimateMs");
-  if ((opts & kHintBit) == 0) a.expected_work_ms = 0;
-  a.is_retry = (opts & kRetryBit) != 0;
-  a.is_write = (opts & kWriteBit) != 0;
-  a.remaining_wait_ms = in.Number("budgetMs");
-  a.request_class = in.Get<std::uint16_t>("priority");
-  return a;
+Arrival ReadArrival(FrameReader& reader) {
+  Arrival arrival;
+  arrival.id = reader.Get<std::uint64_t>("ticket");
+  arrival.original = reader.Get<std::uint64_t>("forerunner");
+  arrival.reserved_kb = reader.FloatNumber("kb");
+  arrival.subject = reader.Get<std::uint64_t>("entity");
+  arrival.rank = reader.FloatNumber("prio");
+  arrival.tenant = reader.Get<std::uint16_t>("customer");
+  arrival.read_delay_ms = reader.Number("queuedForMs");
+  arrival.caller = reader.Get<std::uint32_t>("who");
+  const auto options = reader.Get<std::uint16_t>("opts");
+  arrival.expected_work_ms = reader.Number("estimateMs");
+  if ((options & kExpectedWorkBit) == 0) arrival.expected_work_ms = 0;
+  arrival.is_retry = (options & kRetryBit) != 0;
+  arrival.is_write = (options & kWriteBit) != 0;
+  arrival.remaining_wait_ms = reader.Number("budgetMs");
+  arrival.request_class = reader.Get<std::uint16_t>("priority");
+  return arrival;
 }
 
-Finished ReadFinished(Reader& in) {
-  Finished f;
-  f.id = in.Get<std::uint64_t>("ticket");
-  f.elapsed_ms = in.Number("costTimeMs");
-  f.outcome = ToOutcome(in.Get<std::uint16_t>("outcome"), in.at());
-  return f;
+Finished ReadFinished(FrameReader& reader) {
+  Finished finished;
+  finished.id = reader.Get<std::uint64_t>("ticket");
+  finished.elapsed_ms = reader.Number("costTimeMs");
+  finished.outcome = ToOutcome(reader.Get<std::uint16_t>("outcome"), reader.offset());
+  return finished;
 }
 
-UpstreamCallFinished ReadCallResult(Reader& in) {
-  UpstreamCallFinished c;
-  c.id = in.Get<std::uint64_t>("ticket");
-  c.outcome = ToOutcome(in.Get<std::uint16_t>("outcome"), in.at());
-  c.elapsed_ms = in.Number("costTimeMs");
-  return c;
+UpstreamCallFinished ReadUpstreamCallFinished(FrameReader& reader) {
+  UpstreamCallFinished finished;
+  finished.id = reader.Get<std::uint64_t>("ticket");
+  finished.outcome = ToOutcome(reader.Get<std::uint16_t>("outcome"), reader.offset());
+  finished.elapsed_ms = reader.Number("costTimeMs");
+  return finished;
 }
 
-TimerFired ReadTickDue(Reader& in) {
-  TimerFired t;
-  t.token = in.Get<std::uint32_t>("handle");
-  const auto count = in.Get<std::uint8_t>("serverStats");
-  for (int i = 0; i < count; ++i) t.gauges.push_back(in.SmallNumber("serverStats"));
-  return t;
+TimerFired ReadTimerFired(FrameReader& reader) {
+  TimerFired fired;
+  fired.token = reader.Get<std::uint32_t>("handle");
+  const auto count = reader.Get<std::uint8_t>("serverStats");
+  for (int i = 0; i < count; ++i) fired.gauges.push_back(reader.FloatNumber("serverStats"));
+  return fired;
 }
 
-OpenInstance ReadOpen(Reader& in) {
+OpenInstance ReadOpenInstance(FrameReader& reader) {
   OpenInstance open;
-  open.seed = in.Get<std::uint64_t>("salt");
-  open.settings = in.Bytes(in.Get<std::uint32_t>("profileData"), "profileData");
+  open.seed = reader.Get<std::uint64_t>("salt");
+  open.settings = reader.Bytes(reader.Get<std::uint32_t>("profileData"), "profileData");
   return open;
 }
 
-Record ReadRecord(Reader& in) {
-  const std::size_t start = in.at();
-  const auto code = in.Get<std::uint8_t>("event code");
-  if (code < 1 || code > 9) {
-    throw WireError("unknown event code " + std::to_string(code) + " at byte " + std::to_string(start));
+Record ReadRecord(FrameReader& reader) {
+  const std::size_t start = reader.offset();
+  const auto code = reader.Get<std::uint8_t>("event code");
+  if (code < static_cast<int>(EventCode::kOpenInstance) ||
+      code > static_cast<int>(EventCode::kRetireInstance)) {
+    throw FrameError(start,
+                     "unknown event code " + std::to_string(code) + " at byte " + std::to_string(start));
   }
   Record record;
-  record.instance = in.Get<std::uint32_t>("server");
+  record.instance = reader.Get<std::uint32_t>("server");
   switch (static_cast<EventCode>(code)) {
     case EventCode::kOpenInstance:
-      record.what = ReadOpen(in);
+      record.content = ReadOpenInstance(reader);
       break;
-    case EventCode::kRetire:
-      record.what = Retire{};
+    case EventCode::kRetireInstance:
+      record.content = RetireInstance{};
       break;
-    case EventCode::kSubmit:
-      record.what = Event(ReadSubmit(in));
+    case EventCode::kArrival:
+      record.content = Event(ReadArrival(reader));
       break;
     case EventCode::kFinished:
-      record.what = Event(ReadFinished(in));
+      record.content = Event(ReadFinished(reader));
       break;
-    case EventCode::kBlocked:
-      record.what = Event(UpstreamCallRequested{in.Get<std::uint64_t>("ticket")});
+    case EventCode::kUpstreamCallRequested:
+      record.content = Event(UpstreamCallRequested{reader.Get<std::uint64_t>("ticket")});
       break;
-    case EventCode::kCallResult:
-      record.what = Event(ReadCallResult(in));
+    case EventCode::kUpstreamCallFinished:
+      record.content = Event(ReadUpstreamCallFinished(reader));
       break;
-    case EventCode::kSigterm:
-      record.what = Event(DrainNotice{in.Number("budgetMs")});
+    case EventCode::kDrainNotice:
+      record.content = Event(DrainNotice{reader.Number("budgetMs")});
       break;
-    case EventCode::kAborted:
-      record.what = Event(CallerDisconnected{in.Get<std::uint64_t>("ticket")});
+    case EventCode::kCallerDisconnected:
+      record.content = Event(CallerDisconnected{reader.Get<std::uint64_t>("ticket")});
       break;
-    case EventCode::kTickDue:
-      record.what = Event(ReadTickDue(in));
+    case EventCode::kTimerFired:
+      record.content = Event(ReadTimerFired(reader));
       break;
   }
   return record;
@@ -213,114 +225,103 @@
   out.append(bytes, sizeof(T));
 }
 
+// Appends one action in the form of the protocol.
+class ActionEncoder {
+ public:
+  ActionEncoder(std::string& out, std::uint32_t instance) : out_(out), instance_(instance) {}
+
+  void operator()(const Start& start) const { PutAll(ActionCode::kStart, start.id); }
+  void operator()(const Replay& replay) const { PutAll(ActionCode::kReplay, replay.id); }
+  void operator()(const Reject& reject) const {
+    PutAll(ActionCode::kReject, reject.id, static_cast<std::uint8_t>(reject.no_other_server),
+           reject.retry_after_ms);
+  }
+  void operator()(const Fail& fail) const { PutAll(ActionCode::kFail, fail.id); }
+  void operator()(const CancelRun& cancel) const { PutAll(ActionCode::kCancelRun, cancel.id); }
+  void operator()(const UseFallback& fallback) const { PutAll(ActionCode::kUseFallback, fallback.id); }
+  void operator()(const StartUpstreamCall& call) const {
+    PutAll(ActionCode::kStartUpstreamCall, call.id, call.timeout_ms);
+  }
+  void operator()(const RetainKey& retain) const { PutAll(ActionCode::kRetainKey, retain.id, retain.ttl_ms); }
+  void operator()(const ReleaseKey& release) const { PutAll(ActionCode::kReleaseKey, release.id); }
+  void operator()(const SetTimer& timer) const { PutAll(ActionCode::kSetTimer, timer.in_ms, timer.token); }
+  void operator()(const SetHealth& health) const {
+    PutAll(ActionCode::kSetHealth, static_cast<std::uint8_t>(health.healthy),
+           static_cast<std::uint8_t>(health.shallow));
+  }
+  void operator()(const PublishLoadSignal& signal) const {
+    PutAll(ActionCode::kPublishLoadSignal, static_cast<float>(signal.value));
+  }
+  void operator()(const CloseIdle& close) const { PutAll(ActionCode::kCloseIdle, close.after_ms); }
+  void operator()(const Log& log) const {
+    // The length field holds 16 bits.
+    const std::string_view text =
+        std::string_view(log.text).substr(0, std::numeric_limits<std::uint16_t>::max());
+    PutAll(ActionCode::kLog, static_cast<std::uint16_t>(text.size()));
+    out_.append(text);
+  }
+
+ private:
+  template <typename... Fields>
+  void PutAll(ActionCode code, Fields... fields) const {
+    Put(out_, static_cast<std::uint8_t>(code));
+    Put(out_, instance_);
+    (Put(out_, fields), ...);
+  }
+
+  std::string& out_;
+  std::uint32_t instance_;
+};
+
 }  // namespace
 
 std::size_t FrameLength(std::string_view header) {
-  Reader in(header);
-  in.Get<double>("clock");
-  const auto length = in.Get<std::uint32_t>("length");
-  if (length < kBatchHeader) {
-    throw WireError("frame length " + std::to_string(length) + " is shorter than its header");
+  FrameReader reader(header);
+  reader.Get<double>("clock");
+  const auto length = reader.Get<std::uint32_t>("length");
+  if (length < kBatchHeaderBytes) {
+    throw FrameError(reader.offset(),
+                     "frame length " + std::to_string(length) + " is shorter than its header");
   }
   return length;
 }
 
 Batch DecodeBatch(std::string_view frame) {
-  if (FrameLength(frame) != frame.size()) throw WireError("frame length differs from the bytes given");
-  Reader in(frame);
+  if (FrameLength(frame) != frame.size()) throw FrameError(0, "frame length differs from the bytes given");
+  FrameReader reader(frame);
   Batch batch;
-  batch.now_ms = in.Number("clock");
-  in.Get<std::uint32_t>("length");
-  const auto count = in.Get<std::uint32_t>("number of records");
+  batch.now_ms = reader.Number("clock");
+  reader.Get<std::uint32_t>("length");
+  const auto count = reader.Get<std::uint32_t>("number of records");
   for (std::uint32_t i = 0; i < count; ++i) {
-    if (in.left() == 0) {
-      throw WireError("record " + std::to_string(i + 1) + " of " + std::to_string(count) +
-                      " runs past the frame of " + std::to_string(frame.size()) + " bytes");
+    if (reader.remaining() == 0) {
+      throw FrameError(reader.offset(), "record " + std::to_string(i + 1) + " of " + std::to_string(count) +
+                                            " runs past the frame of " + std::to_string(frame.size()) +
+                                            " bytes");
     }
-    batch.records.push_back(ReadRecord(in));
+    batch.records.push_back(ReadRecord(reader));
   }
-  if (in.left() != 0) {
-    throw WireError(std::to_string(in.left()) + " bytes are left over after the last record, at byte " +
-                    std::to_string(in.at()));
+  if (reader.remaining() != 0) {
+    throw FrameError(reader.offset(), std::to_string(reader.remaining()) +
+                                          " bytes are left over after the last record, at byte " +
+                                          std::to_string(reader.offset()));
   }
   return batch;
 }
 
-void ReplyWriter::Add(std::uint32_t instance, const Action& action) {
-  ++count_;
-  const auto head = [&](ActionCode code) {
-    Put(body_, static_cast<std::uint8_t>(code));
-    Put(body_, instance);
-  };
-  std::visit(
-      [&](const auto& a) {
-        using A = std::decay_t<decltype(a)>;
-        if constexpr (std::is_same_v<A, Start>) {
-          head(ActionCode::kStart);
-          Put(body_, a.id);
-        } else if constexpr (std::is_same_v<A, Replay>) {
-          head(ActionCode::kReplay);
-          Put(body_, a.id);
-        } else if constexpr (std::is_same_v<A, Reject>) {
-          head(ActionCode::kBounce);
-          Put(body_, a.id);
-          Put(body_, static_cast<std::uint8_t>(a.no_other_server));
-          Put(body_, a.retry_after_ms);
-        } else if constexpr (std::is_same_v<A, Fail>) {
-          head(ActionCode::kDropRequest);
-          Put(body_, a.id);
-        } else if constexpr (std::is_same_v<A, CancelRun>) {
-          head(ActionCode::kPreempt);
-          Put(body_, a.id);
-        } else if constexpr (std::is_same_v<A, UseFallback>) {
-          head(ActionCode::kFallBack);
-          Put(body_, a.id);
-        } else if constexpr (std::is_same_v<A, StartUpstreamCall>) {
-          head(ActionCode::kAskBelow);
-          Put(body_, a.id);
-          Put(body_, a.timeout_ms);
-        } else if constexpr (std::is_same_v<A, RetainKey>) {
-          head(ActionCode::kRetain);
-          Put(body_, a.id);
-          Put(body_, a.ttl_ms);
-        } else if constexpr (std::is_same_v<A, ReleaseKey>) {
-          head(ActionCode::kUnpin);
-          Put(body_, a.id);
-        } else if constexpr (std::is_same_v<A, SetTimer>) {
-          head(ActionCode::kSchedule);
-          Put(body_, a.in_ms);
-          Put(body_, a.token);
-        } else if constexpr (std::is_same_v<A, SetHealth>) {
-          head(ActionCode::kStatus);
-          Put(body_, static_cast<std::uint8_t>(a.healthy));
-          Put(body_, static_cast<std::uint8_t>(a.shallow));
-        } else if constexpr (std::is_same_v<A, PublishLoadSignal>) {
-          head(ActionCode::kAnnounce);
-          Put(body_, static_cast<float>(a.value));
-        } else if constexpr (std::is_same_v<A, CloseIdle>) {
-          head(ActionCode::kCloseIdle);
-          Put(body_, a.after_ms);
-        } else {
-          static_assert(std::is_same_v<A, Log>);
-          // The length field holds 16 bits.
-          const std::string_view text =
-              std::string_view(a.text).substr(0, std::numeric_limits<std::uint16_t>::max());
-          head(ActionCode::kSayLog);
-          Put(body_, static_cast<std::uint16_t>(text.size()));
-          body_.append(text);
-        }
-      },
-      action);
+void ReplyEncoder::Add(std::uint32_t instance, const Action& action) {
+  ++action_count_;
+  std::visit(ActionEncoder(body_, instance), action);
 }
 
-std::string ReplyWriter::Take() {
+std::string ReplyEncoder::Finish() {
+  const std::size_t length = kReplyHeaderBytes + body_.size();
   std::string frame;
-  frame.reserve(8 + body_.size());
-  Put(frame, count_);
-  Put(frame, static_cast<std::uint32_t>(8 + body_.size()));
+  frame.reserve(length);
+  Put(frame, std::exchange(action_count_, 0));
+  Put(frame, static_cast<std::uint32_t>(length));
   frame += body_;
   body_.clear();
-  count_ = 0;
   return frame;
 }
 
--- a/src/simulator_adapter/codec.h
+++ b/src/simulator_adapter/codec.h
@@ -1,10 +1,10 @@
-// Reads and writes the simulator's binary frames. Pure translation: nothing here decides anything.
+// Decodes batches of the simulator's binary protocol and encodes the replies. The codes and field names of
+// the protocol are mapped to the terms of the policy in codec.cpp and nowhere else.
 #ifndef HINGELINK_SIMULATOR_ADAPTER_CODEC_H_
 #define HINGELINK_SIMULATOR_ADAPTER_CODEC_H_
 
+#include <cstddef>
 #include <cstdint>
-#include <optional>
-#include <stdexcept>
 #include <string>
 #include <string_view>
 #include <variant>
@@ -14,46 +14,45 @@
 
 namespace hingelink::simulator_adapter {
 
-// What is wrong with the input, and where.
-class WireError : public std::runtime_error {
- public:
-  using std::runtime_error::runtime_error;
-};
-
+// A new instance of the policy begins.
 struct OpenInstance {
   std::uint64_t seed = 0;
-  std::string settings;
+  std::string settings;  // See ParseSettings().
 };
-struct Retire {};
+
+// An instance ends.
+struct RetireInstance {};
 
 struct Record {
   std::uint32_t instance = 0;
-  std::variant<OpenInstance, Retire, Event> what;
+  std::variant<OpenInstance, RetireInstance, Event> content;
 };
 
+// What happened at one moment, to any number of instances, in order.
 struct Batch {
   double now_ms = 0;
   std::vector<Record> records;
 };
 
-inline constexpr std::size_t kBatchHeader = 16;
+// Clock, length and number of records.
+inline constexpr std::size_t kBatchHeaderBytes = 16;
 
-// The length of the whole frame, from its header of kBatchHeader bytes. Throws WireError.
-std::size_t FrameLength(std::string_view header);
+// The length of the whole frame in bytes, from its header of kBatchHeaderBytes. Throws FrameError.
+[[nodiscard]] std::size_t FrameLength(std::string_view header);
 
-// Decodes one whole frame. Throws WireError.
-Batch DecodeBatch(std::string_view frame);
+// Decodes one whole frame. Throws FrameError.
+[[nodiscard]] Batch DecodeBatch(std::string_view frame);
 
-// Collects actions and gives the reply frame.
-class ReplyWriter {
+// Collects the actions of one batch and encodes the reply frame. Not thread-safe.
+class ReplyEncoder {
  public:
   void Add(std::uint32_t instance, const Action& action);
-  // The finished frame; the writer is empty again.
-  std::string Take();
+  // Returns the frame of what was added since the last call.
+  [[nodiscard]] std::string Finish();
 
  private:
   std::string body_;
-  std::uint32_t count_ = 0;
+  std::uint32_t action_count_ = 0;
 };
 
 }  // namespace hingelink::simulator_adapter
--- a/src/simulator_adapter/instance_table.h
+++ b/src/simulator_adapter/instance_table.h
@@ -1,4 +1,4 @@
-// Deals the events of a batch to the instances they name and collects what they do.
+// The instances of the policy behind the simulator's protocol.
 #ifndef HINGELINK_SIMULATOR_ADAPTER_INSTANCE_TABLE_H_
 #define HINGELINK_SIMULATOR_ADAPTER_INSTANCE_TABLE_H_
 
@@ -11,12 +11,16 @@
 
 namespace hingelink::simulator_adapter {
 
+// Not thread-safe.
 class InstanceTable {
  public:
-  // The reply frame to one batch. Throws WireError.
-  std::string Answer(const Batch& batch);
+  // Distributes the events of a batch to their instances and returns the reply frame with the actions of all.
+  // Throws InstanceError, after which the table must not be used any more.
+  [[nodiscard]] std::string Answer(const Batch& batch);
 
  private:
+  void Open(std::uint32_t instance, const OpenInstance& open);
+
   std::map<std::uint32_t, ServerPolicy> instances_;
 };
 
--- a/src/simulator_adapter/settings_parser.cpp
+++ b/src/simulator_adapter/settings_parser.cpp
@@ -6,17 +6,21 @@
 #include <string>
 #include <vector>
 
-#include "simulator_adapter/codec.h"
+#include "simulator_adapter/errors.h"
 
 namespace hingelink::simulator_adapter {
 namespace {
 
-// More classes or tenants than this is taken for a damaged count.
-constexpr int kMostEntries = 65536;
+// Most classes, tenants, servers or callers that a count may give.
+constexpr int kMaxCount = 65536;
+// Most characters of a value that an error repeats.
+constexpr std::size_t kMaxShownCharacters = 40;
 
-class Pairs {
+// The values by their paths. Each getter throws SettingsError if the value is not of its type, and the ones
+// without `otherwise` if it is missing.
+class KeyValuePairs {
  public:
-  explicit Pairs(std::string_view text) {
+  explicit KeyValuePairs(std::string_view text) {
     int line_number = 0;
     while (!text.empty()) {
       const std::size_t end = text.find('\n');
@@ -27,7 +31,7 @@
       if (line.empty()) continue;
       const std::size_t sign = line.find('=');
       if (sign == std::string_view::npos || sign == 0) {
-        throw WireError("settings line " + std::to_string(line_number) + " is no path=value pair");
+        throw SettingsError({}, "settings line " + std::to_string(line_number) + " is no path=value pair");
       }
       values_.insert_or_assign(std::string(line.substr(0, sign)), line.substr(sign + 1));
     }
@@ -40,18 +44,18 @@
     return it == values_.end() ? otherwise : it->second;
   }
 
-  double Number(const std::string& key) const { return ToNumber(key, Must(key, "a number")); }
+  double Number(const std::string& key) const { return ToNumber(key, Require(key, "a number")); }
   double Number(const std::string& key, double otherwise) const { return Has(key) ? Number(key) : otherwise; }
 
-  int Count(const std::string& key, int most = kMostEntries) const {
-    const std::string wanted = "a whole number from 0 to " + std::to_string(most);
-    const std::string_view text = Must(key, wanted);
+  int Count(const std::string& key, int max = kMaxCount) const {
+    const std::string wanted = "a whole number from 0 to " + std::to_string(max);
+    const std::string_view text = Require(key, wanted);
     const double value = ToNumber(key, text);
-    if (value < 0 || value > most || value != std::floor(value)) Bad(key, text, wanted);
+    if (value < 0 || value > max || value != std::floor(value)) Reject(key, text, wanted);
     return static_cast<int>(value);
   }
-  int Count(const std::string& key, int otherwise, int most) const {
-    return Has(key) ? Count(key, most) : otherwise;
+  int Count(const std::string& key, int otherwise, int max) const {
+    return Has(key) ? Count(key, max) : otherwise;
   }
 
   bool Flag(const std::string& key, bool otherwise) const {
@@ -69,39 +73,40 @@
     return parts;
   }
 
-  // A list with one value for each class; absent means `length` times nothing.
-  std::vector<std::string_view> ListFor(const std::string& key, std::size_t length) const {
+  // A list with one value for each of `length` classes, or an empty one if the key is missing.
+  std::vector<std::string_view> ListOfLength(const std::string& key, std::size_t length) const {
     std::vector<std::string_view> parts = List(key);
     if (!parts.empty() && parts.size() != length) {
-      throw WireError("settings " + key + " has " + std::to_string(parts.size()) + " values for " +
-                      std::to_string(length) + " classes");
+      throw SettingsError(key, "settings " + key + " has " + std::to_string(parts.size()) + " values for " +
+                                   std::to_string(length) + " classes");
     }
     return parts;
   }
 
   static double ToNumber(const std::string& key, std::string_view text) {
     double value = 0;
-    const auto [end, fault] = std::from_chars(text.data(), text.data() + text.size(), value);
-    if (fault != std::errc() || end != text.data() + text.size() || !std::isfinite(value)) {
-      Bad(key, text, "a number");
+    const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
+    if (error != std::errc() || end != text.data() + text.size() || !std::isfinite(value)) {
+      Reject(key, text, "a number");
     }
     return value;
   }
 
   static bool ToFlag(const std::string& key, std::string_view text) {
     if (text == "true") return true;
-    if (text != "false") Bad(key, text, "true or false");
+    if (text != "false") Reject(key, text, "true or false");
     return false;
   }
 
-  [[noreturn]] static void Bad(const std::string& key, std::string_view text, const std::string& wanted) {
-    throw WireError("settings " + key + "=" + std::string(text.substr(0, 40)) + " is not " + wanted);
+  [[noreturn]] static void Reject(const std::string& key, std::string_view text, const std::string& wanted) {
+    throw SettingsError(key, "settings " + key + "=" + std::string(text.substr(0, kMaxShownCharacters)) +
+                                 " is not " + wanted);
   }
 
  private:
-  std::string_view Must(const std::string& key, const std::string& wanted) const {
+  std::string_view Require(const std::string& key, const std::string& wanted) const {
     auto it = values_.find(key);
-    if (it == values_.end()) throw WireError("settings lack " + key + ", which must be " + wanted);
+    if (it == values_.end()) throw SettingsError(key, "settings lack " + key + ", which must be " + wanted);
     return it->second;
   }
 
@@ -112,7 +117,7 @@
   if (text == "safe") return Idempotency::kIdempotent;
   if (text == "keyed") return Idempotency::kKeyed;
   if (text == "unsafe") return Idempotency::kNotIdempotent;
-  Pairs::Bad(key, text, "safe, keyed or unsafe");
+  KeyValuePairs::Reject(key, text, "safe, keyed or unsafe");
 }
 
 LoadSignalKind ToLoadSignalKind(const std::string& key, std::string_view text) {
@@ -120,88 +125,107 @@
   if (text == "threshold") return LoadSignalKind::kThreshold;
   if (text == "window") return LoadSignalKind::kWindow;
   if (text == "share_of") return LoadSignalKind::kAcceptProbability;
-  Pairs::Bad(key, text, "threshold, window, share_of or silent");
+  KeyValuePairs::Reject(key, text, "threshold, window, share_of or silent");
 }
 
-void ReadClasses(const Pairs& in, Settings& s) {
-  s.classes.resize(in.Count("requestClasses.count"));
-  const auto calls = in.ListFor("specifics.classCalls", s.classes.size());
-  const auto without = in.ListFor("specifics.worthWithout", s.classes.size());
-  for (std::size_t i = 0; i < s.classes.size(); ++i) {
-    const std::string at = "requestClasses." + std::to_string(i) + ".";
-    RequestClass& c = s.classes[i];
-    c.name = in.Text(at + "name", "");
-    c.deadline_ms = in.Number(at + "hardLimitMs");
-    c.latency_objective_ms = in.Number(at + "goalTimeMs", c.deadline_ms);
-    c.latency_objective_work_factor = in.Number(at + "aimStretch", 0);
-    c.late_weight_fraction = in.Number(at + "lateShare", 0);
-    c.priority_weight = in.Number(at + "worth", 1);
-    c.idempotency_window_ms = in.Number(at + "windowMs", 0);
-    c.idempotency = ToIdempotency(at + "repeat", in.Text(at + "repeat", "unsafe"));
-    if (!calls.empty()) c.may_call_upstream = Pairs::ToFlag("specifics.classCalls", calls[i]);
-    if (!without.empty()) c.fallback_weight_fraction = Pairs::ToNumber("specifics.worthWithout", without[i]);
+void ReadClasses(const KeyValuePairs& pairs, Settings& settings) {
+  settings.classes.resize(pairs.Count("requestClasses.count"));
+  const auto may_call = pairs.ListOfLength("specifics.classCalls", settings.classes.size());
+  const auto fallback_weights = pairs.ListOfLength("specifics.worthWithout", settings.classes.size());
+  for (std::size_t i = 0; i < settings.classes.size(); ++i) {
+    const std::string prefix = "requestClasses." + std::to_string(i) + ".";
+    RequestClass& config = settings.classes[i];
+    config.name = pairs.Text(prefix + "name", "");
+    config.deadline_ms = pairs.Number(prefix + "hardLimitMs");
+    config.latency_objective_ms = pairs.Number(prefix + "goalTimeMs", config.deadline_ms);
+    config.latency_objective_work_factor = pairs.Number(prefix + "aimStretch", 0);
+    config.late_weight_fraction = pairs.Number(prefix + "lateShare", 0);
+    config.priority_weight = pairs.Number(prefix + "worth", 1);
+    config.idempotency_window_ms = pairs.Number(prefix + "windowMs", 0);
+    config.idempotency = ToIdempotency(prefix + "repeat", pairs.Text(prefix + "repeat", "unsafe"));
+    if (!may_call.empty())
+      config.may_call_upstream = KeyValuePairs::ToFlag("specifics.classCalls", may_call[i]);
+    if (!fallback_weights.empty())
+      config.fallback_weight_fraction =
+          KeyValuePairs::ToNumber("specifics.worthWithout", fallback_weights[i]);
   }
 }
 
-void ReadTenants(const Pairs& in, Settings& s) {
-  s.tenants.resize(in.Count("tenants.count", 0, kMostEntries));
-  for (std::size_t i = 0; i < s.tenants.size(); ++i) {
-    const std::string at = "tenants." + std::to_string(i) + ".";
-    s.tenants[i].name = in.Text(at + "name", "");
-    s.tenants[i].traffic_fraction = in.Number(at + "portion", 0);
-    s.tenants[i].quota_rps = in.Number(at + "quotaRps", 0);
+void ReadTenants(const KeyValuePairs& pairs, Settings& settings) {
+  settings.tenants.resize(pairs.Count("tenants.count", 0, kMaxCount));
+  for (std::size_t i = 0; i < settings.tenants.size(); ++i) {
+    const std::string prefix = "tenants." + std::to_string(i) + ".";
+    settings.tenants[i].name = pairs.Text(prefix + "name", "");
+    settings.tenants[i].traffic_fraction = pairs.Number(prefix + "portion", 0);
+    settings.tenants[i].quota_rps = pairs.Number(prefix + "quotaRps", 0);
   }
 }
 
-}  // namespace
+void ReadServer(const KeyValuePairs& pairs, Settings& settings) {
+  settings.cores = pairs.Count("specifics.cpus");
+  settings.memory_kb = pairs.Number("specifics.memoryKb");
+  settings.running_memory_factor = pairs.Number("specifics.runFactor");
+  settings.idempotency_key_kb = pairs.Number("specifics.keyKb", 0);
+  settings.read_cache_ttl_ms = pairs.Number("specifics.freshMs", 0);
+  settings.warming_up = pairs.Flag("specifics.cold", false);
+  settings.warm_up_speed_fraction = pairs.Number("rules.coldFrom", 1);
+  settings.warm_up_ms = pairs.Number("rules.coldMs", 0);
+  settings.max_running_per_core = pairs.Number("rules.fallMultiple");
+  settings.max_running_window_ms = pairs.Number("rules.fallMs", 0);
+  settings.answer_grace_ms = pairs.Number("rules.answerSlackMs", 0);
+  settings.drain_grace_ms = pairs.Number("rules.drainGraceMs", 0);
+  settings.min_batch_interval_ms = pairs.Number("quantumMs");
+}
 
-Settings ParseSettings(std::string_view text) {
-  const Pairs in(text);
-  Settings s;
-  ReadClasses(in, s);
-  ReadTenants(in, s);
-  for (std::string_view name : in.List("specifics.gauges")) s.gauges.emplace_back(name);
-  s.cores = in.Count("specifics.cpus");
-  s.memory_kb = in.Number("specifics.memoryKb");
-  s.running_memory_factor = in.Number("specifics.runFactor");
-  s.idempotency_key_kb = in.Number("specifics.keyKb", 0);
-  s.read_cache_ttl_ms = in.Number("specifics.freshMs", 0);
-  s.warming_up = in.Flag("specifics.cold", false);
-  s.warm_up_speed_fraction = in.Number("rules.coldFrom", 1);
-  s.warm_up_ms = in.Number("rules.coldMs", 0);
-  s.max_running_per_core = in.Number("rules.fallMultiple");
-  s.max_running_window_ms = in.Number("rules.fallMs", 0);
-  s.answer_grace_ms = in.Number("rules.answerSlackMs", 0);
-  s.drain_grace_ms = in.Number("rules.drainGraceMs", 0);
-  s.min_batch_interval_ms = in.Number("quantumMs");
-  const std::string_view below = in.Text("specifics.dependsOn", "silent");
-  if (below != "silent" && below != "shared" && below != "tier") {
-    Pairs::Bad("specifics.dependsOn", below, "shared, tier or silent");
+void ReadUpstream(const KeyValuePairs& pairs, Settings& settings) {
+  const std::string_view upstream = pairs.Text("specifics.dependsOn", "silent");
+  if (upstream != "silent" && upstream != "shared" && upstream != "tier") {
+    KeyValuePairs::Reject("specifics.dependsOn", upstream, "shared, tier or silent");
   }
-  s.has_upstream = below != "silent";
-  s.upstream_call_quota = in.Number("specifics.callShare", 0);
-  s.upstream_call_quota_window_ms = in.Number("specifics.callsOverMs", 0);
-  s.abandoned_call_ms = in.Number("specifics.lingersMs", 0);
-  s.callers_send_remaining_wait = in.Flag("specifics.passesDeadline", false);
-  s.fleet_size = in.Count("peersTotal", 1, kMostEntries);
-  s.callers = in.Count("specifics.clientsTotal", 1, kMostEntries);
-  s.over_quota_weight_fraction = in.Number("overShareWorth", 1);
-  s.weight_by_work = in.Text("worthBy", "request") == "work";
-  s.load_signal = ToLoadSignalKind("specifics.signal", in.Text("specifics.signal", "silent"));
-  s.load_signal_lifetime_ms = in.Number("specifics.heardForMs", 0);
-  const std::string_view stop = in.Text("specifics.stopMode", "silent");
-  if (stop != "silent" && stop != "abort" && stop != "suspend") {
-    Pairs::Bad("specifics.stopMode", stop, "abort, suspend or silent");
+  settings.has_upstream = upstream != "silent";
+  settings.upstream_call_quota = pairs.Number("specifics.callShare", 0);
+  settings.upstream_call_quota_window_ms = pairs.Number("specifics.callsOverMs", 0);
+  settings.abandoned_call_ms = pairs.Number("specifics.lingersMs", 0);
+}
+
+void ReadCallers(const KeyValuePairs& pairs, Settings& settings) {
+  settings.callers_send_remaining_wait = pairs.Flag("specifics.passesDeadline", false);
+  settings.fleet_size = pairs.Count("peersTotal", 1, kMaxCount);
+  settings.callers = pairs.Count("specifics.clientsTotal", 1, kMaxCount);
+  settings.over_quota_weight_fraction = pairs.Number("overShareWorth", 1);
+  settings.weight_by_work = pairs.Text("worthBy", "request") == "work";
+  settings.load_signal = ToLoadSignalKind("specifics.signal", pairs.Text("specifics.signal", "silent"));
+  settings.load_signal_lifetime_ms = pairs.Number("specifics.heardForMs", 0);
+  const std::string_view stop_mode = pairs.Text("specifics.stopMode", "silent");
+  if (stop_mode != "silent" && stop_mode != "abort" && stop_mode != "suspend") {
+    KeyValuePairs::Reject("specifics.stopMode", stop_mode, "abort, suspend or silent");
   }
-  s.can_cancel_runs = stop != "silent";
-  s.sends_retry_after = in.Flag("limits.retryAfter", false);
-  s.max_retry_after_ms = in.Number("limits.maxRetryAfterMs", 0);
-  s.caller_idle_timeout_ms = in.Number("specifics.idleMs", 0);
-  s.goal_weight_overall = in.Number("goal.whole", 1);
-  s.goal_weight_worst_window = in.Number("goal.worstWindow", 0);
-  s.goal_weight_worst_class = in.Number("goal.worstClass", 0);
-  s.goal_weight_worst_tenant = in.Number("goal.worstTenant", 0);
-  return s;
+  settings.can_cancel_runs = stop_mode != "silent";
+  settings.sends_retry_after = pairs.Flag("limits.retryAfter", false);
+  settings.max_retry_after_ms = pairs.Number("limits.maxRetryAfterMs", 0);
+  settings.caller_idle_timeout_ms = pairs.Number("specifics.idleMs", 0);
+}
+
+void ReadGoal(const KeyValuePairs& pairs, Settings& settings) {
+  settings.goal_weight_overall = pairs.Number("goal.whole", 1);
+  settings.goal_weight_worst_window = pairs.Number("goal.worstWindow", 0);
+  settings.goal_weight_worst_class = pairs.Number("goal.worstClass", 0);
+  settings.goal_weight_worst_tenant = pairs.Number("goal.worstTenant", 0);
+}
+
+}  // namespace
+
+Settings ParseSettings(std::string_view text) {
+  const KeyValuePairs pairs(text);
+  Settings settings;
+  ReadClasses(pairs, settings);
+  ReadTenants(pairs, settings);
+  for (const std::string_view name : pairs.List("specifics.gauges")) settings.gauges.emplace_back(name);
+  ReadServer(pairs, settings);
+  ReadUpstream(pairs, settings);
+  ReadCallers(pairs, settings);
+  ReadGoal(pairs, settings);
+  return settings;
 }
 
 }  // namespace hingelink::simulator_adapter
--- a/src/simulator_adapter/settings_parser.h
+++ b/src/simulator_adapter/settings_parser.h
@@ -1,4 +1,5 @@
-// Turns the path=value lines of open_instance into Settings. Pure translation.
+// Parses settings as path=value lines, in which the simulator and the node's configuration file give them.
+// The keys are mapped to the members of Settings in settings_parser.cpp and nowhere else.
 #ifndef HINGELINK_SIMULATOR_ADAPTER_SETTINGS_PARSER_H_
 #define HINGELINK_SIMULATOR_ADAPTER_SETTINGS_PARSER_H_
 
@@ -8,7 +9,8 @@
 
 namespace hingelink::simulator_adapter {
 
-// Throws WireError that names the line or the key at fault. Unknown keys are skipped.
+// Unknown keys are skipped. Throws SettingsError that names the line or the key. Does not check whether the
+// settings contradict themselves; see Settings::Validate().
 Settings ParseSettings(std::string_view text);
 
 }  // namespace hingelink::simulator_adapter
--- a/tests/simulator_adapter/codec_test.cpp
+++ b/tests/simulator_adapter/codec_test.cpp
@@ -7,11 +7,12 @@
 #include <vector>
 
 #include "frames.h"
+#include "simulator_adapter/errors.h"
 
 namespace hingelink::simulator_adapter {
 namespace {
 
-TEST(Codec, ReadsEveryField) {
+TEST(Codec, ArrivalIsDecodedWithEveryField) {
   const std::string submit =
       Hex("02 03000000 c4913a5d3b790400 192b6f0ee7bc0800 0000c441 640ad2557c3bf091 0000203f 0500"
           "9a9999999999fd3f 11000000 0300 0000000000002840 0000000000006e40 0200");
@@ -19,31 +20,31 @@
   EXPECT_EQ(batch.now_ms, 241);
   ASSERT_EQ(batch.records.size(), 1u);
   EXPECT_EQ(batch.records[0].instance, 3u);
-  const auto& a = std::get<Arrival>(std::get<Event>(batch.records[0].what));
-  EXPECT_EQ(a.id, 0x0004793b5d3a91c4u);
-  EXPECT_EQ(a.original, 0x0008bce70e6f2b19u);
-  EXPECT_EQ(a.reserved_kb, 24.5);
-  EXPECT_EQ(a.rank, 0.625);
-  EXPECT_EQ(a.tenant, 5);
-  EXPECT_NEAR(a.read_delay_ms, 1.85, 1e-9);
-  EXPECT_EQ(a.caller, 17u);
-  EXPECT_TRUE(a.is_retry);
-  EXPECT_EQ(a.expected_work_ms, 12);
-  EXPECT_EQ(a.remaining_wait_ms, 240);
-  EXPECT_EQ(a.request_class, 2);
+  const auto& arrival = std::get<Arrival>(std::get<Event>(batch.records[0].content));
+  EXPECT_EQ(arrival.id, 0x0004793b5d3a91c4u);
+  EXPECT_EQ(arrival.original, 0x0008bce70e6f2b19u);
+  EXPECT_EQ(arrival.reserved_kb, 24.5);
+  EXPECT_EQ(arrival.rank, 0.625);
+  EXPECT_EQ(arrival.tenant, 5);
+  EXPECT_NEAR(arrival.read_delay_ms, 1.85, 1e-9);
+  EXPECT_EQ(arrival.caller, 17u);
+  EXPECT_TRUE(arrival.is_retry);
+  EXPECT_EQ(arrival.expected_work_ms, 12);
+  EXPECT_EQ(arrival.remaining_wait_ms, 240);
+  EXPECT_EQ(arrival.request_class, 2);
 }
 
-TEST(Codec, HintCountsOnlyWithItsBit) {
+TEST(Codec, ExpectedWorkCountsOnlyWithItsBit) {
   std::string body = "\2";
   Put(body, std::uint32_t{1});
   body += std::string(8 + 8 + 4 + 8 + 4 + 2 + 8 + 4 + 2, '\0');
   Put(body, 12.0);
   body += std::string(8 + 2, '\0');
   const Batch batch = DecodeBatch(Frame(0, 1, body));
-  EXPECT_EQ(std::get<Arrival>(std::get<Event>(batch.records[0].what)).expected_work_ms, 0);
+  EXPECT_EQ(std::get<Arrival>(std::get<Event>(batch.records[0].content)).expected_work_ms, 0);
 }
 
-TEST(Codec, ReadsTheOtherEvents) {
+TEST(Codec, OtherEventsAreDecoded) {
   const std::string body =
       Hex("08 03000000 4d000000 02 0000003f 00004040") + Hex("07 03000000 0500000000000000") +
       Hex("03 03000000 0500000000000000 0000000000803240 0600") +
@@ -51,7 +52,7 @@
       Hex("06 03000000 0000000000407f40") + Hex("09 03000000");
   const Batch batch = DecodeBatch(Frame(1, 7, body));
   ASSERT_EQ(batch.records.size(), 7u);
-  const auto event = [&batch](int i) { return std::get<Event>(batch.records[i].what); };
+  const auto event = [&batch](int index) { return std::get<Event>(batch.records[index].content); };
   EXPECT_EQ(std::get<TimerFired>(event(0)).token, 77u);
   EXPECT_EQ(std::get<TimerFired>(event(0)).gauges, (std::vector<double>{0.5, 3}));
   EXPECT_EQ(std::get<CallerDisconnected>(event(1)).id, 5u);
@@ -61,25 +62,25 @@
   EXPECT_EQ(std::get<UpstreamCallFinished>(event(3)).elapsed_ms, 18);
   EXPECT_EQ(std::get<UpstreamCallRequested>(event(4)).id, 5u);
   EXPECT_EQ(std::get<DrainNotice>(event(5)).remaining_ms, 500);
-  EXPECT_TRUE(std::holds_alternative<Retire>(batch.records[6].what));
+  EXPECT_TRUE(std::holds_alternative<RetireInstance>(batch.records[6].content));
 }
 
-TEST(Codec, WritesTheReplyOfTheWirePage) {
-  ReplyWriter reply;
+TEST(Codec, ReplyOfTheProtocolDocumentIsEncoded) {
+  ReplyEncoder reply;
   reply.Add(3, Start{0x0004793b5d3a91c4u});
   reply.Add(3, SetTimer{500, 77});
   reply.Add(5, Log{"two servers known"});
-  EXPECT_EQ(reply.Take(),
+  EXPECT_EQ(reply.Finish(),
             Hex("03000000 3e000000 08 03000000 c4913a5d3b790400 02 03000000 0000000000407f40 4d000000"
                 "06 05000000 1100 74776f2073657276657273206b6e6f776e"));
-  EXPECT_EQ(reply.Take(), Hex("00000000 08000000"));
+  EXPECT_EQ(reply.Finish(), Hex("00000000 08000000"));
 }
 
-TEST(Codec, WritesEveryAction) {
+TEST(Codec, EveryActionIsEncoded) {
   const auto bytes = [](const Action& action) {
-    ReplyWriter reply;
+    ReplyEncoder reply;
     reply.Add(1, action);
-    return reply.Take().substr(8);
+    return reply.Finish().substr(8);
   };
   EXPECT_EQ(bytes(Reject{25, true, 250}), Hex("03 01000000 1900000000000000 01 0000000000406f40"));
   EXPECT_EQ(bytes(PublishLoadSignal{0.25}), Hex("01 01000000 0000803e"));
@@ -93,17 +94,21 @@
   EXPECT_EQ(bytes(StartUpstreamCall{5, 500}), Hex("04 01000000 0500000000000000 0000000000407f40"));
 }
 
-TEST(Codec, RefusesMalformedFrames) {
-  EXPECT_THROW(DecodeBatch(Frame(0, 1, "")), WireError);                     // A record too few.
-  EXPECT_THROW(DecodeBatch(Frame(0, 0, "x")), WireError);                    // Bytes left over.
-  EXPECT_THROW(DecodeBatch(Frame(0, 1, Hex("3f 01000000"))), WireError);     // Unknown code.
-  EXPECT_THROW(DecodeBatch(Frame(0, 1, Hex("07 01000000 05"))), WireError);  // Cut short.
-  EXPECT_THROW(DecodeBatch(Frame(0, 1, Hex("01 01000000 0000000000000000 ffffffff"))), WireError);
-  EXPECT_THROW(DecodeBatch(Frame(0, 1, Hex("08 01000000 4d000000 ff 0000003f"))), WireError);
-  EXPECT_THROW(DecodeBatch(Frame(0, 1, Hex("03 01000000 0500000000000000 0000000000803240 0900"))),
-               WireError);
-  EXPECT_THROW(DecodeBatch(Frame(0, 1, Hex("06 01000000 000000000000f87f"))), WireError);  // Not a number.
-  EXPECT_THROW(DecodeBatch(Frame(0, 0, "").substr(0, 15)), WireError);
+TEST(Codec, MalformedFramesAreRejected) {
+  EXPECT_THROW(static_cast<void>(DecodeBatch(Frame(0, 1, ""))), FrameError);   // A record too few.
+  EXPECT_THROW(static_cast<void>(DecodeBatch(Frame(0, 0, "x"))), FrameError);  // Bytes left over.
+  EXPECT_THROW(static_cast<void>(DecodeBatch(Frame(0, 1, Hex("3f 01000000")))), FrameError);  // Unknown code.
+  EXPECT_THROW(static_cast<void>(DecodeBatch(Frame(0, 1, Hex("07 01000000 05")))), FrameError);  // Cut short.
+  EXPECT_THROW(static_cast<void>(DecodeBatch(Frame(0, 1, Hex("01 01000000 0000000000000000 ffffffff")))),
+               FrameError);
+  EXPECT_THROW(static_cast<void>(DecodeBatch(Frame(0, 1, Hex("08 01000000 4d000000 ff 0000003f")))),
+               FrameError);
+  EXPECT_THROW(
+      static_cast<void>(DecodeBatch(Frame(0, 1, Hex("03 01000000 0500000000000000 0000000000803240 0900")))),
+      FrameError);
+  EXPECT_THROW(static_cast<void>(DecodeBatch(Frame(0, 1, Hex("06 01000000 000000000000f87f")))),
+               FrameError);  // Not a number.
+  EXPECT_THROW(static_cast<void>(DecodeBatch(Frame(0, 0, "").substr(0, 15))), FrameError);
 }
 
 }  // namespace
--- a/tests/simulator_adapter/frames.h
+++ b/tests/simulator_adapter/frames.h
@@ -8,12 +8,13 @@
 
 namespace hingelink::simulator_adapter {
 
+// The bytes that `text` gives as hexadecimal digits; blanks are skipped.
 inline std::string Hex(std::string_view text) {
   std::string bytes;
   int high = -1;
-  for (char c : text) {
-    if (c == ' ') continue;
-    const int digit = c <= '9' ? c - '0' : c - 'a' + 10;
+  for (const char character : text) {
+    if (character == ' ') continue;
+    const int digit = character <= '9' ? character - '0' : character - 'a' + 10;
     if (high < 0) {
       high = digit;
     } else {
@@ -29,6 +30,7 @@
   out.append(reinterpret_cast<const char*>(&value), sizeof(T));
 }
 
+// A batch of `count` records.
 inline std::string Frame(double now, std::uint32_t count, const std::string& body) {
   std::string frame;
   Put(frame, now);
@@ -37,11 +39,13 @@
   return frame + body;
 }
 
+// A server with one class.
 inline constexpr char kSettings[] =
     "specifics.cpus=2\nspecifics.memoryKb=10000\nspecifics.runFactor=4\nrules.fallMultiple=5\nquantumMs=2\n"
     "requestClasses.count=1\nrequestClasses.0.hardLimitMs=4000\nrequestClasses.0.repeat=safe\n"
     "someday.newKey=7\nspecifics.gauges=cpu_busy,runnable\n";
 
+// The record that opens an instance.
 inline std::string Open(std::uint32_t instance, const std::string& settings) {
   std::string body = "\1";
   Put(body, instance);
--- a/tests/simulator_adapter/settings_parser_test.cpp
+++ b/tests/simulator_adapter/settings_parser_test.cpp
@@ -8,34 +8,48 @@
 
 #include "frames.h"
 #include "simulator_adapter/codec.h"
+#include "simulator_adapter/errors.h"
 
 namespace hingelink::simulator_adapter {
 namespace {
 
-TEST(SettingsParser, AnUnknownStopModeIsRefused) {
+TEST(SettingsParser, UnknownStopModeIsRejected) {
   const std::string base = kSettings;
   EXPECT_FALSE(ParseSettings(base).can_cancel_runs);
   EXPECT_FALSE(ParseSettings(base + "specifics.stopMode=silent\n").can_cancel_runs);
   EXPECT_TRUE(ParseSettings(base + "specifics.stopMode=abort\n").can_cancel_runs);
   EXPECT_TRUE(ParseSettings(base + "specifics.stopMode=suspend\n").can_cancel_runs);
-  EXPECT_THROW(ParseSettings(base + "specifics.stopMode=maybe\n"), WireError);
+  EXPECT_THROW(static_cast<void>(ParseSettings(base + "specifics.stopMode=maybe\n")), SettingsError);
 }
 
-TEST(SettingsParser, ReadsSkipsAndRefuses) {
-  const Settings s = ParseSettings(kSettings);
-  EXPECT_EQ(s.cores, 2);
-  EXPECT_EQ(s.classes[0].deadline_ms, 4000);
-  EXPECT_EQ(s.gauges, (std::vector<std::string>{"cpu_busy", "runnable"}));
-  EXPECT_FALSE(s.callers_send_remaining_wait);
+TEST(SettingsParser, KnownKeysAreReadAndUnknownOnesSkipped) {
+  const Settings settings = ParseSettings(kSettings);
+  EXPECT_EQ(settings.cores, 2);
+  EXPECT_EQ(settings.classes[0].deadline_ms, 4000);
+  EXPECT_EQ(settings.gauges, (std::vector<std::string>{"cpu_busy", "runnable"}));
+  EXPECT_FALSE(settings.callers_send_remaining_wait);
+}
+
+TEST(SettingsParser, MalformedValuesAreRejected) {
   const std::string base = kSettings;
-  EXPECT_THROW(ParseSettings(base + "specifics.memoryKb=lots\n"), WireError);
-  EXPECT_THROW(ParseSettings(base + "specifics.cpus=2.5\n"), WireError);
-  EXPECT_THROW(ParseSettings(base + "specifics.cold=perhaps\n"), WireError);
-  EXPECT_THROW(ParseSettings(base + "requestClasses.0.repeat=often\n"), WireError);
-  EXPECT_THROW(ParseSettings(base + "requestClasses.count=99999999999\n"), WireError);
-  EXPECT_THROW(ParseSettings(base + "specifics.classCalls=true,false\n"), WireError);
-  EXPECT_THROW(ParseSettings(base + "no pair\n"), WireError);
-  EXPECT_THROW(ParseSettings("specifics.cpus=2\n"), WireError);
+  EXPECT_THROW(static_cast<void>(ParseSettings(base + "specifics.memoryKb=lots\n")), SettingsError);
+  EXPECT_THROW(static_cast<void>(ParseSettings(base + "specifics.cpus=2.5\n")), SettingsError);
+  EXPECT_THROW(static_cast<void>(ParseSettings(base + "specifics.cold=perhaps\n")), SettingsError);
+  EXPECT_THROW(static_cast<void>(ParseSettings(base + "requestClasses.0.repeat=often\n")), SettingsError);
+  EXPECT_THROW(static_cast<void>(ParseSettings(base + "requestClasses.count=99999999999\n")), SettingsError);
+  EXPECT_THROW(static_cast<void>(ParseSettings(base + "specifics.classCalls=true,false\n")), SettingsError);
+  EXPECT_THROW(static_cast<void>(ParseSettings(base + "no pair\n")), SettingsError);
+  EXPECT_THROW(static_cast<void>(ParseSettings("specifics.cpus=2\n")), SettingsError);
+}
+
+TEST(SettingsParser, ErrorNamesTheKey) {
+  try {
+    static_cast<void>(ParseSettings(std::string(kSettings) + "specifics.memoryKb=lots\n"));
+    FAIL() << "no error";
+  } catch (const SettingsError& error) {
+    EXPECT_EQ(error.key(), "specifics.memoryKb");
+    EXPECT_STREQ(error.what(), "settings specifics.memoryKb=lots is not a number");
+  }
 }
 
 }  // namespace
