--- a/src/node/keys/key_table.cpp
+++ b/src/node/keys/key_table.cpp
@@ -25,7 +25,7 @@
   return record.retained && arrived > record.window_end && record.HasFinished();
 }
 
-bool KeyTable::MatchesContent(const OperationKey& key, std::uint64_t content, Time arrived) {
+bool KeyTable::MatchesContent(const IdempotencyKey& key, std::uint64_t content, Time arrived) {
   const auto found = records_.find(key);
   if (found == records_.end() || HasExpired(found->second, arrived) || found->second.content == content) {
     return true;
@@ -34,7 +34,7 @@
   return false;
 }
 
-KeyTable::Id KeyTable::AddAttempt(const OperationKey& key, std::uint64_t content, Id id, Time arrived,
+KeyTable::Id KeyTable::AddAttempt(const IdempotencyKey& key, std::uint64_t content, Id id, Time arrived,
                                   Time now) {
   Expire(now);
   const auto found = records_.find(key);
@@ -57,7 +57,7 @@
   return 0;
 }
 
-bool KeyTable::Retain(const OperationKey& key, Id id, Millis ttl, Millis max_delay, Time now) {
+bool KeyTable::Retain(const IdempotencyKey& key, Id id, Millis ttl, Millis max_delay, Time now) {
   const auto found = records_.find(key);
   if (found == records_.end()) return false;
   Record& record = found->second;
@@ -75,11 +75,11 @@
   return true;
 }
 
-std::optional<OperationKey> KeyTable::Release(Id id) {
+std::optional<IdempotencyKey> KeyTable::Release(Id id) {
   // A key that has run is not among the reserved ones: it cannot run twice, whatever the policy says.
   const auto reserved = reserved_.find(id);
   if (reserved == reserved_.end()) return std::nullopt;
-  const OperationKey key = reserved->second;
+  const IdempotencyKey key = reserved->second;
   reserved_.erase(reserved);
   const auto found = records_.find(key);
   if (found->second.attempts.empty()) {
@@ -91,7 +91,7 @@
   return key;
 }
 
-bool KeyTable::Start(const OperationKey& key, Id id) {
+bool KeyTable::Start(const IdempotencyKey& key, Id id) {
   const auto found = records_.find(key);
   if (found == records_.end()) return false;
   Record& record = found->second;
@@ -101,12 +101,12 @@
   return true;
 }
 
-bool KeyTable::MayHaveRun(const OperationKey& key) const {
+bool KeyTable::MayHaveRun(const IdempotencyKey& key) const {
   const auto found = records_.find(key);
   return found != records_.end() && found->second.state != KeyState::kReserved;
 }
 
-void KeyTable::Finish(const OperationKey& key, Id id, bool succeeded, std::string_view result) {
+void KeyTable::Finish(const IdempotencyKey& key, Id id, bool succeeded, std::string_view result) {
   const auto found = records_.find(key);
   if (found == records_.end()) return;
   Record& record = found->second;
@@ -115,7 +115,7 @@
   if (succeeded) SetResult(key, record, result);
 }
 
-void KeyTable::RemoveAttempt(const OperationKey& key, Id id) {
+void KeyTable::RemoveAttempt(const IdempotencyKey& key, Id id) {
   const auto found = records_.find(key);
   if (found == records_.end()) return;
   Record& record = found->second;
@@ -125,7 +125,7 @@
   if (record.attempts.empty() && unowned) Erase(found);
 }
 
-KeyTable::Replay KeyTable::FindReplay(const OperationKey& key) const {
+KeyTable::Replay KeyTable::FindReplay(const IdempotencyKey& key) const {
   using Status = Replay::Status;
   const auto found = records_.find(key);
   if (found == records_.end()) return {Status::kFailed, nullptr};
@@ -145,7 +145,7 @@
   return {may_still_run ? Status::kPending : Status::kFailed, nullptr};
 }
 
-KeyUpdate KeyTable::UpdateOf(const OperationKey& key, Time now) const {
+KeyUpdate KeyTable::UpdateOf(const IdempotencyKey& key, Time now) const {
   const auto found = records_.find(key);
   // No attempt of a key without a record has run.
   if (found == records_.end()) {
@@ -207,7 +207,7 @@
   return record.HasFinished();
 }
 
-std::vector<KeyTable::Id> KeyTable::WaitingAttempts(const OperationKey& key) const {
+std::vector<KeyTable::Id> KeyTable::WaitingAttempts(const IdempotencyKey& key) const {
   const auto found = records_.find(key);
   if (found == records_.end()) return {};
   std::vector<Id> attempts = found->second.attempts;
@@ -215,8 +215,8 @@
   return attempts;
 }
 
-std::vector<OperationKey> KeyTable::OnSiblingsExited() {
-  std::vector<OperationKey> settled;
+std::vector<IdempotencyKey> KeyTable::OnSiblingsExited() {
+  std::vector<IdempotencyKey> settled;
   for (auto& [key, record] : records_) {
     if (!record.IsRemote() || record.HasFinished()) continue;
     record.state = KeyState::kFailed;
@@ -228,7 +228,7 @@
 
 void KeyTable::Expire(Time now) {
   while (!by_forget_time_.empty() && by_forget_time_.begin()->first < now) {
-    const OperationKey key = by_forget_time_.begin()->second;
+    const IdempotencyKey key = by_forget_time_.begin()->second;
     const auto found = records_.find(key);
     Record& record = found->second;
     if (record.state == KeyState::kRunning || !record.attempts.empty()) {
@@ -239,7 +239,7 @@
   }
 }
 
-void KeyTable::SetForgetTime(const OperationKey& key, Record& record, Time forget_at) {
+void KeyTable::SetForgetTime(const IdempotencyKey& key, Record& record, Time forget_at) {
   by_forget_time_.erase({record.forget_at, key});
   if (record.result) {
     results_by_forget_time_.erase({record.forget_at, key});
@@ -249,7 +249,7 @@
   by_forget_time_.insert({forget_at, key});
 }
 
-void KeyTable::SetResult(const OperationKey& key, Record& record, std::string_view result) {
+void KeyTable::SetResult(const IdempotencyKey& key, Record& record, std::string_view result) {
   DropResult(record);
   results_by_forget_time_.erase({record.forget_at, key});
   record.result = result;
--- a/src/node/keys/key_table.h
+++ b/src/node/keys/key_table.h
@@ -26,19 +26,19 @@
 #include <utility>
 #include <vector>
 
-#include "core/front.h"
+#include "core/front_end.h"
 #include "hingelink/server_policy.h"
 
 namespace hingelink::node {
 
-using core::OperationKey;
+using core::IdempotencyKey;
 
 // The values are those of the handover lines.
 enum class KeyState { kReserved = 0, kRunning = 1, kServed = 2, kFailed = 3 };
 
 // The state of a key as one process of the node reports it to another.
 struct KeyUpdate {
-  OperationKey key;
+  IdempotencyKey key;
   // A hash of the request's class and body.
   std::uint64_t content = 0;
   KeyState state = KeyState::kReserved;
@@ -76,25 +76,25 @@
 
   // ---- Arrivals ----
   // Whether an attempt of this key and content belongs to the same request as those before it.
-  [[nodiscard]] bool MatchesContent(const OperationKey& key, std::uint64_t content, Time arrived);
+  [[nodiscard]] bool MatchesContent(const IdempotencyKey& key, std::uint64_t content, Time arrived);
   // Adds an attempt and returns the one that it repeats; 0 if it is the first. `arrived`: when it came to the
   // machine, at most `now`. To be called once for each id, before any other call with it.
-  Id AddAttempt(const OperationKey& key, std::uint64_t content, Id id, Time arrived, Time now);
+  Id AddAttempt(const IdempotencyKey& key, std::uint64_t content, Id id, Time arrived, Time now);
 
   // ---- Actions of the policy, and what became of attempts ----
   // Retains the key for its holder `id` until `ttl` from now. `max_delay`: how long after the end of its wait
   // an attempt may still be read. False if there is no room or the key belongs to another attempt.
-  [[nodiscard]] bool Retain(const OperationKey& key, Id id, Millis ttl, Millis max_delay, Time now);
+  [[nodiscard]] bool Retain(const IdempotencyKey& key, Id id, Millis ttl, Millis max_delay, Time now);
   // Releases the key of `id`, whose request may be over, if it has not run. Returns that key.
-  std::optional<OperationKey> Release(Id id);
+  std::optional<IdempotencyKey> Release(Id id);
   // Marks the key as running. False if `id` must not run: it does not hold the key, or an attempt has run.
-  [[nodiscard]] bool Start(const OperationKey& key, Id id);
+  [[nodiscard]] bool Start(const IdempotencyKey& key, Id id);
   // The execution of `id` has finished.
-  void Finish(const OperationKey& key, Id id, bool succeeded, std::string_view result);
+  void Finish(const IdempotencyKey& key, Id id, bool succeeded, std::string_view result);
   // The attempt is no longer in flight.
-  void RemoveAttempt(const OperationKey& key, Id id);
+  void RemoveAttempt(const IdempotencyKey& key, Id id);
 
-  [[nodiscard]] bool MayHaveRun(const OperationKey& key) const;
+  [[nodiscard]] bool MayHaveRun(const IdempotencyKey& key) const;
   struct Replay {
     enum class Status { kPending, kResult, kFailed };
     Status status = Status::kFailed;
@@ -102,23 +102,23 @@
     const std::string* result = nullptr;
   };
   // What a retry is answered with.
-  [[nodiscard]] Replay FindReplay(const OperationKey& key) const;
+  [[nodiscard]] Replay FindReplay(const IdempotencyKey& key) const;
   void CountReplay() { ++counters_.replays; }
 
   // ---- Other processes of this node ----
   // Calls `visit` with the state of each retained key.
   void ForEachRetained(Time now, const std::function<void(const KeyUpdate&)>& visit) const;
-  [[nodiscard]] KeyUpdate UpdateOf(const OperationKey& key, Time now) const;
+  [[nodiscard]] KeyUpdate UpdateOf(const IdempotencyKey& key, Time now) const;
   // Applies the report of another process. True if attempts that wait for the key can now be answered. What
   // this process runs or ran itself is not changed.
   bool ApplyUpdate(const KeyUpdate& update, Millis max_delay, Time now);
   // The other processes have exited: what they had in flight may have run, and fails. Returns the keys whose
   // attempts can now be answered, in order.
-  std::vector<OperationKey> OnSiblingsExited();
+  std::vector<IdempotencyKey> OnSiblingsExited();
   // Whether another process has this key, or had it.
-  [[nodiscard]] bool IsKnown(const OperationKey& key) const { return records_.contains(key); }
+  [[nodiscard]] bool IsKnown(const IdempotencyKey& key) const { return records_.contains(key); }
   // The attempts of a key in flight, without its holder.
-  [[nodiscard]] std::vector<Id> WaitingAttempts(const OperationKey& key) const;
+  [[nodiscard]] std::vector<Id> WaitingAttempts(const IdempotencyKey& key) const;
 
   // Forgets keys whose windows have ended.
   void Expire(Time now);
@@ -149,13 +149,13 @@
     [[nodiscard]] bool HolderInFlight() const;
   };
   struct Hash {
-    std::size_t operator()(const OperationKey& key) const { return absl::HashOf(key.high, key.low); }
+    std::size_t operator()(const IdempotencyKey& key) const { return absl::HashOf(key.high, key.low); }
   };
-  using Records = absl::flat_hash_map<OperationKey, Record, Hash>;
+  using Records = absl::flat_hash_map<IdempotencyKey, Record, Hash>;
 
   [[nodiscard]] static bool HasExpired(const Record& record, Time arrived);
-  void SetForgetTime(const OperationKey& key, Record& record, Time forget_at);
-  void SetResult(const OperationKey& key, Record& record, std::string_view result);
+  void SetForgetTime(const IdempotencyKey& key, Record& record, Time forget_at);
+  void SetResult(const IdempotencyKey& key, Record& record, std::string_view result);
   void DropResult(Record& record);
   void Erase(Records::iterator at);
   // The other process has released the key. True if attempts wait for it here.
@@ -164,10 +164,10 @@
   Limits limits_;
   Records records_;
   // Retained keys of which no attempt has started, by holder.
-  absl::flat_hash_map<Id, OperationKey> reserved_;
-  std::set<std::pair<Time, OperationKey>> by_forget_time_;
+  absl::flat_hash_map<Id, IdempotencyKey> reserved_;
+  std::set<std::pair<Time, IdempotencyKey>> by_forget_time_;
   // Those with a result.
-  std::set<std::pair<Time, OperationKey>> results_by_forget_time_;
+  std::set<std::pair<Time, IdempotencyKey>> results_by_forget_time_;
   std::size_t result_bytes_ = 0;
   Id last_remote_id_ = kFirstRemoteId;
   Counters counters_;
--- a/src/node/metrics.cpp
+++ b/src/node/metrics.cpp
@@ -20,7 +20,7 @@
       families.Add({{"tier", counts.name}, {"code", code}}, static_cast<double>(value));
     };
     add("success", counts.served);
-    add("busy", counts.refused);
+    add("busy", counts.rejected);
     add("failure", counts.failed);
   }
 }
@@ -95,7 +95,7 @@
     ClassCounts sum{.name = reported->name};
     for (const ClassCountsPtr& of_thread : reported->counts) {
       sum.served += of_thread->served;
-      sum.refused += of_thread->refused;
+      sum.rejected += of_thread->rejected;
       sum.failed += of_thread->failed;
     }
     sums.push_back(std::move(sum));
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -80,11 +80,11 @@
           [this](std::uint64_t req, std::string_view kind, std::string_view body) {
             return pool_->Spawn(req, kind, body);
           },
-          UpstreamLinks(), KeyLimits(), [this](const core::OperationKey& key) { ReportKey(key); }),
+          UpstreamLinks(), KeyLimits(), [this](const core::IdempotencyKey& key) { ReportKey(key); }),
       pool_(CreatePool(create_pool)),
       checks_(base_.get(),
               {.verify = [this](std::uint64_t tag) { return pool_->Verify(tag); },
-               .answer = [this](core::ReplyTo to, bool good) { front_->AnswerCheck(to, good); }}),
+               .answer = [this](core::StreamAddress to, bool good) { front_->AnswerHealthCheck(to, good); }}),
       registry_(base_.get(), net::ParseAddress(config_.registry_address), config_.registry_address,
                 config_.name),
       timer_(
@@ -121,10 +121,10 @@
   net::PoolEvents events;
   events.bound = [this](bool warming_up) { OnPoolConnected(warming_up); };
   events.finished = [this](const proto::RunFinished& run) {
-    table_.OnExecutionFinished({run.req, ToOutcome(run.end), run.elapsed, run.result});
+    table_.OnExecutionFinished({run.request_id, ToOutcome(run.outcome), run.elapsed, run.result});
   };
   events.blocked = [this](const proto::RunBlocked& run) {
-    table_.OnUpstreamCallRequested(run.req, run.number, run.body);
+    table_.OnUpstreamCallRequested(run.request_id, run.notice_number, run.body);
   };
   events.spawn_unknown = [this](std::uint64_t req) { table_.OnExecutionUnknown(req); };
   events.verified = [this](std::uint64_t tag, bool good) { checks_.Verified(tag, good); };
@@ -191,14 +191,15 @@
   const sockaddr_in listen = net::ParseAddress(config_.listen_address);
   const auto sockets = static_cast<std::size_t>(config_.max_descriptors);
   const std::size_t most = sockets > ReservedDescriptors() ? sockets - ReservedDescriptors() : 1;
-  core::FrontEvents events{.request = [this](const IncomingRequest& request) { HandleRequest(request); },
-                           .gone =
-                               [this](ReplyTo from) {
-                                 table_.OnCallerDisconnected(from);
-                                 checks_.Left(from);
-                               },
-                           .check = [this](ReplyTo from) { checks_.Ask(from); },
-                           .counts = [this](std::string_view kind) { return metrics_.CountsFor(kind); }};
+  core::FrontEndEvents events{
+      .request = [this](const IncomingRequest& request) { HandleRequest(request); },
+      .disconnected =
+          [this](StreamAddress from) {
+            table_.OnCallerDisconnected(from);
+            checks_.Left(from);
+          },
+      .deep_check = [this](StreamAddress from) { checks_.Ask(from); },
+      .class_counts = [this](std::string_view class_name) { return metrics_.CountsFor(class_name); }};
   if (loops() == 0) {
     return std::make_unique<net::GatewayFront>(base_.get(), listen, handover_.TakeListener(), most,
                                                std::move(events));
@@ -227,7 +228,7 @@
     table_.OnRequest(request);
   } else {
     // Without a worker pool nothing can run; without a module, before and after its life, nothing is held.
-    front_->Deliver(request.reply_to, Refused());
+    front_->Deliver(request.reply_to, Rejected());
   }
 }
 
@@ -348,7 +349,7 @@
         } else if constexpr (std::is_same_v<A, hingelink::SetHealth>) {
           front_->SetHealth(a.healthy, a.shallow);
         } else if constexpr (std::is_same_v<A, hingelink::PublishLoadSignal>) {
-          front_->SetSignal(a.value);
+          front_->SetLoadSignal(a.value);
         } else if constexpr (std::is_same_v<A, hingelink::CloseIdle>) {
           const double ms = a.after_ms > 0 ? a.after_ms : config_.settings.caller_idle_timeout_ms;
           front_->CloseIdle(std::chrono::milliseconds(static_cast<std::int64_t>(ms)));
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -112,7 +112,7 @@
   // What is known of their keys has changed; a key of this process has; another tells of one of its own.
   void UpdateSiblingKeys();
   void ReportKeys(const net::Handover::EachKey& each) const;
-  void ReportKey(const core::OperationKey& key);
+  void ReportKey(const core::IdempotencyKey& key);
   void OnKeyReported(const proto::KeyMessage& line, std::string_view result);
   std::string MetricsText() const;
   void NotifyLifecyclePhase(NodeExtension::LifecyclePhase phase);
--- a/src/node/node_siblings.cpp
+++ b/src/node/node_siblings.cpp
@@ -62,7 +62,7 @@
                                 [&each](const KeyUpdate& update) { each(LineOf(update), ResultOf(update)); });
 }
 
-void Node::ReportKey(const core::OperationKey& key) {
+void Node::ReportKey(const core::IdempotencyKey& key) {
   if (!handed_over_) return;
   const KeyUpdate update = table_.keys().UpdateOf(key, Steady::now());
   handover_.TellKey(LineOf(update), ResultOf(update));
@@ -70,9 +70,9 @@
 
 void Node::OnKeyReported(const proto::KeyMessage& line, std::string_view result) {
   KeyUpdate update{.key = line.key,
-                   .content = line.content,
-                   .state = static_cast<KeyState>(line.fate),
-                   .remaining = line.left,
+                   .content = line.content_hash,
+                   .state = static_cast<KeyState>(line.state),
+                   .remaining = line.remaining,
                    .result = std::nullopt};
   if (line.has_result) update.result = result;
   table_.OnKeyUpdate(update);
@@ -102,11 +102,12 @@
 void Node::OnPredecessorLearned(const proto::LearnedClassMessage& line) {
   // Once decisions have begun, this process knows better. A predecessor may have had another file.
   if (policy_) return;
-  const decide::LearnedRecord remembered{config_.name,
-                                         std::chrono::milliseconds(0),
-                                         config_.settings.cores,
-                                         {{line.name, line.aim, line.deadline}},
-                                         {{{line.name, line.run, line.cost, line.hint, line.samples}}}};
+  const decide::LearnedRecord remembered{
+      config_.name,
+      std::chrono::milliseconds(0),
+      config_.settings.cores,
+      {{line.name, line.latency_objective_ms, line.deadline_ms}},
+      {{{line.name, line.run_ms, line.core_time_ms, line.expected_work_ms, line.samples}}}};
   ImportLearned(
       decide::ImportLearnedRecord(remembered, config_.name, std::chrono::milliseconds(0), config_.settings)
           .learned);
--- a/src/node/node_snapshot.cpp
+++ b/src/node/node_snapshot.cpp
@@ -42,12 +42,12 @@
     const RequestTable::InFlightCounts::Class open =
         count.empty() ? RequestTable::InFlightCounts::Class{} : count.mapped();
     seen.classes.push_back(
-        {counts.name, open.queued, open.running, counts.served, counts.refused, counts.failed});
+        {counts.name, open.queued, open.running, counts.served, counts.rejected, counts.failed});
   }
   for (const auto& [via, counts] : metrics_.gateways()) {
     const auto open = in_flight.open_by_gateway.find(via);
     seen.gateways.push_back({via, open == in_flight.open_by_gateway.end() ? 0 : open->second, counts.requests,
-                             counts.answers.served, counts.answers.refused, counts.answers.failed});
+                             counts.answers.served, counts.answers.rejected, counts.answers.failed});
   }
   seen.gateway_count = seen.gateways.size();
   std::sort(seen.gateways.begin(), seen.gateways.end(),
--- a/src/node/request_table.cpp
+++ b/src/node/request_table.cpp
@@ -14,7 +14,7 @@
 
 }  // namespace
 
-RequestTable::RequestTable(const hingelink::Settings& settings, Front& front, Metrics& metrics,
+RequestTable::RequestTable(const hingelink::Settings& settings, FrontEnd& front, Metrics& metrics,
                            StartExecution start_execution, UpstreamCalls::Links upstream,
                            KeyTable::Limits key_limits, KeyChanged key_changed)
     : settings_(settings),
@@ -34,8 +34,8 @@
 }
 
 void RequestTable::OnRequest(const IncomingRequest& incoming) {
-  RequestClasses::ClassPtr request_class = classes_.Find(incoming.kind);
-  const std::optional<std::uint16_t> tenant = classes_.FindTenant(std::string(incoming.owner));
+  RequestClasses::ClassPtr request_class = classes_.Find(incoming.class_name);
+  const std::optional<std::uint16_t> tenant = classes_.FindTenant(std::string(incoming.tenant));
   if (AnswerAtOnce(incoming, request_class, tenant)) return;
   const hingelink::RequestId id = ++last_id_;
   const Request& request = AddRequest(id, incoming, std::move(request_class));
@@ -46,18 +46,19 @@
 bool RequestTable::AnswerAtOnce(const IncomingRequest& incoming, const RequestClasses::ClassPtr& found_class,
                                 std::optional<std::uint16_t> tenant) {
   if (!found_class) {
-    front_.Deliver(incoming.reply_to, Refused());
+    front_.Deliver(incoming.reply_to, Rejected());
     return true;
   }
-  const bool lacks_key = found_class->idempotency == hingelink::Idempotency::kKeyed && !incoming.key;
-  const bool lacks_wait = settings_.callers_send_remaining_wait && !incoming.timeout;
+  const bool lacks_key =
+      found_class->idempotency == hingelink::Idempotency::kKeyed && !incoming.idempotency_key;
+  const bool lacks_wait = settings_.callers_send_remaining_wait && !incoming.remaining_wait;
   if (lacks_key || lacks_wait || !tenant) {
-    front_.Deliver(incoming.reply_to, Refused(true));
+    front_.Deliver(incoming.reply_to, Rejected(true));
     return true;
   }
   // The pool could not tell a second execution of one attempt from the first. Failed, as a rejection would
   // promise that no attempt with this id ran.
-  if (by_attempt_.contains(incoming.req) || recent_attempts_.Contains(incoming.req)) {
+  if (by_attempt_.contains(incoming.request_id) || recent_attempts_.Contains(incoming.request_id)) {
     front_.Deliver(incoming.reply_to, Failed());
     return true;
   }
@@ -69,23 +70,24 @@
                                                       RequestClasses::ClassPtr request_class) {
   Request& request = requests_[id];
   request.reply_to = incoming.reply_to;
-  request.attempt_id = incoming.req;
+  request.attempt_id = incoming.request_id;
   request.gateway = incoming.caller;
   request.request_class = std::move(request_class);
-  if (incoming.own_body != nullptr) {
-    request.body = std::move(*incoming.own_body);
+  if (incoming.movable_body != nullptr) {
+    request.body = std::move(*incoming.movable_body);
   } else {
     request.body = incoming.body;
   }
   request.subject = incoming.subject;
-  if (request.request_class->idempotency == hingelink::Idempotency::kKeyed) request.key = incoming.key;
+  if (request.request_class->idempotency == hingelink::Idempotency::kKeyed)
+    request.key = incoming.idempotency_key;
   if (IsShareableRead(request)) {
     request.original =
         read_cache_.FindShareable({request.request_class->id, request.subject}, SteadyTime::clock::now(),
                                   Millis(settings_.read_cache_ttl_ms),
                                   [this](hingelink::RequestId open) { return requests_.contains(open); });
   }
-  by_attempt_[incoming.req] = id;
+  by_attempt_[incoming.request_id] = id;
   awaiting_answer_[incoming.reply_to] = id;
   return request;
 }
@@ -96,7 +98,7 @@
   arrival.id = id;
   arrival.original = request.original;
   arrival.reserved_kb = incoming.reserved_kb;
-  arrival.expected_work_ms = incoming.work.count();
+  arrival.expected_work_ms = incoming.expected_work.count();
   arrival.subject = incoming.subject;
   arrival.rank = incoming.rank;
   arrival.caller = incoming.caller;
@@ -104,8 +106,9 @@
   arrival.is_retry = incoming.is_retry;
   arrival.request_class = request.request_class->index;
   events_.emplace_back(arrival);
-  const auto wait = std::chrono::duration_cast<UnixTime::duration>(incoming.timeout.value_or(Millis(0)));
-  arrival_times_.push_back({incoming.arrived, incoming.arrived + wait});
+  const auto wait =
+      std::chrono::duration_cast<UnixTime::duration>(incoming.remaining_wait.value_or(Millis(0)));
+  arrival_times_.push_back({incoming.arrived_at, incoming.arrived_at + wait});
 }
 
 std::vector<hingelink::Event> RequestTable::TakeEvents(UnixTime now) {
@@ -139,7 +142,7 @@
   return true;
 }
 
-void RequestTable::OnCallerDisconnected(ReplyTo from) {
+void RequestTable::OnCallerDisconnected(StreamAddress from) {
   const auto awaiting = awaiting_answer_.find(from);
   if (awaiting == awaiting_answer_.end()) return;
   const auto found = requests_.find(awaiting->second);
@@ -165,12 +168,12 @@
     Answer(found, Served(execution.result));
   } else if (execution.outcome == Outcome::kNotStarted) {
     // The last command started nothing; an earlier one may have.
-    Answer(found, request.starts > 1 ? Failed() : Refused());
+    Answer(found, request.starts > 1 ? Failed() : Rejected());
   } else {
     Answer(found, Failed());
   }
   upstream_calls_.OnExecutionFinished(execution.attempt_id);
-  const std::optional<OperationKey> key = request.key;
+  const std::optional<IdempotencyKey> key = request.key;
   if (key) keys_.Finish(*key, id, succeeded, execution.result);
   Remove(found);
   if (!key) return;
--- a/src/node/request_table.h
+++ b/src/node/request_table.h
@@ -18,7 +18,7 @@
 #include <utility>
 #include <vector>
 
-#include "core/front.h"
+#include "core/front_end.h"
 #include "hingelink/server_policy.h"
 #include "node/keys/key_table.h"
 #include "node/keys/read_cache.h"
@@ -59,9 +59,9 @@
   using StartExecution = std::function<CommandMark(std::uint64_t attempt_id, std::string_view class_name,
                                                    std::string_view body)>;
   // The state of a key of this process has changed.
-  using KeyChanged = std::function<void(const OperationKey&)>;
+  using KeyChanged = std::function<void(const IdempotencyKey&)>;
 
-  RequestTable(const hingelink::Settings& settings, Front& front, Metrics& metrics,
+  RequestTable(const hingelink::Settings& settings, FrontEnd& front, Metrics& metrics,
                StartExecution start_execution, UpstreamCalls::Links upstream, KeyTable::Limits key_limits,
                KeyChanged key_changed);
 
@@ -70,7 +70,7 @@
 
   // ---- Reports of the front end, the pool and the upstream; each may add events ----
   void OnRequest(const IncomingRequest& incoming);
-  void OnCallerDisconnected(ReplyTo from);
+  void OnCallerDisconnected(StreamAddress from);
   void OnExecutionFinished(const ExecutionResult& execution);
   // An execution waits for an upstream call.
   void OnUpstreamCallRequested(std::uint64_t attempt_id, std::uint64_t notice, std::string_view body);
@@ -125,7 +125,7 @@
 
  private:
   struct Request {
-    ReplyTo reply_to;
+    StreamAddress reply_to;
     std::uint64_t attempt_id = 0;
     std::uint32_t gateway = 0;
     RequestClasses::ClassPtr request_class;
@@ -140,15 +140,15 @@
     std::uint64_t subject = 0;
     hingelink::RequestId original = 0;
     // In keyed classes.
-    std::optional<OperationKey> key;
+    std::optional<IdempotencyKey> key;
     // Waits for the result of another attempt.
     bool awaiting_replay = false;
   };
   // Flat tables: each request is entered in several, and a node allocation in each would cost too much. An
   // insertion moves other entries; a removal does not.
   using Requests = absl::flat_hash_map<hingelink::RequestId, Request>;
-  struct ReplyToHash {
-    std::size_t operator()(const ReplyTo& to) const { return absl::HashOf(to.connection, to.stream); }
+  struct StreamAddressHash {
+    std::size_t operator()(const StreamAddress& to) const { return absl::HashOf(to.connection, to.stream); }
   };
   struct ArrivalTimes {
     UnixTime arrived;
@@ -170,7 +170,7 @@
   [[nodiscard]] bool ResolveKey(hingelink::RequestId id, hingelink::Arrival& arrival, UnixTime arrived,
                                 UnixTime now);
   // The answer to an attempt whose key cannot be resolved, if so.
-  [[nodiscard]] std::optional<FinalAnswer> KeyError(const OperationKey& key, std::uint64_t content,
+  [[nodiscard]] std::optional<FinalAnswer> KeyError(const IdempotencyKey& key, std::uint64_t content,
                                                     SteadyTime arrived);
   void FailExpiredDeferred(UnixTime now);
   void ReassignDeferred(const RequestClasses& previous);
@@ -188,21 +188,21 @@
   [[nodiscard]] FinalAnswer AnswerForNotRun(const Request& request) const;
   // Answers a request that waits for the result of another attempt, if that is known.
   void AnswerReplay(hingelink::RequestId id);
-  void AnswerReplays(const OperationKey& key);
+  void AnswerReplays(const IdempotencyKey& key);
   void FinishReplay(Requests::iterator at, const std::string* result);
   // How long after the end of its wait an attempt may still be read.
   [[nodiscard]] Millis MaxReadDelay() const;
   [[nodiscard]] Requests::iterator FindByAttempt(std::uint64_t attempt_id);
 
   const hingelink::Settings& settings_;
-  Front& front_;
+  FrontEnd& front_;
   Metrics& metrics_;
   StartExecution start_execution_;
   RequestClasses classes_;
   hingelink::RequestId last_id_ = 0;
   Requests requests_;
   absl::flat_hash_map<std::uint64_t, hingelink::RequestId> by_attempt_;
-  absl::flat_hash_map<ReplyTo, hingelink::RequestId, ReplyToHash> awaiting_answer_;
+  absl::flat_hash_map<StreamAddress, hingelink::RequestId, StreamAddressHash> awaiting_answer_;
   ReadCache read_cache_;
   KeyTable keys_;
   KeyChanged key_changed_;
--- a/src/node/request_table_actions.cpp
+++ b/src/node/request_table_actions.cpp
@@ -33,11 +33,11 @@
     return;
   }
   FinalAnswer answer = AnswerForNotRun(found->second);
-  const bool rejected = answer.verdict == core::Verdict::kRefused;
+  const bool rejected = answer.verdict == core::Verdict::kRejected;
   if (rejected && action.retry_after_ms > 0) {
-    answer.stay_away = std::chrono::milliseconds(std::llround(std::ceil(action.retry_after_ms)));
+    answer.retry_after = std::chrono::milliseconds(std::llround(std::ceil(action.retry_after_ms)));
   }
-  answer.try_no_other = rejected && action.no_other_server;
+  answer.no_other_server = rejected && action.no_other_server;
   Answer(found, answer);
   Remove(found);
 }
@@ -63,7 +63,7 @@
 }
 
 void RequestTable::Execute(const hingelink::ReleaseKey& action) {
-  if (const std::optional<OperationKey> key = keys_.Release(action.id)) {
+  if (const std::optional<IdempotencyKey> key = keys_.Release(action.id)) {
     key_changed_(*key);
   } else {
     read_cache_.Release(action.id);
@@ -100,7 +100,7 @@
 }
 
 FinalAnswer RequestTable::AnswerForNotRun(const Request& request) const {
-  return request.key && keys_.MayHaveRun(*request.key) ? Failed() : Refused();
+  return request.key && keys_.MayHaveRun(*request.key) ? Failed() : Rejected();
 }
 
 Millis RequestTable::MaxReadDelay() const {
@@ -120,7 +120,7 @@
   FinishReplay(found, replay.result);
 }
 
-void RequestTable::AnswerReplays(const OperationKey& key) {
+void RequestTable::AnswerReplays(const IdempotencyKey& key) {
   for (const hingelink::RequestId id : keys_.WaitingAttempts(key)) AnswerReplay(id);
 }
 
--- a/src/node/request_table_keys.cpp
+++ b/src/node/request_table_keys.cpp
@@ -42,11 +42,11 @@
   return true;
 }
 
-std::optional<FinalAnswer> RequestTable::KeyError(const OperationKey& key, std::uint64_t content,
+std::optional<FinalAnswer> RequestTable::KeyError(const IdempotencyKey& key, std::uint64_t content,
                                                   SteadyTime arrived) {
   if (sibling_keys_ == SiblingKeys::kUnavailable) {
-    FinalAnswer answer = Refused();
-    if (settings_.sends_retry_after) answer.stay_away = kKeysUnavailableRetryAfter;
+    FinalAnswer answer = Rejected();
+    if (settings_.sends_retry_after) answer.retry_after = kKeysUnavailableRetryAfter;
     return answer;
   }
   // It may run in another process, or it is another request with a key that is in use. Failed: a rejection
@@ -70,7 +70,7 @@
 }
 
 void RequestTable::OnSiblingsExited() {
-  for (const OperationKey& key : keys_.OnSiblingsExited()) AnswerReplays(key);
+  for (const IdempotencyKey& key : keys_.OnSiblingsExited()) AnswerReplays(key);
 }
 
 // The predecessor may have run a deferred attempt, so it fails when it cannot wait any longer.
--- a/tests/net/pool_group_test.cpp
+++ b/tests/net/pool_group_test.cpp
@@ -39,7 +39,8 @@
     PoolEvents events;
     events.bound = [this](bool) { ++bound_; };
     events.finished = [this](const proto::RunFinished& run) {
-      ended_[run.req].push_back(run.end == proto::RunOutcome::kComplete ? std::string(run.result) : "error");
+      ended_[run.request_id].push_back(run.outcome == proto::RunOutcome::kComplete ? std::string(run.result)
+                                                                                   : "error");
     };
     events.spawn_unknown = [this](std::uint64_t req) { ended_[req].push_back("unknown"); };
     events.settled = [this] {
--- a/tests/node/key_table_test.cpp
+++ b/tests/node/key_table_test.cpp
@@ -12,17 +12,17 @@
 using namespace std::chrono_literals;
 using Millis = KeyTable::Millis;
 using Status = KeyTable::Replay::Status;
-constexpr OperationKey kKey{0x5c0f6e1a2b3d4c59u, 0xa8b7c6d5e4f30211u};
+constexpr IdempotencyKey kKey{0x5c0f6e1a2b3d4c59u, 0xa8b7c6d5e4f30211u};
 constexpr Millis kWindow{10'000}, kMaxDelay{4'000};
 
 struct Table : KeyTable {
   using KeyTable::KeyTable;
   Table() : KeyTable(Limits{}) {}
   Time now = Time{} + 1h;
-  Id Add(Id id, OperationKey key = kKey, std::uint64_t content = 1) {
+  Id Add(Id id, IdempotencyKey key = kKey, std::uint64_t content = 1) {
     return AddAttempt(key, content, id, now, now);
   }
-  bool RetainFor(Id id, OperationKey key = kKey) { return Retain(key, id, kWindow, kMaxDelay, now); }
+  bool RetainFor(Id id, IdempotencyKey key = kKey) { return Retain(key, id, kWindow, kMaxDelay, now); }
 };
 
 TEST(KeyTable, ARetryNamesTheHolderOfTheKeyInEveryState) {
@@ -99,7 +99,7 @@
   Table table;
   table.SetLimits({.max_keys = 4, .max_result_bytes = 25});
   for (KeyTable::Id id = 1; id <= 4; ++id) {
-    const OperationKey key{id, 0};
+    const IdempotencyKey key{id, 0};
     table.Add(id, key);
     ASSERT_TRUE(table.RetainFor(id, key));
     ASSERT_TRUE(table.Start(key, id));
@@ -136,7 +136,7 @@
   old.Add(1);
   old.RetainFor(1);
   ASSERT_TRUE(old.Start(kKey, 1));
-  const OperationKey held{7, 7};
+  const IdempotencyKey held{7, 7};
   old.Add(2, held);
   old.RetainFor(2, held);
   old.ForEachRetained(old.now, [&](const KeyUpdate& update) {
@@ -164,7 +164,7 @@
   Table fresh;
   fresh.ApplyUpdate({kKey, 1, KeyState::kRunning, kWindow, std::nullopt}, kMaxDelay, fresh.now);
   fresh.Add(10);
-  EXPECT_EQ(fresh.OnSiblingsExited(), std::vector<OperationKey>{kKey});
+  EXPECT_EQ(fresh.OnSiblingsExited(), std::vector<IdempotencyKey>{kKey});
   EXPECT_EQ(fresh.FindReplay(kKey).status, Status::kFailed);
   EXPECT_EQ(fresh.WaitingAttempts(kKey), std::vector<KeyTable::Id>{10});
 }
@@ -197,7 +197,7 @@
  private:
   struct Attempt {
     int process = 0;
-    OperationKey key;
+    IdempotencyKey key;
     bool running = false;
     bool retained = false;
   };
@@ -213,12 +213,12 @@
       tables_[1].ApplyUpdate(update, kMaxDelay, tables_[1].now);
     });
   }
-  void SendUpdate(const OperationKey& key) {
+  void SendUpdate(const IdempotencyKey& key) {
     if (!successor_started_) return;
     tables_[1].ApplyUpdate(tables_[0].UpdateOf(key, tables_[0].now), kMaxDelay, tables_[1].now);
   }
   void AddAttempt() {
-    const OperationKey key{static_cast<std::uint64_t>(*rc::gen::inRange(1, 4)), 0};
+    const IdempotencyKey key{static_cast<std::uint64_t>(*rc::gen::inRange(1, 4)), 0};
     const int process = successor_started_ ? 1 : 0;
     const KeyTable::Id id = ++last_id_;
     const KeyTable::Id original = tables_[process].Add(id, key);
@@ -256,7 +256,7 @@
     if (tables_[process].Release(id)) RetainNext(process, key);
     SendUpdate(key);
   }
-  void RetainNext(int process, const OperationKey& key) {
+  void RetainNext(int process, const IdempotencyKey& key) {
     for (auto& [id, attempt] : attempts_) {
       if (attempt.process != process || !(attempt.key == key) || attempt.running) continue;
       attempt.retained = tables_[process].RetainFor(id, key);
@@ -267,7 +267,7 @@
   Table tables_[2];
   bool successor_started_ = false;
   Attempts attempts_;
-  std::map<OperationKey, KeyTable::Time> started_at_;
+  std::map<IdempotencyKey, KeyTable::Time> started_at_;
   KeyTable::Id last_id_ = 0;
 };
 
--- a/tests/node/metrics_test.cpp
+++ b/tests/node/metrics_test.cpp
@@ -10,7 +10,7 @@
   Metrics metrics({{.name = "usage-view"}, {.name = "odd\"\\\nname"}}, 2);
   ++metrics.CountsFor("usage-view", 0)->served;
   metrics.CountsFor("usage-view", 1)->served += 11;
-  ++metrics.CountsFor("usage-view", 1)->refused;
+  ++metrics.CountsFor("usage-view", 1)->rejected;
   metrics.CountExecution();
   metrics.CountReload(true);
   EXPECT_EQ(metrics.Text(3, {}),
