--- a/src/fleet/fleet.cpp
+++ b/src/fleet/fleet.cpp
@@ -111,7 +111,8 @@
                        [this](const sockaddr_in& from, std::string_view body) { OnDatagram(from, body); });
   } catch (const std::runtime_error& error) {
     // The process that this one takes over from has the address until it has handed over.
-    if (!std::exchange(has_warned_of_address_, true)) log::Warn("fleet-bind-failed", {{"what", error.what()}});
+    if (!std::exchange(has_warned_of_address_, true))
+      log::Warn("fleet-bind-failed", {{"what", error.what()}});
     open_timer_.After(kOpenInterval);
     return;
   }
