--- a/src/lab/sim/network.cpp
+++ b/src/lab/sim/network.cpp
@@ -43,6 +43,31 @@
 }
 PeerAddress AddressOf(std::size_t node) { return {static_cast<std::uint32_t>(node + 1), 7946}; }
 
+// The digest of a run is compared with those of earlier versions: it covers the names that events had there.
+const char* DigestNameOf(decide::MembershipEventKind kind) {
+  using Kind = decide::MembershipEventKind;
+  switch (kind) {
+    case Kind::kMemberDead:
+      return "member-gone";
+    case Kind::kAccused:
+      return "accused";
+    case Kind::kRemovalsDeferred:
+      return "cut-off";
+    case Kind::kRemovalsResumed:
+      return "heard-again";
+    case Kind::kIsolated:
+      return "deaf";
+    case Kind::kPaused:
+      return "thawed";
+    case Kind::kNameConflict:
+      return "name-taken";
+    case Kind::kProcessEpochRaised:
+      return "life-raised";
+    default:
+      return decide::MembershipEventName(kind);
+  }
+}
+
 class Network {
  public:
   Network(const Scenario& scenario, const SimOptions& options)
@@ -363,7 +388,7 @@
   void Hear(std::size_t i, const decide::MembershipEvent& word) {
     if (options_.words) options_.words(now_, i, word);
     Digest(i);
-    Digest(std::hash<std::string>{}(MembershipEventName(word.kind) + word.member));
+    Digest(std::hash<std::string>{}(DigestNameOf(word.kind) + word.member));
     if (word.kind != decide::MembershipEventKind::kMemberDead) return;
     ++result_.gone;
     const std::size_t about = NodeOf(word.member);
