--- a/src/node/keys/key_table.cpp
+++ b/src/node/keys/key_table.cpp
@@ -6,10 +6,10 @@
 namespace {
 
 // Until a key whose window has ended, but that is still in flight, is looked at again.
-constexpr std::chrono::seconds kForgetRetryInterval{1};
+constexpr std::chrono::seconds kEvictionRetryInterval{1};
 
-// Room for the keys of other processes, as a multiple of Limits::max_keys.
-constexpr std::size_t kRemoteRoomFactor = 2;
+// Capacity for the keys of other processes, as a multiple of Limits::max_keys.
+constexpr std::size_t kRemoteCapacityFactor = 2;
 
 KeyTable::Time::duration ToSteady(KeyTable::Millis span) {
   return std::chrono::duration_cast<KeyTable::Time::duration>(span);
@@ -63,7 +63,7 @@
   Record& record = found->second;
   if (record.state != KeyState::kReserved && record.holder != id) return false;
   if (records_.size() > limits_.max_keys) {
-    ++counters_.out_of_room;
+    ++counters_.rejected_at_capacity;
     return false;
   }
   reserved_.erase(record.holder);
@@ -71,7 +71,7 @@
   record.retained = true;
   if (record.state == KeyState::kReserved) reserved_[id] = key;
   record.window_end = now + ToSteady(ttl);
-  SetForgetTime(key, record, record.window_end + ToSteady(max_delay));
+  SetEvictionTime(key, record, record.window_end + ToSteady(max_delay));
   return true;
 }
 
@@ -189,8 +189,8 @@
   if (update.remaining <= Millis(0)) return ReleaseRemote(found);
   if (found == records_.end()) {
     // A full table keeps what it has; the key is then unknown here, as after a crash of the other process.
-    if (records_.size() >= kRemoteRoomFactor * limits_.max_keys) {
-      ++counters_.out_of_room;
+    if (records_.size() >= kRemoteCapacityFactor * limits_.max_keys) {
+      ++counters_.rejected_at_capacity;
       return false;
     }
     found = records_.try_emplace(update.key).first;
@@ -202,7 +202,7 @@
   record.retained = true;
   record.state = update.state;
   record.window_end = now + ToSteady(update.remaining);
-  SetForgetTime(update.key, record, record.window_end + ToSteady(max_delay));
+  SetEvictionTime(update.key, record, record.window_end + ToSteady(max_delay));
   if (update.result) SetResult(update.key, record, *update.result);
   return record.HasFinished();
 }
@@ -227,37 +227,37 @@
 }
 
 void KeyTable::Expire(Time now) {
-  while (!by_forget_time_.empty() && by_forget_time_.begin()->first < now) {
-    const OperationKey key = by_forget_time_.begin()->second;
+  while (!by_eviction_time_.empty() && by_eviction_time_.begin()->first < now) {
+    const OperationKey key = by_eviction_time_.begin()->second;
     const auto found = records_.find(key);
     Record& record = found->second;
     if (record.state == KeyState::kRunning || !record.attempts.empty()) {
-      SetForgetTime(key, record, now + kForgetRetryInterval);
+      SetEvictionTime(key, record, now + kEvictionRetryInterval);
       continue;
     }
     Erase(found);
   }
 }
 
-void KeyTable::SetForgetTime(const OperationKey& key, Record& record, Time forget_at) {
-  by_forget_time_.erase({record.forget_at, key});
+void KeyTable::SetEvictionTime(const OperationKey& key, Record& record, Time evict_at) {
+  by_eviction_time_.erase({record.evict_at, key});
   if (record.result) {
-    results_by_forget_time_.erase({record.forget_at, key});
-    results_by_forget_time_.insert({forget_at, key});
+    results_by_eviction_time_.erase({record.evict_at, key});
+    results_by_eviction_time_.insert({evict_at, key});
   }
-  record.forget_at = forget_at;
-  by_forget_time_.insert({forget_at, key});
+  record.evict_at = evict_at;
+  by_eviction_time_.insert({evict_at, key});
 }
 
 void KeyTable::SetResult(const OperationKey& key, Record& record, std::string_view result) {
   DropResult(record);
-  results_by_forget_time_.erase({record.forget_at, key});
+  results_by_eviction_time_.erase({record.evict_at, key});
   record.result = result;
   result_bytes_ += result.size();
-  results_by_forget_time_.insert({record.forget_at, key});
-  while (result_bytes_ > limits_.max_result_bytes && !results_by_forget_time_.empty()) {
-    Record& first = records_.at(results_by_forget_time_.begin()->second);
-    results_by_forget_time_.erase(results_by_forget_time_.begin());
+  results_by_eviction_time_.insert({record.evict_at, key});
+  while (result_bytes_ > limits_.max_result_bytes && !results_by_eviction_time_.empty()) {
+    Record& first = records_.at(results_by_eviction_time_.begin()->second);
+    results_by_eviction_time_.erase(results_by_eviction_time_.begin());
     DropResult(first);
     ++counters_.results_dropped;
   }
@@ -271,8 +271,8 @@
 
 void KeyTable::Erase(Records::iterator at) {
   if (at->second.state == KeyState::kReserved) reserved_.erase(at->second.holder);
-  by_forget_time_.erase({at->second.forget_at, at->first});
-  results_by_forget_time_.erase({at->second.forget_at, at->first});
+  by_eviction_time_.erase({at->second.evict_at, at->first});
+  results_by_eviction_time_.erase({at->second.evict_at, at->first});
   DropResult(at->second);
   records_.erase(at);
 }
--- a/src/node/keys/key_table.h
+++ b/src/node/keys/key_table.h
@@ -61,7 +61,7 @@
     // Attempts answered with the result of another.
     std::uint64_t replays = 0;
     // Attempts whose key could not be retained.
-    std::uint64_t out_of_room = 0;
+    std::uint64_t rejected_at_capacity = 0;
     // Results dropped before the end of their windows.
     std::uint64_t results_dropped = 0;
     // Attempts with another class or body than the first one of their key.
@@ -120,7 +120,7 @@
   // The attempts of a key in flight, without its holder.
   [[nodiscard]] std::vector<Id> WaitingAttempts(const OperationKey& key) const;
 
-  // Forgets keys whose windows have ended.
+  // Evicts keys whose windows have ended.
   void Expire(Time now);
 
   [[nodiscard]] std::size_t keys() const { return records_.size(); }
@@ -137,7 +137,7 @@
     // An attempt that arrives later is not a retry.
     Time window_end{};
     // No attempt with this key can be read later.
-    Time forget_at{};
+    Time evict_at{};
     std::optional<std::string> result;
     // In flight.
     std::vector<Id> attempts;
@@ -154,7 +154,7 @@
   using Records = absl::flat_hash_map<OperationKey, Record, Hash>;
 
   [[nodiscard]] static bool HasExpired(const Record& record, Time arrived);
-  void SetForgetTime(const OperationKey& key, Record& record, Time forget_at);
+  void SetEvictionTime(const OperationKey& key, Record& record, Time evict_at);
   void SetResult(const OperationKey& key, Record& record, std::string_view result);
   void DropResult(Record& record);
   void Erase(Records::iterator at);
@@ -165,9 +165,9 @@
   Records records_;
   // Retained keys of which no attempt has started, by holder.
   absl::flat_hash_map<Id, OperationKey> reserved_;
-  std::set<std::pair<Time, OperationKey>> by_forget_time_;
+  std::set<std::pair<Time, OperationKey>> by_eviction_time_;
   // Those with a result.
-  std::set<std::pair<Time, OperationKey>> results_by_forget_time_;
+  std::set<std::pair<Time, OperationKey>> results_by_eviction_time_;
   std::size_t result_bytes_ = 0;
   Id last_remote_id_ = kFirstRemoteId;
   Counters counters_;
--- a/src/node/upstream_metrics.cpp
+++ b/src/node/upstream_metrics.cpp
@@ -17,7 +17,8 @@
   add("keys", MetricType::Gauge, "Keys kept of keyed requests.", keys.keys());
   add("key_result_bytes", MetricType::Gauge, "Bytes of the results kept with them.", keys.result_bytes());
   add("key_replays", MetricType::Counter, "Tries answered with the result of another.", counters.replays);
-  add("key_no_room", MetricType::Counter, "Tries refused as their key had no room.", counters.out_of_room);
+  add("key_no_room", MetricType::Counter, "Tries refused as their key had no room.",
+      counters.rejected_at_capacity);
   add("key_results_gone", MetricType::Counter, "Results let go before their window was over.",
       counters.results_dropped);
   add("key_mismatches", MetricType::Counter, "Tries with another class or body than their key's first.",
--- a/tests/node/key_table_test.cpp
+++ b/tests/node/key_table_test.cpp
@@ -116,7 +116,7 @@
   table.Add(5, {5, 0});
   EXPECT_FALSE(table.RetainFor(5, {5, 0}));
   EXPECT_FALSE(table.Start({5, 0}, 5));
-  EXPECT_EQ(table.counters().out_of_room, 1u);
+  EXPECT_EQ(table.counters().rejected_at_capacity, 1u);
 }
 
 TEST(KeyTable, OtherContentWithTheSameKeyDoesNotMatch) {
