--- a/src/proto/admin_http.h
+++ b/src/proto/admin_http.h
@@ -1,4 +1,4 @@
-// The operators' HTTP/1.1 calls: reading the head of one call and encoding its response. No sockets.
+// HTTP/1.1 of the admin address: parsing the header of a request and encoding its response. No sockets.
 #ifndef HINGELINK_PROTO_ADMIN_HTTP_H_
 #define HINGELINK_PROTO_ADMIN_HTTP_H_
 
@@ -16,11 +16,11 @@
   std::string_view path;  // Without its query.
 };
 
-// The texts are slices of `bytes`.
-AdminRequest ParseAdminRequest(std::string_view bytes);
+// Parses the request at the front of `bytes`, of which the texts are slices.
+[[nodiscard]] AdminRequest ParseAdminRequest(std::string_view bytes);
 
-// A response behind which the connection ends. `allow` names the methods, where another was called.
-std::string EncodeAdminResponse(int status, std::string_view body, std::string_view allow = {});
+// A response after which the connection is closed. `allow`: the allowed methods, for status 405.
+[[nodiscard]] std::string EncodeAdminResponse(int status, std::string_view body, std::string_view allow = {});
 
 }  // namespace hingelink::proto
 
--- a/src/proto/frames.cpp
+++ b/src/proto/frames.cpp
@@ -1,21 +1,23 @@
 #include "proto/frames.h"
 
+#include <algorithm>
 #include <charconv>
 #include <cmath>
 #include <cstdio>
+#include <iterator>
 
 namespace hingelink::proto {
 namespace {
 
-// Bounds on what is taken from outside: a year 2200 stamp and a day's wait, far beyond any real one.
-constexpr std::uint64_t kMostStampMs = 7'258'118'400'000;
-constexpr std::uint64_t kMostTimeoutMs = 86'400'000;
-constexpr double kMostWorkMs = 86'400'000;
-constexpr double kNeedUnderKb = 2000;
+// Bounds of what a gateway may send: the year 2200, a day, and less than two megabytes.
+constexpr std::uint64_t kMaxUnixMs = 7'258'118'400'000;
+constexpr std::uint64_t kMaxWaitMs = 86'400'000;
+constexpr double kMaxWorkMs = 86'400'000;
+constexpr double kReservedKbBound = 2000;
 
 std::uint64_t BigEndian(std::string_view bytes) {
   std::uint64_t value = 0;
-  for (const char c : bytes) value = value << 8 | static_cast<unsigned char>(c);
+  for (const char byte : bytes) value = value << 8 | static_cast<unsigned char>(byte);
   return value;
 }
 
@@ -23,38 +25,40 @@
   while (bytes-- > 0) out.push_back(static_cast<char>(value >> (8 * bytes) & 0xff));
 }
 
-bool Whole(std::string_view text, std::uint64_t most, std::uint64_t& value, int base = 10) {
-  const auto [end, fault] = std::from_chars(text.data(), text.data() + text.size(), value, base);
-  return fault == std::errc() && end == text.data() + text.size() && value <= most;
+bool ParseWhole(std::string_view text, std::uint64_t max, std::uint64_t& value, int base = 10) {
+  const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value, base);
+  return error == std::errc() && end == text.data() + text.size() && value <= max;
 }
 
-bool Decimal(std::string_view text, double& value) {
-  const auto [end, fault] = std::from_chars(text.data(), text.data() + text.size(), value);
-  return fault == std::errc() && end == text.data() + text.size() && std::isfinite(value);
+bool ParseDecimal(std::string_view text, double& value) {
+  const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
+  return error == std::errc() && end == text.data() + text.size() && std::isfinite(value);
 }
 
-bool HexId(std::string_view text, std::uint64_t& value) {
-  return text.size() == 16 && Whole(text, UINT64_MAX, value, 16);
+bool ParseHexId(std::string_view text, std::uint64_t& value) {
+  return text.size() == 16 && ParseWhole(text, UINT64_MAX, value, 16);
 }
 
-bool HexKey(std::string_view text, core::IdempotencyKey& key) {
-  return text.size() == 32 && HexId(text.substr(0, 16), key.high) && HexId(text.substr(16), key.low);
+bool ParseHexKey(std::string_view text, core::IdempotencyKey& key) {
+  return text.size() == 32 && ParseHexId(text.substr(0, 16), key.high) &&
+         ParseHexId(text.substr(16), key.low);
 }
 
-// Takes `count` bytes off the front. False where there are fewer.
-bool Take(std::string_view& from, std::size_t count, std::string_view& taken) {
+// Removes `count` bytes from the front of `from`. Returns false if there are fewer.
+bool Consume(std::string_view& from, std::size_t count, std::string_view& value) {
   if (from.size() < count) return false;
-  taken = from.substr(0, count);
+  value = from.substr(0, count);
   from.remove_prefix(count);
   return true;
 }
 
-bool TakeSized(std::string_view& from, std::size_t size_bytes, std::string_view& taken) {
+// Removes a value that follows its own size, a number of `size_bytes` bytes.
+bool ConsumeSized(std::string_view& from, std::size_t size_bytes, std::string_view& value) {
   std::string_view size;
-  return Take(from, size_bytes, size) && Take(from, BigEndian(size), taken);
+  return Consume(from, size_bytes, size) && Consume(from, BigEndian(size), value);
 }
 
-std::string FieldsOf(const AnswerFields& fields) {
+std::string EncodeFields(const AnswerFields& fields) {
   std::string out(1, '\0');
   const auto add = [&out](std::string_view name, std::string_view value) {
     ++out[0];
@@ -73,7 +77,7 @@
   return out;
 }
 
-std::string Head(FrameType type, std::uint32_t stream, std::size_t payload) {
+std::string EncodeFrameHeader(FrameType type, std::uint32_t stream, std::size_t payload) {
   std::string out;
   PutBigEndian(out, kMinFrameLength + payload, 4);
   out.push_back(static_cast<char>(type));
@@ -81,6 +85,91 @@
   return out;
 }
 
+// A field of a request: its name in the protocol, and how its value is parsed. False if it is malformed.
+struct RequestField {
+  const char* name;
+  bool required;
+  bool (*parse)(std::string_view value, RequestFrame& request);
+};
+
+bool ParseSentAt(std::string_view value, RequestFrame& request) {
+  std::uint64_t unix_ms = 0;
+  if (!ParseWhole(value, kMaxUnixMs, unix_ms)) return false;
+  request.sent_at = std::chrono::sys_time<std::chrono::milliseconds>(std::chrono::milliseconds(unix_ms));
+  return true;
+}
+
+bool ParseCaller(std::string_view value, RequestFrame& request) {
+  std::uint64_t caller = 0;
+  if (!ParseWhole(value, UINT32_MAX, caller)) return false;
+  request.caller = static_cast<std::uint32_t>(caller);
+  return true;
+}
+
+bool ParseRemainingWait(std::string_view value, RequestFrame& request) {
+  std::uint64_t wait_ms = 0;
+  if (!ParseWhole(value, kMaxWaitMs, wait_ms)) return false;
+  request.remaining_wait = std::chrono::milliseconds(wait_ms);
+  return true;
+}
+
+bool ParseExpectedWork(std::string_view value, RequestFrame& request) {
+  double work_ms = 0;
+  if (!ParseDecimal(value, work_ms) || work_ms < 0 || work_ms > kMaxWorkMs) return false;
+  request.expected_work = std::chrono::duration<double, std::milli>(work_ms);
+  return true;
+}
+
+bool ParseReservedMemory(std::string_view value, RequestFrame& request) {
+  return ParseDecimal(value, request.reserved_kb) && request.reserved_kb > 0 &&
+         request.reserved_kb < kReservedKbBound;
+}
+
+bool ParseRank(std::string_view value, RequestFrame& request) {
+  return ParseDecimal(value, request.rank) && request.rank >= 0 && request.rank < 1;
+}
+
+// The one place where the protocol's names of fields meet those of RequestFrame.
+constexpr RequestField kRequestFields[] = {
+    {"kind", true,
+     [](std::string_view value, RequestFrame& request) {
+       request.class_name = value;
+       return true;
+     }},
+    {"req", true,
+     [](std::string_view value, RequestFrame& request) { return ParseHexId(value, request.request_id); }},
+    {"ts", true, ParseSentAt},
+    {"via", false, ParseCaller},
+    {"timeout", false, ParseRemainingWait},
+    {"ms", false, ParseExpectedWork},
+    {"need", true, ParseReservedMemory},
+    {"level", false, ParseRank},
+    {"subject", false,
+     [](std::string_view value, RequestFrame& request) { return ParseHexId(value, request.subject); }},
+    {"owner", false,
+     [](std::string_view value, RequestFrame& request) {
+       request.tenant = value;
+       return !value.empty();
+     }},
+    {"resent", false,
+     [](std::string_view value, RequestFrame& request) {
+       request.is_retry = value == "1";
+       return request.is_retry;
+     }},
+    {"opkey", false,
+     [](std::string_view value, RequestFrame& request) {
+       return ParseHexKey(value, request.idempotency_key.emplace());
+     }},
+};
+
+const RequestField* FindField(std::string_view name) {
+  const auto* found = std::find_if(std::begin(kRequestFields), std::end(kRequestFields),
+                                   [name](const RequestField& field) { return field.name == name; });
+  return found == std::end(kRequestFields) ? nullptr : found;
+}
+
+unsigned BitOf(const RequestField* field) { return 1u << (field - std::begin(kRequestFields)); }
+
 }  // namespace
 
 std::optional<FrameHeader> ParseFrameHeader(std::string_view bytes) {
@@ -92,52 +181,22 @@
 
 const char* ParseRequest(std::string_view payload, RequestFrame& request) {
   std::string_view count;
-  if (!Take(payload, 1, count)) return "no fields";
-  bool has_ts = false, has_need = false, has_req = false;
-  for (std::uint64_t left = BigEndian(count); left > 0; --left) {
-    std::string_view name, value;
-    if (!TakeSized(payload, 1, name) || !TakeSized(payload, 2, value)) return "fields run past the frame";
-    std::uint64_t whole = 0;
-    if (name == "kind") {
-      request.class_name = value;
-    } else if (name == "req") {
-      if (!HexId(value, request.request_id)) return "req";
-      has_req = true;
-    } else if (name == "ts") {
-      if (!Whole(value, kMostStampMs, whole)) return "ts";
-      request.sent_at = std::chrono::sys_time<std::chrono::milliseconds>(std::chrono::milliseconds(whole));
-      has_ts = true;
-    } else if (name == "via") {
-      if (!Whole(value, UINT32_MAX, whole)) return "via";
-      request.caller = static_cast<std::uint32_t>(whole);
-    } else if (name == "timeout") {
-      if (!Whole(value, kMostTimeoutMs, whole)) return "timeout";
-      request.remaining_wait = std::chrono::milliseconds(whole);
-    } else if (name == "ms") {
-      double work = 0;
-      if (!Decimal(value, work) || work < 0 || work > kMostWorkMs) return "ms";
-      request.expected_work = std::chrono::duration<double, std::milli>(work);
-    } else if (name == "need") {
-      if (!Decimal(value, request.reserved_kb) || request.reserved_kb <= 0 ||
-          request.reserved_kb >= kNeedUnderKb) {
-        return "need";
-      }
-      has_need = true;
-    } else if (name == "level") {
-      if (!Decimal(value, request.rank) || request.rank < 0 || request.rank >= 1) return "level";
-    } else if (name == "subject") {
-      if (!HexId(value, request.subject)) return "subject";
-    } else if (name == "owner") {
-      if (value.empty()) return "owner";
-      request.tenant = value;
-    } else if (name == "resent") {
-      if (value != "1") return "resent";
-      request.is_retry = true;
-    } else if (name == "opkey") {
-      if (!HexKey(value, request.idempotency_key.emplace())) return "opkey";
-    }
+  if (!Consume(payload, 1, count)) return "no fields";
+  unsigned present = 0;  // A bit for each field.
+  for (std::uint64_t remaining = BigEndian(count); remaining > 0; --remaining) {
+    std::string_view name;
+    std::string_view value;
+    if (!ConsumeSized(payload, 1, name) || !ConsumeSized(payload, 2, value))
+      return "fields run past the frame";
+    const RequestField* field = FindField(name);
+    if (field == nullptr) continue;  // Of a later version of the protocol.
+    if (!field->parse(value, request)) return field->name;
+    present |= BitOf(field);
   }
-  if (!has_req || !has_ts || !has_need || request.class_name.empty()) return "a field is missing";
+  const bool is_complete = std::all_of(
+      std::begin(kRequestFields), std::end(kRequestFields),
+      [present](const RequestField& field) { return !field.required || (present & BitOf(&field)) != 0; });
+  if (!is_complete || request.class_name.empty()) return "a field is missing";
   if (payload.size() > kMaxRequestBodyBytes) return "body too long";
   request.body = payload;
   return nullptr;
@@ -145,10 +204,11 @@
 
 bool IsDeepHealthCheck(std::string_view payload) {
   std::string_view count;
-  if (!Take(payload, 1, count)) return false;
-  for (std::uint64_t left = BigEndian(count); left > 0; --left) {
-    std::string_view name, value;
-    if (!TakeSized(payload, 1, name) || !TakeSized(payload, 2, value)) return false;
+  if (!Consume(payload, 1, count)) return false;
+  for (std::uint64_t remaining = BigEndian(count); remaining > 0; --remaining) {
+    std::string_view name;
+    std::string_view value;
+    if (!ConsumeSized(payload, 1, name) || !ConsumeSized(payload, 2, value)) return false;
     if (name == "real") return value == "1";
   }
   return false;
@@ -156,20 +216,20 @@
 
 std::string EncodeAnswerHeader(std::uint32_t stream, AnswerCode code, const AnswerFields& fields,
                                std::size_t body_size) {
-  const std::string list = FieldsOf(fields);
-  std::string out = Head(FrameType::kAnswer, stream, 1 + list.size() + body_size);
+  const std::string list = EncodeFields(fields);
+  std::string out = EncodeFrameHeader(FrameType::kAnswer, stream, 1 + list.size() + body_size);
   out.push_back(static_cast<char>(code));
   return out + list;
 }
 
 std::string EncodeHealthResponse(std::uint32_t stream, bool good, std::optional<double> signal) {
   const std::string list =
-      FieldsOf({.load_signal = signal, .retry_after = std::nullopt, .no_other_server = false});
-  std::string out = Head(FrameType::kHealthResponse, stream, 1 + list.size());
+      EncodeFields({.load_signal = signal, .retry_after = std::nullopt, .no_other_server = false});
+  std::string out = EncodeFrameHeader(FrameType::kHealthResponse, stream, 1 + list.size());
   out.push_back(good ? '\0' : '\1');
   return out + list;
 }
 
-std::string EncodeStopNewRequests() { return Head(FrameType::kStopNewRequests, 0, 0); }
+std::string EncodeStopNewRequests() { return EncodeFrameHeader(FrameType::kStopNewRequests, 0, 0); }
 
 }  // namespace hingelink::proto
--- a/src/proto/handover_lines.cpp
+++ b/src/proto/handover_lines.cpp
@@ -9,33 +9,40 @@
 namespace hingelink::proto {
 namespace {
 
-constexpr std::string_view kLoad = "load ", kLearned = "learned ";
+constexpr std::string_view kLoadPrefix = "load ";
+constexpr std::string_view kLearnedPrefix = "learned ";
+// Highest KeyMessage::state.
+constexpr int kMaxKeyState = 3;
+// Characters of the six numbers of a learned class.
+constexpr std::size_t kMaxNumbersLength = 160;
 
-// Takes a number that is not negative off the front, and the space behind it.
+// Removes a number that is not negative from the front, and the space after it.
 template <typename T>
-bool Take(std::string_view& line, T& value) {
-  const auto [end, fault] = std::from_chars(line.data(), line.data() + line.size(), value);
-  if (fault != std::errc() || !(value >= 0) || !std::isfinite(static_cast<double>(value))) return false;
+bool ConsumeNumber(std::string_view& line, T& value) {
+  const auto [end, error] = std::from_chars(line.data(), line.data() + line.size(), value);
+  if (error != std::errc() || !(value >= 0) || !std::isfinite(static_cast<double>(value))) return false;
   line.remove_prefix(static_cast<std::size_t>(end - line.data()));
   if (!line.empty() && line.front() != ' ') return false;
   if (!line.empty()) line.remove_prefix(1);
   return true;
 }
 
-// Names may hold anything; what is no letter, digit, '-', '_' or '.' is written as %XX.
+// Percent-encodes everything but letters, digits, '-', '_' and '.'.
 std::string EncodeName(std::string_view name) {
   std::string out;
-  for (const char c : name) {
-    const auto byte = static_cast<unsigned char>(c);
-    const bool plain = (byte >= '0' && byte <= '9') || (byte >= 'a' && byte <= 'z') ||
-                       (byte >= 'A' && byte <= 'Z') || c == '-' || c == '_' || c == '.';
+  for (const char character : name) {
+    const auto byte = static_cast<unsigned char>(character);
+    const bool is_unreserved = (byte >= '0' && byte <= '9') || (byte >= 'a' && byte <= 'z') ||
+                               (byte >= 'A' && byte <= 'Z') || character == '-' || character == '_' ||
+                               character == '.';
     char text[4];
-    std::snprintf(text, sizeof text, plain ? "%c" : "%%%02X", byte);
+    std::snprintf(text, sizeof text, is_unreserved ? "%c" : "%%%02X", byte);
     out += text;
   }
   return out;
 }
-std::optional<std::string> ReadName(std::string_view text) {
+
+std::optional<std::string> DecodeName(std::string_view text) {
   std::string out;
   while (!text.empty()) {
     if (text.front() != '%') {
@@ -45,8 +52,8 @@
     }
     unsigned byte = 0;
     if (text.size() < 3) return std::nullopt;
-    const auto [end, fault] = std::from_chars(text.data() + 1, text.data() + 3, byte, 16);
-    if (fault != std::errc() || end != text.data() + 3) return std::nullopt;
+    const auto [end, error] = std::from_chars(text.data() + 1, text.data() + 3, byte, 16);
+    if (error != std::errc() || end != text.data() + 3) return std::nullopt;
     out += static_cast<char>(byte);
     text.remove_prefix(3);
   }
@@ -64,10 +71,10 @@
 
 std::optional<LoadMessage> ParseLoadMessage(std::string_view line) {
   LoadMessage load;
-  if (!line.starts_with(kLoad)) return std::nullopt;
-  line.remove_prefix(kLoad.size());
-  if (!Take(line, load.running) || !Take(line, load.memory_kb) || !Take(line, load.queued_work_ms) ||
-      !Take(line, load.connections) || !line.empty()) {
+  if (!line.starts_with(kLoadPrefix)) return std::nullopt;
+  line.remove_prefix(kLoadPrefix.size());
+  if (!ConsumeNumber(line, load.running) || !ConsumeNumber(line, load.memory_kb) ||
+      !ConsumeNumber(line, load.queued_work_ms) || !ConsumeNumber(line, load.connections) || !line.empty()) {
     return std::nullopt;
   }
   return load;
@@ -82,45 +89,50 @@
 }
 
 std::optional<KeyMessage> ParseKeyMessage(std::string_view line) {
-  Tokenizer words(line);
-  if (words.Next() != "key") return std::nullopt;
-  const auto high = words.Number<std::uint64_t>(16), low = words.Number<std::uint64_t>(16),
-             content = words.Number<std::uint64_t>(16);
-  const auto fate = words.Number<int>();
-  const auto left = words.Number<double>();
-  if (!high || !low || !content || !fate || *fate < 0 || *fate > 3 || !left || *left < 0) return std::nullopt;
-  KeyMessage key{{*high, *low}, *content, *fate, std::chrono::duration<double, std::milli>(*left), false, 0};
-  const std::string_view last = words.Next();
+  Tokenizer tokens(line);
+  if (tokens.Next() != "key") return std::nullopt;
+  const auto high = tokens.Number<std::uint64_t>(16);
+  const auto low = tokens.Number<std::uint64_t>(16);
+  const auto content_hash = tokens.Number<std::uint64_t>(16);
+  const auto state = tokens.Number<int>();
+  const auto remaining = tokens.Number<double>();
+  if (!high || !low || !content_hash || !state || *state < 0 || *state > kMaxKeyState || !remaining ||
+      *remaining < 0)
+    return std::nullopt;
+  KeyMessage key{
+      {*high, *low}, *content_hash, *state, std::chrono::duration<double, std::milli>(*remaining), false, 0};
+  const std::string_view last = tokens.Next();
   if (last.empty()) return key;
   const auto size = Tokenizer(last).Number<std::size_t>();
-  if (!size || *size > kMaxKeyResultBytes || !words.Next().empty()) return std::nullopt;
+  if (!size || *size > kMaxKeyResultBytes || !tokens.Next().empty()) return std::nullopt;
   key.has_result = true;
   key.size = *size;
   return key;
 }
 
 std::optional<std::string> EncodeLearnedClassMessage(const LearnedClassMessage& learned) {
-  char numbers[160];
+  char numbers[kMaxNumbersLength];
   const int size = std::snprintf(numbers, sizeof numbers, " %.4f %.4f %.4f %.4f %.4f %d\n",
                                  learned.latency_objective_ms, learned.deadline_ms, learned.run_ms,
                                  learned.core_time_ms, learned.expected_work_ms, learned.samples);
-  std::string line = std::string(kLearned) + EncodeName(learned.name) + numbers;
+  std::string line = std::string(kLearnedPrefix) + EncodeName(learned.name) + numbers;
   if (size < 0 || size >= static_cast<int>(sizeof numbers) || line.size() > kMaxHandoverLineBytes)
     return std::nullopt;
   return line;
 }
 
 std::optional<LearnedClassMessage> ParseLearnedClassMessage(std::string_view line) {
-  if (!line.starts_with(kLearned)) return std::nullopt;
-  line.remove_prefix(kLearned.size());
+  if (!line.starts_with(kLearnedPrefix)) return std::nullopt;
+  line.remove_prefix(kLearnedPrefix.size());
   const std::size_t space = line.find(' ');
   if (space == std::string_view::npos || space == 0) return std::nullopt;
-  const auto name = ReadName(line.substr(0, space));
+  const auto name = DecodeName(line.substr(0, space));
   line.remove_prefix(space + 1);
   LearnedClassMessage learned;
-  if (!name || !Take(line, learned.latency_objective_ms) || !Take(line, learned.deadline_ms) ||
-      !Take(line, learned.run_ms) || !Take(line, learned.core_time_ms) ||
-      !Take(line, learned.expected_work_ms) || !Take(line, learned.samples) || !line.empty()) {
+  if (!name || !ConsumeNumber(line, learned.latency_objective_ms) ||
+      !ConsumeNumber(line, learned.deadline_ms) || !ConsumeNumber(line, learned.run_ms) ||
+      !ConsumeNumber(line, learned.core_time_ms) || !ConsumeNumber(line, learned.expected_work_ms) ||
+      !ConsumeNumber(line, learned.samples) || !line.empty()) {
     return std::nullopt;
   }
   learned.name = *name;
--- a/src/proto/pool_lines.cpp
+++ b/src/proto/pool_lines.cpp
@@ -10,90 +10,115 @@
 
 using Millis = std::chrono::duration<double, std::milli>;
 
-std::optional<RunOutcome> ToEnd(std::string_view word) {
-  if (word == "complete") return RunOutcome::kComplete;
-  if (word == "error") return RunOutcome::kError;
-  if (word == "cancelled") return RunOutcome::kCancelled;
-  if (word == "unknown") return RunOutcome::kUnknown;
+constexpr std::string_view kLineEnd = "\r\n";
+
+std::optional<RunOutcome> ToOutcome(std::string_view text) {
+  if (text == "complete") return RunOutcome::kComplete;
+  if (text == "error") return RunOutcome::kError;
+  if (text == "cancelled") return RunOutcome::kCancelled;
+  if (text == "unknown") return RunOutcome::kUnknown;
+  return std::nullopt;
+}
+
+// Extends `size`, that of the line, by a body of `length` bytes and its CR LF. Returns what is wrong, or
+// nothing.
+std::optional<PoolMessage> ConsumeBody(std::string_view bytes, std::size_t length, const char* error,
+                                       std::size_t& size, std::string_view& body) {
+  const std::size_t line_size = size;
+  if (bytes.size() < line_size + length + kLineEnd.size()) return IncompleteMessage{};
+  if (bytes.substr(line_size + length, kLineEnd.size()) != kLineEnd) return MalformedMessage{error};
+  body = bytes.substr(line_size, length);
+  size = line_size + length + kLineEnd.size();
   return std::nullopt;
 }
 
-PoolMessage Finished(Tokenizer& words, std::string_view bytes, std::size_t line_size, std::size_t& size) {
-  const auto number = words.Number<std::uint64_t>();
-  const auto req = words.Number<std::uint64_t>(16);
-  const auto end = ToEnd(words.Next());
-  const auto elapsed = words.Number<double>();
-  const auto length = words.Number<std::size_t>();
-  if (!number || !req || !end || !elapsed || !length || *length > kMaxPoolResultBytes)
+PoolMessage ParseFinished(Tokenizer& tokens, std::string_view bytes, std::size_t& size) {
+  const auto number = tokens.Number<std::uint64_t>();
+  const auto request_id = tokens.Number<std::uint64_t>(16);
+  const auto outcome = ToOutcome(tokens.Next());
+  const auto elapsed = tokens.Number<double>();
+  const auto length = tokens.Number<std::size_t>();
+  if (!number || !request_id || !outcome || !elapsed || !length || *length > kMaxPoolResultBytes)
     return MalformedMessage{"finished"};
-  if (bytes.size() < line_size + *length + 2) return IncompleteMessage{};
-  if (bytes.substr(line_size + *length, 2) != "\r\n") return MalformedMessage{"result without its CR LF"};
-  size = line_size + *length + 2;
-  return RunFinished{*number, *req, *end, Millis(*elapsed), bytes.substr(line_size, *length)};
+  std::string_view result;
+  if (auto error = ConsumeBody(bytes, *length, "result without its CR LF", size, result)) return *error;
+  return RunFinished{*number, *request_id, *outcome, Millis(*elapsed), result};
+}
+
+PoolMessage ParseBlocked(Tokenizer& tokens, std::string_view bytes, std::size_t& size) {
+  const auto number = tokens.Number<std::uint64_t>();
+  const auto request_id = tokens.Number<std::uint64_t>(16);
+  const auto length = tokens.Number<std::size_t>();
+  if (!number || !request_id || !length || *length > kMaxPoolResultBytes) return MalformedMessage{"blocked"};
+  std::string_view body;
+  if (auto error = ConsumeBody(bytes, *length, "call without its CR LF", size, body)) return *error;
+  return RunBlocked{*number, *request_id, body};
+}
+
+PoolMessage ParseVerified(Tokenizer& tokens) {
+  const std::string_view tag = tokens.Next();
+  const std::string_view outcome = tokens.Next();
+  if (tag.empty() || (outcome != "complete" && outcome != "error")) return MalformedMessage{"verified"};
+  return RoundTripVerified{tag, outcome == "complete"};
+}
+
+PoolMessage ParsePolled(Tokenizer& tokens) {
+  GaugesReported polled{tokens.Next(), {}};
+  while (const auto value = tokens.Number<double>()) polled.gauges.push_back(*value);
+  return polled;
+}
+
+PoolMessage ParseBound(Tokenizer& tokens) {
+  const std::string_view state = tokens.Next();
+  const auto since_start = tokens.Number<double>();
+  if ((state != "chilly" && state != "hot") || !since_start) return MalformedMessage{"bound"};
+  return BindAcknowledged{state == "chilly", Millis(*since_start)};
+}
+
+PoolMessage ParseUnknown(Tokenizer& tokens) {
+  UnknownCommand unknown{tokens.Next(), 0};
+  unknown.request_id = tokens.Number<std::uint64_t>(16).value_or(0);
+  return unknown;
+}
+
+PoolMessage ParseRemark(Tokenizer& tokens) {
+  const auto number = tokens.Number<std::uint64_t>();
+  if (!number) return MalformedMessage{"chatter"};
+  return PoolRemark{*number};
 }
 
-PoolMessage Blocked(Tokenizer& words, std::string_view bytes, std::size_t line_size, std::size_t& size) {
-  const auto number = words.Number<std::uint64_t>();
-  const auto req = words.Number<std::uint64_t>(16);
-  const auto length = words.Number<std::size_t>();
-  if (!number || !req || !length || *length > kMaxPoolResultBytes) return MalformedMessage{"blocked"};
-  if (bytes.size() < line_size + *length + 2) return IncompleteMessage{};
-  if (bytes.substr(line_size + *length, 2) != "\r\n") return MalformedMessage{"call without its CR LF"};
-  size = line_size + *length + 2;
-  return RunBlocked{*number, *req, bytes.substr(line_size, *length)};
+// A line whose end has not arrived. Only a remark may be longer than kMaxPoolLineBytes.
+PoolMessage ParseIncompleteLine(std::string_view bytes, std::size_t& size) {
+  if (bytes.size() < kMaxPoolLineBytes) return IncompleteMessage{};
+  size = kMaxPoolLineBytes - 1;  // The last byte may be a CR.
+  Tokenizer tokens(bytes.substr(0, size));
+  const bool is_remark = tokens.Next() == "chatter";
+  const auto number = tokens.Number<std::uint64_t>();
+  if (is_remark && number) return PoolRemark{*number, true};
+  return MalformedMessage{"line too long"};
 }
 
 }  // namespace
 
 PoolMessage ParsePoolMessage(std::string_view bytes, std::size_t& size) {
-  const std::size_t eol = bytes.substr(0, kMaxPoolLineBytes).find("\r\n");
-  if (eol == std::string_view::npos) {
-    if (bytes.size() < kMaxPoolLineBytes) return IncompleteMessage{};
-    size = kMaxPoolLineBytes - 1;  // The last byte may be a CR.
-    Tokenizer start(bytes.substr(0, size));
-    const bool chatter = start.Next() == "chatter";
-    if (const auto number = start.Number<std::uint64_t>(); chatter && number)
-      return PoolRemark{*number, true};
-    return MalformedMessage{"line too long"};
-  }
-  size = eol + 2;
-  Tokenizer words(bytes.substr(0, eol));
-  const std::string_view verb = words.Next();
-  if (verb == "finished") return Finished(words, bytes, eol + 2, size);
-  if (verb == "blocked") return Blocked(words, bytes, eol + 2, size);
-  if (verb == "verified") {
-    const std::string_view tag = words.Next();
-    const std::string_view end = words.Next();
-    if (tag.empty() || (end != "complete" && end != "error")) return MalformedMessage{"verified"};
-    return RoundTripVerified{tag, end == "complete"};
-  }
-  if (verb == "polled") {
-    GaugesReported polled{words.Next(), {}};
-    while (const auto value = words.Number<double>()) polled.gauges.push_back(*value);
-    return polled;
-  }
-  if (verb == "bound") {
-    const std::string_view state = words.Next();
-    const auto since = words.Number<double>();
-    if ((state != "chilly" && state != "hot") || !since) return MalformedMessage{"bound"};
-    return BindAcknowledged{state == "chilly", Millis(*since)};
-  }
-  if (verb == "unknown") {
-    UnknownCommand unknown{words.Next(), 0};
-    unknown.request_id = words.Number<std::uint64_t>(16).value_or(0);
-    return unknown;
-  }
-  if (verb == "chatter") {
-    const auto number = words.Number<std::uint64_t>();
-    if (!number) return MalformedMessage{"chatter"};
-    return PoolRemark{*number};
-  }
+  const std::size_t line_end = bytes.substr(0, kMaxPoolLineBytes).find(kLineEnd);
+  if (line_end == std::string_view::npos) return ParseIncompleteLine(bytes, size);
+  size = line_end + kLineEnd.size();
+  Tokenizer tokens(bytes.substr(0, line_end));
+  const std::string_view notice = tokens.Next();
+  if (notice == "finished") return ParseFinished(tokens, bytes, size);
+  if (notice == "blocked") return ParseBlocked(tokens, bytes, size);
+  if (notice == "verified") return ParseVerified(tokens);
+  if (notice == "polled") return ParsePolled(tokens);
+  if (notice == "bound") return ParseBound(tokens);
+  if (notice == "unknown") return ParseUnknown(tokens);
+  if (notice == "chatter") return ParseRemark(tokens);
   return MalformedMessage{"no notice"};
 }
 
-std::string FormatRequestId(std::uint64_t req) {
+std::string FormatRequestId(std::uint64_t request_id) {
   char text[17];
-  std::snprintf(text, sizeof text, "%016llx", static_cast<unsigned long long>(req));
+  std::snprintf(text, sizeof text, "%016llx", static_cast<unsigned long long>(request_id));
   return text;
 }
 
@@ -101,18 +126,18 @@
   return "bind " + std::to_string(last_notice) + "\r\n";
 }
 
-std::string EncodeSpawnHeader(std::uint64_t req, std::string_view kind, std::size_t body_size) {
-  std::string line = "spawn " + FormatRequestId(req) + ' ';
-  line.append(kind);
+std::string EncodeSpawnHeader(std::uint64_t request_id, std::string_view class_name, std::size_t body_size) {
+  std::string line = "spawn " + FormatRequestId(request_id) + ' ';
+  line.append(class_name);
   return line + ' ' + std::to_string(body_size) + "\r\n";
 }
 
-std::string EncodeSupplyHeader(std::uint64_t req, std::size_t reply_size) {
-  return "supply " + FormatRequestId(req) + ' ' + std::to_string(reply_size) + "\r\n";
+std::string EncodeSupplyHeader(std::uint64_t request_id, std::size_t reply_size) {
+  return "supply " + FormatRequestId(request_id) + ' ' + std::to_string(reply_size) + "\r\n";
 }
 
-std::string EncodePassCommand(std::uint64_t req, std::uint64_t notice) {
-  return "pass " + FormatRequestId(req) + ' ' + std::to_string(notice) + "\r\n";
+std::string EncodePassCommand(std::uint64_t request_id, std::uint64_t notice_number) {
+  return "pass " + FormatRequestId(request_id) + ' ' + std::to_string(notice_number) + "\r\n";
 }
 
 std::string EncodeVerifyCommand(std::string_view tag) {
--- a/src/proto/pool_lines.h
+++ b/src/proto/pool_lines.h
@@ -1,4 +1,5 @@
-// The worker pool's lines: parsing into slices of the buffer they were read into, and encoding. No sockets.
+// The worker pool's lines: parsing into slices of the buffer that they were read into, and encoding. The
+// words of the protocol are mapped to these types in pool_lines.cpp. No sockets.
 #ifndef HINGELINK_PROTO_POOL_LINES_H_
 #define HINGELINK_PROTO_POOL_LINES_H_
 
@@ -12,16 +13,17 @@
 
 namespace hingelink::proto {
 
-inline constexpr std::size_t kMaxPoolLineBytes =
-    65'536;  // But for remarks, which are as long as the pool likes.
+inline constexpr std::size_t kMaxPoolLineBytes = 65'536;    // Remarks excepted, which have no bound.
 inline constexpr std::size_t kMaxPoolResultBytes = 65'536;  // The protocol allows 4 KiB.
 
 enum class RunOutcome { kComplete, kError, kCancelled, kUnknown };
 
+// The pool has accepted the connection.
 struct BindAcknowledged {
   bool warming_up = false;
   std::chrono::duration<double, std::milli> since_start{0};
 };
+// An execution has ended.
 struct RunFinished {
   std::uint64_t notice_number = 0;
   std::uint64_t request_id = 0;
@@ -29,28 +31,33 @@
   std::chrono::duration<double, std::milli> elapsed{0};
   std::string_view result;
 };
-// A run waits for a call with this body.
+// An execution waits for an upstream call with this body.
 struct RunBlocked {
   std::uint64_t notice_number = 0;
   std::uint64_t request_id = 0;
   std::string_view body;
 };
+// The answer to EncodeVerifyCommand().
 struct RoundTripVerified {
   std::string_view tag;
   bool good = false;
 };
+// The answer to EncodePollCommand().
 struct GaugesReported {
   std::string_view tag;
   std::vector<double> gauges;
 };
+// The pool does not know a command.
 struct UnknownCommand {
   std::string_view command;
-  std::uint64_t request_id = 0;  // 0 where the line names none.
+  std::uint64_t request_id = 0;  // 0 if not given.
 };
+// A text for operators, which is skipped.
 struct PoolRemark {
   std::uint64_t notice_number = 0;
-  bool is_partial = false;  // Only its start has come: what follows up to the next CR LF belongs to it.
+  bool is_partial = false;  // The rest, up to the next CR LF, has not arrived.
 };
+// The message has not arrived as a whole.
 struct IncompleteMessage {};
 struct MalformedMessage {
   const char* reason;
@@ -59,18 +66,24 @@
 using PoolMessage = std::variant<IncompleteMessage, MalformedMessage, BindAcknowledged, RunFinished,
                                  RunBlocked, GaugesReported, RoundTripVerified, UnknownCommand, PoolRemark>;
 
-// Parses the message at the front of `bytes`. `size` is set to the bytes that a whole one takes.
-PoolMessage ParsePoolMessage(std::string_view bytes, std::size_t& size);
+// Parses the message at the front of `bytes`. Sets `size` to the bytes of a complete one.
+[[nodiscard]] PoolMessage ParsePoolMessage(std::string_view bytes, std::size_t& size);
 
-std::string FormatRequestId(std::uint64_t req);  // 16 hex digits.
-std::string EncodeBindCommand(std::uint64_t last_notice);
-// All of a spawn but its body and the CR LF behind that.
-std::string EncodeSpawnHeader(std::uint64_t req, std::string_view kind, std::size_t body_size);
-// All of a supply but the reply and the CR LF behind that.
-std::string EncodeSupplyHeader(std::uint64_t req, std::size_t reply_size);
-std::string EncodePassCommand(std::uint64_t req, std::uint64_t notice);
-std::string EncodeVerifyCommand(std::string_view tag);
-std::string EncodePollCommand(std::string_view tag);
+// As 16 hexadecimal digits.
+[[nodiscard]] std::string FormatRequestId(std::uint64_t request_id);
+// Opens a connection; notices up to this number are not repeated.
+[[nodiscard]] std::string EncodeBindCommand(std::uint64_t last_notice);
+// Starts an execution: the command without its body and the CR LF after that.
+[[nodiscard]] std::string EncodeSpawnHeader(std::uint64_t request_id, std::string_view class_name,
+                                            std::size_t body_size);
+// Hands over the reply to an upstream call: the command without the reply and the CR LF after that.
+[[nodiscard]] std::string EncodeSupplyHeader(std::uint64_t request_id, std::size_t reply_size);
+// Lets an execution go on without its upstream call.
+[[nodiscard]] std::string EncodePassCommand(std::uint64_t request_id, std::uint64_t notice_number);
+// Asks for a round trip through a worker.
+[[nodiscard]] std::string EncodeVerifyCommand(std::string_view tag);
+// Asks for the gauges.
+[[nodiscard]] std::string EncodePollCommand(std::string_view tag);
 
 }  // namespace hingelink::proto
 
--- a/src/proto/registry_http.cpp
+++ b/src/proto/registry_http.cpp
@@ -3,13 +3,17 @@
 #include <algorithm>
 #include <cctype>
 #include <charconv>
+#include <optional>
 
 namespace hingelink::proto {
 namespace {
 
-bool SameText(std::string_view a, std::string_view b) {
-  return std::equal(a.begin(), a.end(), b.begin(), b.end(),
-                    [](unsigned char x, unsigned char y) { return std::tolower(x) == std::tolower(y); });
+constexpr std::string_view kHeaderEnd = "\r\n\r\n";
+
+bool EqualsIgnoringCase(std::string_view left, std::string_view right) {
+  return std::equal(
+      left.begin(), left.end(), right.begin(), right.end(),
+      [](unsigned char one, unsigned char other) { return std::tolower(one) == std::tolower(other); });
 }
 
 std::string_view Trim(std::string_view text) {
@@ -19,55 +23,67 @@
 }
 
 template <typename T>
-bool Whole(std::string_view text, T& value) {
-  const auto [end, fault] = std::from_chars(text.data(), text.data() + text.size(), value);
-  return fault == std::errc() && end == text.data() + text.size();
+bool ParseWhole(std::string_view text, T& value) {
+  const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
+  return error == std::errc() && end == text.data() + text.size();
+}
+
+// Whether a response with this status has no body, whatever its fields say.
+bool HasNoBody(int status) { return status < 200 || status == 204 || status == 304; }
+
+// Applies one header field to `response`. `body_size` is set by a Content-Length. Returns false if it is
+// malformed.
+bool ApplyField(std::string_view field, HttpResponse& response, std::optional<std::size_t>& body_size) {
+  const std::size_t colon = field.find(':');
+  if (colon == std::string_view::npos) return false;
+  const std::string_view name = field.substr(0, colon);
+  const std::string_view value = Trim(field.substr(colon + 1));
+  if (EqualsIgnoringCase(name, "connection") && EqualsIgnoringCase(value, "close"))
+    response.closes_connection = true;
+  if (!EqualsIgnoringCase(name, "content-length") || HasNoBody(response.status)) return true;
+  std::size_t length = 0;
+  if (!ParseWhole(value, length) || length > kMaxHttpResponseBytes) return false;
+  body_size = length;
+  return true;
 }
 
 }  // namespace
 
 std::string EncodeReportRequest(std::string_view name, std::string_view host, bool draining) {
   const std::string body = draining ? R"({"state":"draining"})" : R"({"state":"ready"})";
-  std::string call = "PUT /v1/instances/";
-  call.append(name).append(" HTTP/1.1\r\nHost: ").append(host);
-  call += "\r\nContent-Type: application/json\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n";
-  return call + body;
+  std::string request = "PUT /v1/instances/";
+  request.append(name).append(" HTTP/1.1\r\nHost: ").append(host);
+  request +=
+      "\r\nContent-Type: application/json\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n";
+  return request + body;
 }
 
 HttpResponse ParseHttpResponse(std::string_view bytes) {
   HttpResponse response;
-  const std::size_t end = bytes.find("\r\n\r\n");
+  const std::size_t end = bytes.find(kHeaderEnd);
   if (end == std::string_view::npos) {
     if (bytes.size() > kMaxHttpResponseBytes) response.state = HttpResponse::State::kMalformed;
     return response;
   }
   response.state = HttpResponse::State::kMalformed;
-  std::string_view head = bytes.substr(0, end + 2);
-  const std::string_view line = head.substr(0, head.find("\r\n"));
-  if (line.size() < 12 || !line.starts_with("HTTP/1.") || !Whole(line.substr(9, 3), response.status)) {
+  std::string_view header = bytes.substr(0, end + 2);
+  const std::string_view line = header.substr(0, header.find("\r\n"));
+  if (line.size() < 12 || !line.starts_with("HTTP/1.") || !ParseWhole(line.substr(9, 3), response.status)) {
     return response;
   }
   response.closes_connection = line[7] == '0';
-  // A 1xx, 204 or 304 has no body; any other without a length ends with its connection.
-  const bool bodiless = response.status < 200 || response.status == 204 || response.status == 304;
-  bool sized = bodiless;
-  std::size_t body = 0;
-  for (head.remove_prefix(line.size() + 2); !head.empty();) {
-    const std::string_view field = head.substr(0, head.find("\r\n"));
-    head.remove_prefix(field.size() + 2);
-    const std::size_t colon = field.find(':');
-    if (colon == std::string_view::npos) return response;
-    const std::string_view name = field.substr(0, colon), value = Trim(field.substr(colon + 1));
-    if (SameText(name, "connection") && SameText(value, "close")) response.closes_connection = true;
-    if (SameText(name, "content-length") && !bodiless) {
-      if (!Whole(value, body) || body > kMaxHttpResponseBytes) return response;
-      sized = true;
-    }
+  std::optional<std::size_t> body_size;
+  for (header.remove_prefix(line.size() + 2); !header.empty();) {
+    const std::string_view field = header.substr(0, header.find("\r\n"));
+    header.remove_prefix(field.size() + 2);
+    if (!ApplyField(field, response, body_size)) return response;
   }
-  if (!sized) response.closes_connection = true;
-  response.total_bytes = end + 4 + body;
-  const bool whole = bytes.size() >= response.total_bytes;
-  response.state = whole ? HttpResponse::State::kComplete : HttpResponse::State::kNeedMore;
+  if (HasNoBody(response.status)) body_size = 0;
+  // A body without a length ends with its connection.
+  if (!body_size) response.closes_connection = true;
+  response.total_bytes = end + kHeaderEnd.size() + body_size.value_or(0);
+  const bool is_complete = bytes.size() >= response.total_bytes;
+  response.state = is_complete ? HttpResponse::State::kComplete : HttpResponse::State::kNeedMore;
   return response;
 }
 
--- a/src/proto/store_lines.cpp
+++ b/src/proto/store_lines.cpp
@@ -10,49 +10,55 @@
 namespace hingelink::proto {
 namespace {
 
-std::optional<StoreReplyStatus> ToKind(std::string_view word) {
-  if (word == "OK") return StoreReplyStatus::kOk;
-  if (word == "BUSY") return StoreReplyStatus::kBusy;
-  if (word == "ERR") return StoreReplyStatus::kError;
-  if (word == "LATE") return StoreReplyStatus::kTimedOut;
-  if (word == "VOID") return StoreReplyStatus::kNotRun;
+// A day.
+constexpr double kMaxWaitMs = 86'400'000;
+
+std::optional<StoreReplyStatus> ToStatus(std::string_view text) {
+  if (text == "OK") return StoreReplyStatus::kOk;
+  if (text == "BUSY") return StoreReplyStatus::kBusy;
+  if (text == "ERR") return StoreReplyStatus::kError;
+  if (text == "LATE") return StoreReplyStatus::kTimedOut;
+  if (text == "VOID") return StoreReplyStatus::kNotRun;
   return std::nullopt;
 }
 
 }  // namespace
 
 StoreMessage ParseStoreReply(std::string_view bytes, std::size_t& size) {
-  const std::size_t eol = bytes.substr(0, kMaxStoreLineBytes).find("\r\n");
-  if (eol == std::string_view::npos) {
+  const std::size_t line_end = bytes.substr(0, kMaxStoreLineBytes).find("\r\n");
+  if (line_end == std::string_view::npos) {
     if (bytes.size() < kMaxStoreLineBytes) return IncompleteStoreReply{};
     return MalformedStoreReply{"line too long"};
   }
-  size = eol + 2;
-  Tokenizer words(bytes.substr(0, eol));
-  const std::string_view id = words.Next();
-  const auto req = Tokenizer(id).Number<std::uint64_t>(16);
-  const auto kind = ToKind(words.Next());
-  if (!req || id.size() != 16 || !kind) return MalformedStoreReply{"no reply"};
-  StoreReply reply{*req, *kind, {}};
-  if (const std::string_view length = words.Next(); !length.empty()) {
-    const auto bytes_of = Tokenizer(length).Number<std::size_t>();
-    if (!bytes_of || *bytes_of > kMaxStoreReplyBytes) return MalformedStoreReply{"length"};
-    if (bytes.size() < size + *bytes_of + 2) return IncompleteStoreReply{};
-    if (bytes.substr(size + *bytes_of, 2) != "\r\n") return MalformedStoreReply{"reply without its CR LF"};
-    reply.body = bytes.substr(size, *bytes_of);
-    size += *bytes_of + 2;
-  } else if (*kind == StoreReplyStatus::kOk) {
+  size = line_end + 2;
+  Tokenizer tokens(bytes.substr(0, line_end));
+  const std::string_view id = tokens.Next();
+  const auto request_id = Tokenizer(id).Number<std::uint64_t>(16);
+  const auto status = ToStatus(tokens.Next());
+  if (!request_id || id.size() != 16 || !status) return MalformedStoreReply{"no reply"};
+  StoreReply reply{*request_id, *status, {}};
+  if (const std::string_view length = tokens.Next(); !length.empty()) {
+    const auto body_size = Tokenizer(length).Number<std::size_t>();
+    if (!body_size || *body_size > kMaxStoreReplyBytes) return MalformedStoreReply{"length"};
+    if (bytes.size() < size + *body_size + 2) return IncompleteStoreReply{};
+    if (bytes.substr(size + *body_size, 2) != "\r\n") return MalformedStoreReply{"reply without its CR LF"};
+    reply.body = bytes.substr(size, *body_size);
+    size += *body_size + 2;
+  } else if (*status == StoreReplyStatus::kOk) {
     return MalformedStoreReply{"no length"};
   }
   return reply;
 }
 
-std::string EncodeStoreCallHeader(std::uint64_t req, std::chrono::duration<double, std::milli> wait,
+std::string EncodeStoreCallHeader(std::uint64_t request_id, std::chrono::duration<double, std::milli> wait,
                                   std::size_t body_size) {
-  const auto ms = static_cast<std::uint64_t>(std::ceil(std::clamp(wait.count(), 1.0, 86'400'000.0)));
-  return "CALL " + FormatRequestId(req) + ' ' + std::to_string(ms) + ' ' + std::to_string(body_size) + "\r\n";
+  const auto wait_ms = static_cast<std::uint64_t>(std::ceil(std::clamp(wait.count(), 1.0, kMaxWaitMs)));
+  return "CALL " + FormatRequestId(request_id) + ' ' + std::to_string(wait_ms) + ' ' +
+         std::to_string(body_size) + "\r\n";
 }
 
-std::string EncodeStoreDropCommand(std::uint64_t req) { return "DROP " + FormatRequestId(req) + "\r\n"; }
+std::string EncodeStoreDropCommand(std::uint64_t request_id) {
+  return "DROP " + FormatRequestId(request_id) + "\r\n";
+}
 
 }  // namespace hingelink::proto
--- a/src/proto/store_lines.h
+++ b/src/proto/store_lines.h
@@ -1,4 +1,4 @@
-// The store's lines: parsing into slices of the buffer they were read into, and encoding. No sockets.
+// The store's lines: parsing into slices of the buffer that they were read into, and encoding. No sockets.
 #ifndef HINGELINK_PROTO_STORE_LINES_H_
 #define HINGELINK_PROTO_STORE_LINES_H_
 
@@ -33,13 +33,15 @@
 };
 using StoreMessage = std::variant<IncompleteStoreReply, MalformedStoreReply, StoreReply>;
 
-// Parses the reply at the front of `bytes`. `size` is set to the bytes that a whole one takes.
-StoreMessage ParseStoreReply(std::string_view bytes, std::size_t& size);
+// Parses the reply at the front of `bytes`. Sets `size` to the bytes of a complete one.
+[[nodiscard]] StoreMessage ParseStoreReply(std::string_view bytes, std::size_t& size);
 
-// All of a call but its body and the CR LF behind that. The wait is told in whole milliseconds, rounded up.
-std::string EncodeStoreCallHeader(std::uint64_t req, std::chrono::duration<double, std::milli> wait,
-                                  std::size_t body_size);
-std::string EncodeStoreDropCommand(std::uint64_t req);
+// A call without its body and the CR LF after that. `wait` is rounded up to whole milliseconds.
+[[nodiscard]] std::string EncodeStoreCallHeader(std::uint64_t request_id,
+                                                std::chrono::duration<double, std::milli> wait,
+                                                std::size_t body_size);
+// Abandons a call.
+[[nodiscard]] std::string EncodeStoreDropCommand(std::uint64_t request_id);
 
 }  // namespace hingelink::proto
 
--- a/src/proto/tokenizer.h
+++ b/src/proto/tokenizer.h
@@ -1,4 +1,4 @@
-// The words of a line of text, one by one.
+// Splits a line of text into tokens separated by spaces.
 #ifndef HINGELINK_PROTO_TOKENIZER_H_
 #define HINGELINK_PROTO_TOKENIZER_H_
 
@@ -11,35 +11,36 @@
 
 namespace hingelink::proto {
 
+// The tokens are slices of the line.
 class Tokenizer {
  public:
   explicit Tokenizer(std::string_view line) : rest_(line) {}
 
-  // Empty behind the last.
+  // The next token; empty after the last one.
   std::string_view Next() {
     const std::size_t start = rest_.find_first_not_of(' ');
     if (start == std::string_view::npos) return {};
     rest_.remove_prefix(start);
     const std::size_t end = rest_.find(' ');
-    const std::string_view word = rest_.substr(0, end);
-    rest_.remove_prefix(word.size());
-    return word;
+    const std::string_view token = rest_.substr(0, end);
+    rest_.remove_prefix(token.size());
+    return token;
   }
 
-  // Nothing where the next word is no number of this kind, or there is none.
+  // Consumes the next token. Nothing if it is not a number of this type, or not finite, or there is none.
   template <typename T>
   std::optional<T> Number(int base = 10) {
-    const std::string_view word = Next();
+    const std::string_view token = Next();
     T value{};
-    const char* last = word.data() + word.size();
-    std::from_chars_result got;
+    const char* last = token.data() + token.size();
+    std::from_chars_result result;
     if constexpr (std::is_floating_point_v<T>) {
-      got = std::from_chars(word.data(), last, value);
+      result = std::from_chars(token.data(), last, value);
       if (!std::isfinite(value)) return std::nullopt;
     } else {
-      got = std::from_chars(word.data(), last, value, base);
+      result = std::from_chars(token.data(), last, value, base);
     }
-    if (word.empty() || got.ec != std::errc() || got.ptr != last) return std::nullopt;
+    if (token.empty() || result.ec != std::errc() || result.ptr != last) return std::nullopt;
     return value;
   }
 
