--- a/src/cli/services.cpp
+++ b/src/cli/services.cpp
@@ -73,7 +73,7 @@
       group_ = group.get();
       self_ = name;
       log::Info("services", {{"told", options_.services.size()},
-                             {"in_use", group_->spread().active_endpoints().size()},
+                             {"in_use", group_->load_balancer().active_endpoints().size()},
                              {"way", decide::PolicyName(options_.spread.policy)}});
       return group;
     };
@@ -131,7 +131,7 @@
 }
 
 std::string SharedServices::Spread() const {
-  const decide::LoadBalancer& spread = group_->spread();
+  const decide::LoadBalancer& spread = group_->load_balancer();
   const decide::Milliseconds now = group_->Now();
   Json json = {{"self", self_},
                {"way", decide::PolicyName(options_.spread.policy)},
--- a/src/net/loop_group.cpp
+++ b/src/net/loop_group.cpp
@@ -174,9 +174,9 @@
 }
 
 void LoopGroup::SetHealth(bool good, bool shallow) {
-  state_changed_ = state_changed_ || good != healthy_ || shallow != from_store_;
+  state_changed_ = state_changed_ || good != healthy_ || shallow != shallow_;
   healthy_ = good;
-  from_store_ = shallow;
+  shallow_ = shallow;
 }
 
 void LoopGroup::SetLoadSignal(double value) {
@@ -224,7 +224,7 @@
 // One wake a loop for all that this round had for it.
 void LoopGroup::Sweep() {
   if (std::exchange(state_changed_, false)) {
-    for (std::size_t i = 0; i < members_.size(); ++i) Send(i, SetState{healthy_, from_store_, signal_});
+    for (std::size_t i = 0; i < members_.size(); ++i) Send(i, SetState{healthy_, shallow_, signal_});
   }
   for (Member& member : members_) member.loop->orders().Flush();
 }
--- a/src/net/loop_group.h
+++ b/src/net/loop_group.h
@@ -83,7 +83,6 @@
   void SettleMove(std::size_t from, ReleasedConnection& released);
   void Send(std::size_t loop, ToLoop order) { members_[loop].loop->orders().Put(std::move(order)); }
   void Order(LoopOrder order);
-  void SendState();
   void WatchLoops();
   std::vector<std::size_t> Counts() const;
 
@@ -105,7 +104,8 @@
   std::deque<Newcomer> at_the_door_;  // Accepted sockets that wait for room, oldest first.
   bool paused_ = false;
   bool stopping_ = false;
-  bool healthy_ = true, from_store_ = true;
+  bool healthy_ = true;
+  bool shallow_ = true;
   std::optional<double> signal_;
   bool state_changed_ = false;
   std::vector<Member> members_;
--- a/src/net/pool_group.cpp
+++ b/src/net/pool_group.cpp
@@ -38,7 +38,7 @@
       options_(std::move(options)),
       events_(std::move(events)),
       asks_(std::move(asks)),
-      spread_(options_.spread, options_.self, options_.zone, options_.draw),
+      load_balancer_(options_.spread, options_.self, options_.zone, options_.draw),
       timer_(base, [this] { Tick(); }) {
   SetServices(options_.services);
   Tick();
@@ -53,21 +53,21 @@
 
 void PoolGroup::SetServices(std::vector<ServiceAt> services) {
   for (auto& [id, service] : services_) service.told = false;
-  spread_.SetEndpoints(Now(), Records(services));
+  load_balancer_.SetEndpoints(Now(), Records(services));
   for (const ServiceAt& at : services) {
-    if (const auto known = services_.find(spread_.FindEndpoint(at.name)); known != services_.end()) {
+    if (const auto known = services_.find(load_balancer_.FindEndpoint(at.name)); known != services_.end()) {
       known->second.told = known->second.at.name == at.name;
     }
   }
-  // At once: guards against one that is told again before the next tick, which Spread has anew and without a
-  // link by then.
+  // At once: guards against one that is told again before the next tick, which the load balancer has anew and
+  // without a link by then.
   std::erase_if(services_, [this](auto& service) {
     if (service.second.told || service.second.owed > 0) return false;
     if (service.second.up) --up_;
     return true;
   });
   for (ServiceAt& at : services) {
-    const Id id = spread_.FindEndpoint(at.name);
+    const Id id = load_balancer_.FindEndpoint(at.name);
     Service& service = services_[id];
     if (service.link && service.at.address != at.address) {
       // The same one elsewhere: guards against a write that is sent anew to what may have run it.
@@ -84,7 +84,9 @@
   MixGauges();
 }
 
-void PoolGroup::SetNodes(std::vector<decide::SubsetNode> nodes) { spread_.SetNodes(Now(), std::move(nodes)); }
+void PoolGroup::SetNodes(std::vector<decide::SubsetNode> nodes) {
+  load_balancer_.SetNodes(Now(), std::move(nodes));
+}
 
 void PoolGroup::Connect(Id id) {
   Service& service = services_[id];
@@ -116,7 +118,7 @@
   service.asked.reset();
   service.gauges.clear();
   if (!up) service.down_since = Now();
-  spread_.SetConnected(Now(), id, up);
+  load_balancer_.SetConnected(Now(), id, up);
   MixGauges();
 }
 
@@ -146,7 +148,7 @@
   auto it = sent_.find(req);
   if (it == sent_.end()) {
     const RequestTraits run{KindOf(kind), asks_.safe(kind)};
-    const auto start = spread_.ChooseEndpoint(Now(), run);
+    const auto start = load_balancer_.ChooseEndpoint(Now(), run);
     if (!start) return kNeverSent;
     it = sent_.emplace(req, Sent{start->endpoint, run}).first;
     ++services_[start->endpoint].owed;
@@ -172,12 +174,12 @@
   if (sent.service == id) {
     const RequestOutcome how =
         run.outcome == proto::RunOutcome::kComplete ? RequestOutcome::kSuccess : RequestOutcome::kError;
-    spread_.OnRequestFinished(Now(), id, sent.run, how, run.elapsed);
+    load_balancer_.OnRequestFinished(Now(), id, sent.run, how, run.elapsed);
   } else if (run.outcome != proto::RunOutcome::kComplete) {
     // Where it was before it was moved: that it failed there decides nothing.
     return;
   } else {
-    spread_.OnRequestAbandoned(Now(), sent.service);
+    load_balancer_.OnRequestAbandoned(Now(), sent.service);
   }
   Drop(it);
   events_.finished(run);
@@ -221,9 +223,10 @@
 void PoolGroup::Unknown(Id id, std::uint64_t req) {
   const auto it = sent_.find(req);
   if (it == sent_.end() || it->second.service != id) return events_.spawn_unknown(req);
-  spread_.OnRequestFinished(Now(), id, it->second.run, RequestOutcome::kNotExecuted, Milliseconds(0));
+  load_balancer_.OnRequestFinished(Now(), id, it->second.run, RequestOutcome::kNotExecuted, Milliseconds(0));
   const bool only_there = it->second.before == decide::kNoEndpoint;
-  if (it->second.tries == 1 && only_there && spread_.TryConsumeRetry()) return Again(req, it->second, true);
+  if (it->second.tries == 1 && only_there && load_balancer_.TryConsumeRetry())
+    return Again(req, it->second, true);
   Drop(it);
   events_.spawn_unknown(req);
 }
@@ -237,7 +240,7 @@
 // Somewhere else, once. The table sends it: it has the body.
 void PoolGroup::Again(std::uint64_t req, Sent& sent, bool never_ran) {
   const Id from = sent.service;
-  const auto start = spread_.ChooseEndpoint(Now(), sent.run, from);
+  const auto start = load_balancer_.ChooseEndpoint(Now(), sent.run, from);
   bool sent_on = start && start->endpoint != from;
   if (sent_on) {
     MoveTo(sent, start->endpoint);
@@ -247,11 +250,11 @@
   if (sent_on) {
     ++sent.tries;
     if (never_ran) return;
-    spread_.OnRequestAbandoned(Now(), from);
+    load_balancer_.OnRequestAbandoned(Now(), from);
     sent.before = from;
     return;
   }
-  if (start) spread_.OnRequestAbandoned(Now(), start->endpoint);
+  if (start) load_balancer_.OnRequestAbandoned(Now(), start->endpoint);
   // Guards against a run that the module counts for ever: what never ran ends here, though nobody waits; what
   // may have run is owed where it is.
   if (!never_ran) return;
@@ -265,7 +268,7 @@
   service.gauges_at = Now();
   const std::size_t at = asks_.gauge_at("runnable");
   if (service.asked && at < service.gauges.size())
-    spread_.OnLoadReport(Now(), id, service.gauges[at], *service.asked);
+    load_balancer_.OnLoadReport(Now(), id, service.gauges[at], *service.asked);
   service.asked.reset();
   MixGauges();
 }
@@ -274,7 +277,7 @@
   gauges_.clear();
   double cores = 0;
   const Milliseconds now = Now();
-  for (const Id id : spread_.active_endpoints()) {
+  for (const Id id : load_balancer_.active_endpoints()) {
     const Service& s = services_[id];
     if (!s.up || s.gauges.empty() || now - s.gauges_at > kGaugesGood) continue;
     if (gauges_.empty()) gauges_.resize(s.gauges.size());
@@ -288,24 +291,24 @@
 void PoolGroup::Tick() {
   timer_.After(kTickEach);
   const Milliseconds now = Now();
-  spread_.Tick(now);
-  for (const Id id : spread_.active_endpoints()) Connect(id);
+  load_balancer_.Tick(now);
+  for (const Id id : load_balancer_.active_endpoints()) Connect(id);
   std::size_t spare = 0;
-  for (const Id id : spread_.StandbyEndpoints(kSpare)) {
+  for (const Id id : load_balancer_.StandbyEndpoints(kSpare)) {
     Connect(id);
     ++spare;
   }
   for (auto it = services_.begin(); it != services_.end();) {
     Service& s = it->second;
-    const bool wanted =
-        s.told && (spread_.Snapshot(now, it->first).is_active || spread_.IsStandby(it->first, kSpare));
+    const bool wanted = s.told && (load_balancer_.Snapshot(now, it->first).is_active ||
+                                   load_balancer_.IsStandby(it->first, kSpare));
     if (!wanted && s.owed == 0 && s.link) {
       if (s.up) SetUp(it->first, false);
       s.link.reset();
     }
     it = !s.told && !s.link ? services_.erase(it) : std::next(it);
   }
-  for (const Id id : spread_.EndpointsToPoll(now)) {
+  for (const Id id : load_balancer_.EndpointsToPoll(now)) {
     Service& s = services_[id];
     if (!s.up || s.asked) continue;
     s.asked = now;
@@ -332,7 +335,7 @@
   std::sort(leave.begin(), leave.end());
   std::sort(lost.begin(), lost.end());
   for (const std::uint64_t req : leave) {
-    if (up_ == 0 || !spread_.TryConsumeRetry()) break;
+    if (up_ == 0 || !load_balancer_.TryConsumeRetry()) break;
     Again(req, sent_.at(req), false);
   }
   for (const std::uint64_t req : lost) {
--- a/src/net/pool_group.h
+++ b/src/net/pool_group.h
@@ -1,11 +1,11 @@
 // Several worker pools ("services") as one, shared with other nodes: links to those that this node uses, and
-// what decide::Spread says of them carried out. Each pool has an address of its own for each node, as the
+// the decisions of decide::LoadBalancer executed. Each pool has an address of its own for each node, as the
 // protocol has one link at each address.
 //
-// A run stays where it was sent: what was sent there again is sent there, whatever Spread would choose now.
-// It goes elsewhere only if the service proves that it never ran, or if the service is away and the class may
-// run twice; both within Spread's budget. The first end that is told counts, and there is one.
-// What a service owes that never comes back ends as an error, and runs nowhere else.
+// A run stays where it was sent: what was sent there again is sent there, whatever the load balancer would
+// choose now. It goes elsewhere only if the service proves that it never ran, or if the service is away and
+// the class may run twice; both within the load balancer's budget. The first end that is told counts, and
+// there is one. What a service owes that never comes back ends as an error, and runs nowhere else.
 #ifndef HINGELINK_NET_POOL_GROUP_H_
 #define HINGELINK_NET_POOL_GROUP_H_
 
@@ -65,7 +65,7 @@
   // Means of the services in use, by their cores.
   const std::vector<double>& gauges() const override { return gauges_; }
 
-  const decide::LoadBalancer& spread() const { return spread_; }
+  const decide::LoadBalancer& load_balancer() const { return load_balancer_; }
   decide::Milliseconds Now() const { return Steady::now() - began_; }
   std::size_t links() const;
   std::size_t in_hand() const { return sent_.size(); }
@@ -111,7 +111,7 @@
   PoolEvents events_;
   PoolAsks asks_;
   Steady::time_point began_ = Steady::now();
-  decide::LoadBalancer spread_;
+  decide::LoadBalancer load_balancer_;
   std::map<Id, Service> services_;
   std::unordered_map<std::uint64_t, Sent> sent_;
   std::map<std::string, std::uint32_t, std::less<>> kinds_;
--- a/src/node/config.cpp
+++ b/src/node/config.cpp
@@ -154,7 +154,7 @@
                 [&owners](const Json& item, const std::string& path) { CheckName(item, path, owners); });
 }
 
-// Puts the module's word on a field, "field: must be ...", in the terms of the file.
+// Translates an error of Settings::Validate(), "field: must be ...", into the keys of the file.
 [[noreturn]] void RejectField(const Json& settings, const std::string& word) {
   const std::size_t colon = word.find(": must ");
   const std::string key = SettingsKeyOf(word.substr(0, colon));
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -21,7 +21,7 @@
 
 // How long before a timer the gauges are asked for, so that they are new when it fires: a few round trips.
 constexpr auto kGaugeLead = 4ms;
-// From the module's last moment to the kill: time to flush on a core that others use too.
+// From the policy's last step to the kill: time to flush on a core that others use too.
 constexpr auto kPolicyFlushLead = 150ms;
 // Before the kill: the process ends, whoever is still connected.
 constexpr auto kExitLead = 60ms;
@@ -30,9 +30,10 @@
 constexpr auto kCloseLead = 10ms;
 constexpr auto kDrainPollInterval = 10ms;
 constexpr std::size_t kMaxThreads = 64;
-// What a extension part may do in one batch (ours). Beside requests: what a request or two cost, so that news
-// in any number adds no more to an answer than one more request before it does.
-constexpr BatchBudget kIdleBudget{.events = 64, .work = 1ms}, kRequestBudget{.events = 8, .work = 100us};
+// What an extension may do in one batch: without requests, and beside them. The latter is what one or two
+// requests cost, so that extensions delay an answer no more than one more request before it would.
+constexpr BatchBudget kIdleBudget{.events = 64, .work = 1ms};
+constexpr BatchBudget kRequestBudget{.events = 8, .work = 100us};
 
 Outcome ToOutcome(proto::RunOutcome end) {
   switch (end) {
@@ -234,7 +235,7 @@
 
 void Node::Run() {
   for (;;) {
-    // An action may have left an event for the module (the end of a replay): that one waits for nothing.
+    // An action may have left an event for the policy (the end of a replay): that one waits for nothing.
     // Nor does news that had no room in the last batch.
     const bool more = table_.has_events() || (policy_ && AnyExtensionHasEvents());
     event_base_loop(base_.get(), more ? EVLOOP_NONBLOCK : EVLOOP_ONCE);
@@ -294,7 +295,7 @@
   handover_.SayReady();
 }
 
-// All that is ready goes to the module in one call; then its actions are carried out in order.
+// All that is ready goes to the policy in one call; then its actions are executed in order.
 void Node::Step() {
   step_due_ = false;
   if (!policy_) return;
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -1,4 +1,4 @@
-// The portal node: its ends, its request table and the one loop round the module.
+// The portal node: connects gateways, worker pool and policy in one event loop.
 #ifndef HINGELINK_NODE_NODE_H_
 #define HINGELINK_NODE_NODE_H_
 
@@ -45,7 +45,7 @@
 
   // Binds the calling thread, which is to Run(), and then each loop. To be called before Run().
   void BindThreads(const std::vector<std::vector<unsigned>>& units);
-  // What an earlier life learned, for the module to begin with. To be called before Run().
+  // What an earlier process learned, for the policy to start from. To be called before Run().
   void ImportLearned(const hingelink::Learned& learned);
   // Serves until a notice to leave has been carried out.
   void Run();
@@ -61,7 +61,7 @@
   // Empty, or what is wrong with the file.
   std::string Reload();
 
-  // What the module has learned so far; nothing before it lives.
+  // What the policy has learned so far; nothing before it exists.
   hingelink::Learned ExportLearned() const {
     return policy_ ? policy_->ExportLearned() : hingelink::Learned{};
   }
@@ -116,7 +116,7 @@
   void OnKeyReported(const proto::KeyMessage& line, std::string_view result);
   std::string MetricsText() const;
   void NotifyLifecyclePhase(NodeExtension::LifecyclePhase phase);
-  // Whether a part that extension has something for the module.
+  // Whether an extension has events for the policy.
   bool AnyExtensionHasEvents() const;
   // What a predecessor has learned is newer than what any folder holds.
   std::vector<proto::LearnedClassMessage> LearnedForSuccessor() const;
--- a/src/node/node_drain.cpp
+++ b/src/node/node_drain.cpp
@@ -46,7 +46,8 @@
   draining_ = true;
   NotifyLifecyclePhase(NodeExtension::LifecyclePhase::kDraining);
   if (handed_over_) {
-    // No drain: nothing is to be moved away, and what is in hand is run and answered in its own time.
+    // No DrainNotice for the policy: the successor has the clients already, and requests in flight are
+    // executed and answered in their own time.
     notice_given_ = true;
     double longest = 0;
     for (const auto& c : config_.settings.classes) longest = std::max(longest, c.deadline_ms);
--- a/src/node/node_extension.h
+++ b/src/node/node_extension.h
@@ -1,8 +1,8 @@
-// What joins the node's loop beside its own ends: processes of an upgrade, peers' news, shared limits, jobs.
+// Extensions of the node's event loop: sibling processes, fleet membership, background jobs.
 //
-// The loop gathers, steps and carries out. A extension part takes part in each of the three, on the loop's
-// own thread, and never beside it: it keeps what it hears until it is asked. Nothing extension: nothing is
-// called.
+// The loop collects events, lets the policy step and executes its actions. An extension takes part in each of
+// the three on the loop's own thread: it keeps what it receives until the loop asks for it. With no
+// extension, nothing is called.
 #ifndef HINGELINK_NODE_NODE_EXTENSION_H_
 #define HINGELINK_NODE_NODE_EXTENSION_H_
 
@@ -16,14 +16,14 @@
 
 namespace hingelink::node {
 
-// What a extension part may do in one batch. Requests go first: with any of them in the batch it is told
-// less.
+// What an extension may do in one batch. Requests go first: with any of them in the batch the budget is
+// smaller.
 struct BatchBudget {
-  std::size_t events = 0;             // For the module, at most.
+  std::size_t events = 0;             // For the policy, at most.
   std::chrono::microseconds work{0};  // On the loop, in all of AddEvents(), about.
 };
 
-// One step's events, as a extension part may add to them.
+// The events of one step, to which extensions add theirs.
 class EventBatch {
  public:
   EventBatch(std::vector<hingelink::Event>& events, BatchBudget budget)
@@ -47,14 +47,14 @@
  public:
   virtual ~NodeExtension() = default;
 
-  // Whether it has something for the module: a step is made for it, even if nothing else asks for one. To be
-  // cheap: it is asked in each round of the loop. What does not fit into a batch keeps it true.
+  // Whether it has events for the policy: a step is made for them even if nothing else needs one. Called in
+  // each round of the loop, so it must be cheap. Stays true while events did not fit into a batch.
   virtual bool HasPendingEvents() const { return false; }
-  // Before each step, behind what gateways and the worker pool told and before the timers.
+  // Called before each step, after the events of gateways and worker pool and before those of timers.
   virtual void AddEvents(EventBatch& batch) { static_cast<void>(batch); }
-  // Behind each step: its actions have been carried out.
+  // Called after each step, when its actions have been executed.
   virtual void OnStepCompleted() {}
-  // A phase of the node's life has come; kReloaded comes behind a file that was taken.
+  // The node has entered a phase; kReloaded follows a configuration that was applied.
   enum class LifecyclePhase { kDraining, kHandedOver, kResumed, kReloaded };
   virtual void OnLifecyclePhase(LifecyclePhase phase) { static_cast<void>(phase); }
   // Between two rounds of the loop, never from within a callback.
--- a/src/policy/busy_gate.cpp
+++ b/src/policy/busy_gate.cpp
@@ -4,7 +4,7 @@
 namespace {
 
 constexpr double kMeasurementMs = 1000;
-// Busy means fewer idle cores than this: 5% of the paper's six cores. Absolute, because work ends one
+// Busy means fewer idle cores than this: 5% of the six cores in HPL-98-164R1. Absolute, because work ends one
 // execution at a time: fewer cores are saturated with as many idle.
 constexpr double kIdleCores = 0.3;
 
--- a/src/policy/gauge_sample.h
+++ b/src/policy/gauge_sample.h
@@ -17,7 +17,7 @@
 };
 
 // Reads the gauges in the order of Settings::gauges. A missing cpu_busy counts as fully busy, a missing
-// runnable as `running`, the executions that the module knows of.
+// runnable as `running`, the executions that the policy knows of.
 GaugeSample ReadGauges(const Settings& settings, const std::vector<double>& gauges, int running);
 
 }  // namespace hingelink::policy
--- a/src/policy/open_request.h
+++ b/src/policy/open_request.h
@@ -1,4 +1,4 @@
-// What the module keeps of one request in flight.
+// What the policy keeps of one request in flight.
 #ifndef HINGELINK_POLICY_OPEN_REQUEST_H_
 #define HINGELINK_POLICY_OPEN_REQUEST_H_
 
--- a/src/policy/request_completion.cpp
+++ b/src/policy/request_completion.cpp
@@ -13,7 +13,7 @@
   OpenRequest* request = parts_.requests.Find(disconnected.id);
   if (request == nullptr || request->caller_disconnected) return;
   request->caller_disconnected = true;
-  if (request->state == RequestState::kQueued) return DropQueued(disconnected.id, *request);
+  if (request->state == RequestState::kQueued) return ReleaseQueued(disconnected.id, *request);
   if (IsSharing(*request)) return CloseSharing(disconnected.id, *request);
   // An execution ends by its own Finished event; the host drops one that waits for its call.
   parts_.deadlines.Cancel(disconnected.id, *request);
@@ -22,7 +22,7 @@
     parts_.upstream_calls.Resume(disconnected.id, *request, now);
 }
 
-void RequestCompletion::DropQueued(RequestId id, OpenRequest& request) {
+void RequestCompletion::ReleaseQueued(RequestId id, OpenRequest& request) {
   // The host has dropped it, so its memory is free. It stays in the queue until the check at its start.
   parts_.totals.ReleaseMemory(request);
   parts_.totals.RemoveQueuedWork(request);
--- a/src/policy/request_completion.h
+++ b/src/policy/request_completion.h
@@ -42,7 +42,9 @@
   void AnswerExpired(double now);
 
  private:
-  void DropQueued(RequestId id, OpenRequest& request);
+  // Frees memory, work and deadline of a queued request. Its entry in the start queue stays until it is first
+  // of its lane (see Dispatch), unless other attempts share its execution.
+  void ReleaseQueued(RequestId id, OpenRequest& request);
   // Forgets a request that waits for its original or is replayed.
   void CloseSharing(RequestId id, const OpenRequest& request);
   void AnswerExpiredRequest(RequestId id, OpenRequest& request, double now);
--- a/src/policy/request_intake.cpp
+++ b/src/policy/request_intake.cpp
@@ -29,7 +29,7 @@
   const bool is_keyed = parts_.classes.IsKeyed(request);
   const bool is_shared_read = parts_.idempotency.IsSharedRead(arrival, request);
   const bool names_original = (is_keyed || is_shared_read) && arrival.original != 0;
-  if (names_original && IsSettledByOriginal(arrival, request, is_shared_read, batch)) return;
+  if (names_original && JoinOriginalOrReject(arrival, request, is_shared_read, batch)) return;
   // A replay is no execution, so that the grace behind a drain notice counts only from here on.
   if (parts_.drain.IsPastGrace(request.arrived_at) ||
       (is_keyed && !parts_.idempotency.Open(arrival.id, request, now))) {
@@ -81,8 +81,8 @@
   request.low_priority = request.over_quota || request.objective <= now || is_storm_retry;
 }
 
-bool RequestIntake::IsSettledByOriginal(const Arrival& arrival, OpenRequest& request, bool is_shared_read,
-                                        std::span<const Event> batch) {
+bool RequestIntake::JoinOriginalOrReject(const Arrival& arrival, OpenRequest& request, bool is_shared_read,
+                                         std::span<const Event> batch) {
   // Waiters are outside the queue's limit: reads of one subject could fill the memory.
   if (is_shared_read && (parts_.stall.is_stalled() || parts_.totals.IsQueueMemoryFull())) {
     parts_.admission.RejectRequest(arrival.id, request);
--- a/src/policy/request_intake.h
+++ b/src/policy/request_intake.h
@@ -50,9 +50,10 @@
   void AssessSize(const Arrival& arrival, OpenRequest& request) const;
   // Whether it starts behind all others of its class.
   void AssessPriority(const Arrival& arrival, double now, OpenRequest& request);
-  // Whether the arrival was settled by another attempt, or rejected because it could not wait for one.
-  bool IsSettledByOriginal(const Arrival& arrival, OpenRequest& request, bool is_shared_read,
-                           std::span<const Event> batch);
+  // Lets the arrival share the execution of its original, or rejects it if it cannot wait for one. Returns
+  // whether that settled it.
+  bool JoinOriginalOrReject(const Arrival& arrival, OpenRequest& request, bool is_shared_read,
+                            std::span<const Event> batch);
 
   Parts parts_;
   AttemptAgeEstimator attempt_age_;
--- a/tests/net/pool_group_test.cpp
+++ b/tests/net/pool_group_test.cpp
@@ -82,9 +82,10 @@
   }
   bool AllUp() {
     return Until([this] {
-      const auto& ids = group_->spread().active_endpoints();
+      const auto& ids = group_->load_balancer().active_endpoints();
       return std::all_of(ids.begin(), ids.end(), [this](auto id) {
-        return group_->spread().Snapshot(group_->Now(), id).state != decide::EndpointState::kDisconnected;
+        return group_->load_balancer().Snapshot(group_->Now(), id).state !=
+               decide::EndpointState::kDisconnected;
       });
     });
   }
