--- a/src/policy/dispatch.cpp
+++ b/src/policy/dispatch.cpp
@@ -5,12 +5,12 @@
 void Dispatch::StartQueued(double now) {
   for (;;) {
     RejectHopeless(now);
+    if (!parts_.limiter.CanStart(parts_.totals.running_with_sibling())) return;
     const auto lane =
         parts_.queue.NextLane([this](std::size_t class_index) { return IsBlockedByUpstream(class_index); });
     if (!lane) return;
     const RequestId id = parts_.queue.First(*lane);
     OpenRequest& request = parts_.requests.Get(id);
-    if (!parts_.limiter.CanStart(parts_.totals.running_with_sibling())) return;
     if (!parts_.totals.CanStart(request)) return;
     StartExecution(id, request);
   }
--- a/src/policy/open_requests.cpp
+++ b/src/policy/open_requests.cpp
@@ -2,11 +2,6 @@
 
 namespace hingelink::policy {
 
-OpenRequest* OpenRequests::Find(RequestId id) {
-  const auto found = requests_.find(id);
-  return found == requests_.end() ? nullptr : &found->second;
-}
-
 OpenRequest& OpenRequests::Open(RequestId id, std::size_t class_index) {
   OpenRequest& request = requests_[id];
   request.class_index = class_index;
--- a/src/policy/open_requests.h
+++ b/src/policy/open_requests.h
@@ -18,7 +18,10 @@
   OpenRequests(ClassTable& classes, DeadlineQueue& deadlines) : classes_(classes), deadlines_(deadlines) {}
 
   // Null if there is no such request.
-  OpenRequest* Find(RequestId id);
+  OpenRequest* Find(RequestId id) {
+    const auto found = requests_.find(id);
+    return found == requests_.end() ? nullptr : &found->second;
+  }
   // The request must be in flight.
   OpenRequest& Get(RequestId id) { return requests_.at(id); }
   // Adds a request of this class, whose id must not be in use.
