--- a/src/appliance/supervisor.cpp
+++ b/src/appliance/supervisor.cpp
@@ -119,7 +119,7 @@
   void Unanswered() {
     asked = false;
     Lose();
-    owner.Take(decide::Unresponsive{generation});
+    owner.Take(decide::StatusTimedOut{generation});
   }
   void Lose() {
     if (!link) return;
@@ -267,7 +267,7 @@
   events_.push_back(decide::SupervisorStarted{plan});
   for (const std::uint64_t generation : gone) {
     log::Info("found-ended", {{"generation", generation}});
-    events_.push_back(decide::Exited{generation, EndedWell(generation)});
+    events_.push_back(decide::ProcessExited{generation, EndedWell(generation)});
   }
   if (options_.asked_up) events_.push_back(decide::StartRequested{});
   Work();
@@ -430,7 +430,7 @@
   std::filesystem::remove(SocketOf(generation) + ".ended", ignored);
   std::filesystem::remove(Path("node-" + std::to_string(generation) + ".json"), ignored);
   std::filesystem::remove(Path("peers-" + std::to_string(generation) + ".json"), ignored);
-  Take(decide::Exited{generation, clean});
+  Take(decide::ProcessExited{generation, clean});
 }
 
 // A disk that is full or broken does not stop the node from serving. Should the supervisor die meanwhile, the
--- a/src/decide/connections/connection_balancer.cpp
+++ b/src/decide/connections/connection_balancer.cpp
@@ -74,7 +74,7 @@
   return is_busiest && ExceedsGap(std::min(state.load, busy), target);
 }
 
-std::vector<Move> ConnectionBalancer::OnReport(const LoopReport& report, Time now) {
+std::vector<ConnectionMove> ConnectionBalancer::OnReport(const LoopReport& report, Time now) {
   const double busy = std::clamp(report.busy, 0.0, 1.0);
   UpdateLoad(report, busy);
   std::erase_if(cooldown_until_, [now](const auto& entry) { return entry.second <= now; });
@@ -90,9 +90,9 @@
   return SelectMoves(report, busy, target, now);
 }
 
-std::vector<Move> ConnectionBalancer::SelectMoves(const LoopReport& report, double busy, LoopIndex target,
-                                                  Time now) {
-  std::vector<Move> moves;
+std::vector<ConnectionMove> ConnectionBalancer::SelectMoves(const LoopReport& report, double busy,
+                                                            LoopIndex target, Time now) {
+  std::vector<ConnectionMove> moves;
   const double load_per_work = busy / static_cast<double>(report.work);
   double gap = load(report.loop) - load(target);
   for (const auto& connection : report.heaviest_connections) {
--- a/src/decide/connections/connection_balancer.h
+++ b/src/decide/connections/connection_balancer.h
@@ -41,11 +41,11 @@
   std::vector<ConnectionWork> heaviest_connections;
 };
 
-struct Move {
+struct ConnectionMove {
   ConnectionId id = 0;
   LoopIndex from = 0;
   LoopIndex to = 0;
-  bool operator==(const Move&) const = default;
+  bool operator==(const ConnectionMove&) const = default;
 };
 
 // Times are on the caller's monotonic clock, the same for all calls. Not thread-safe.
@@ -59,7 +59,7 @@
   [[nodiscard]] LoopIndex ChooseLoop(const std::vector<std::size_t>& connections);
 
   // Returns the moves to begin after this report.
-  [[nodiscard]] std::vector<Move> OnReport(const LoopReport& report, Time now);
+  [[nodiscard]] std::vector<ConnectionMove> OnReport(const LoopReport& report, Time now);
   // A move has ended: the connection moved, or it stayed.
   void OnMoveFinished(ConnectionId id, Time now);
   // A stalled loop receives no connections and none are moved from it. If all are stalled, new connections go
@@ -85,7 +85,7 @@
   [[nodiscard]] bool IsOverloaded(LoopIndex reporting, double busy, LoopIndex target) const;
   // Whether a loop of this load exceeds `target` by more than the configured gap.
   [[nodiscard]] bool ExceedsGap(double busy, LoopIndex target) const;
-  std::vector<Move> SelectMoves(const LoopReport& report, double busy, LoopIndex target, Time now);
+  std::vector<ConnectionMove> SelectMoves(const LoopReport& report, double busy, LoopIndex target, Time now);
 
   ConnectionBalancerOptions options_;
   std::vector<LoopState> loops_;
--- a/src/decide/learned/learned_state_import.cpp
+++ b/src/decide/learned/learned_state_import.cpp
@@ -77,7 +77,7 @@
   auto age = now - record.recorded_at;
   if (age < std::chrono::milliseconds(0)) {
     result.skipped.push_back("its date: it lies ahead of the clock, so it counts as old");
-    age = options.undated_age;
+    age = options.future_dated_age;
   }
   result.confidence =
       std::exp2(-std::chrono::duration<double>(age) / std::chrono::duration<double>(options.half_life));
--- a/src/decide/learned/learned_state_import.h
+++ b/src/decide/learned/learned_state_import.h
@@ -40,7 +40,7 @@
   // Weight of a record at full confidence, in samples: so many new samples count as much.
   int max_samples = 12;
   // The age of a record that is dated in the future.
-  std::chrono::milliseconds undated_age = std::chrono::hours(144);
+  std::chrono::milliseconds future_dated_age = std::chrono::hours(144);
 };
 
 struct LearnedImport {
--- a/src/decide/supervision/supervisor.cpp
+++ b/src/decide/supervision/supervisor.cpp
@@ -87,7 +87,7 @@
 }
 
 void Supervisor::On(const ProcessStartFailed& event) {
-  On(Exited{.generation = event.generation, .clean = false});
+  On(ProcessExited{.generation = event.generation, .clean = false});
 }
 
 void Supervisor::On(const StatusReported& event) {
@@ -133,7 +133,7 @@
 }
 
 // Timeouts are counted rather than timed: a machine that was suspended adds only one.
-void Supervisor::On(const Unresponsive& event) {
+void Supervisor::On(const StatusTimedOut& event) {
   if (!HasGeneration(state_.current, event.generation) || !current_.has_reported) return;
   ++current_.consecutive_timeouts;
   if (current_.consecutive_timeouts >= options_.unresponsive_threshold) {
@@ -141,7 +141,7 @@
   }
 }
 
-void Supervisor::On(const Exited& event) {
+void Supervisor::On(const ProcessExited& event) {
   if (HasGeneration(state_.predecessor, event.generation)) {
     OnPredecessorExited(event);
   } else if (HasGeneration(state_.successor, event.generation)) {
@@ -151,19 +151,19 @@
   }
 }
 
-void Supervisor::OnPredecessorExited(const Exited& event) {
+void Supervisor::OnPredecessorExited(const ProcessExited& event) {
   Emit(LogEvent{event.clean ? "predecessor-exited" : "predecessor-drain-incomplete", event.generation});
   state_.predecessor.reset();
   Emit(PersistState{});
 }
 
-void Supervisor::OnSuccessorExited(const Exited& event) {
+void Supervisor::OnSuccessorExited(const ProcessExited& event) {
   state_.successor.reset();
   Emit(PersistState{});
   if (state_.desired == DesiredState::kServing) Emit(LogEvent{"upgrade-rolled-back", event.generation});
 }
 
-void Supervisor::OnCurrentExited(const Exited& event) {
+void Supervisor::OnCurrentExited(const ProcessExited& event) {
   const Incarnation exited = *state_.current;
   state_.current.reset();
   const bool drain_expected = state_.desired != DesiredState::kServing;
--- a/src/decide/supervision/supervisor.h
+++ b/src/decide/supervision/supervisor.h
@@ -77,8 +77,8 @@
   void On(const ProcessStarted& event);
   void On(const ProcessStartFailed& event);
   void On(const StatusReported& event);
-  void On(const Unresponsive& event);
-  void On(const Exited& event);
+  void On(const StatusTimedOut& event);
+  void On(const ProcessExited& event);
   void On(const StartRequested& event);
   void On(const DrainRequested& event);
   void On(const StopRequested& event);
@@ -87,9 +87,9 @@
 
   void OnCurrentStatus(const StatusReported& event);
   void OnSuccessorStatus(const StatusReported& event);
-  void OnPredecessorExited(const Exited& event);
-  void OnSuccessorExited(const Exited& event);
-  void OnCurrentExited(const Exited& event);
+  void OnPredecessorExited(const ProcessExited& event);
+  void OnSuccessorExited(const ProcessExited& event);
+  void OnCurrentExited(const ProcessExited& event);
 
   void Emit(const SupervisorAction& action) { actions_.push_back(action); }
   void SpawnNext();
--- a/src/decide/supervision/supervisor_events.h
+++ b/src/decide/supervision/supervisor_events.h
@@ -15,8 +15,8 @@
 
 // ---- Events ----
 
-// The first event. `state` is as it was loaded; an Exited event follows for each incarnation in it whose
-// process no longer exists.
+// The first event. `state` is as it was loaded; a ProcessExited event follows for each incarnation in it
+// whose process no longer exists.
 struct SupervisorStarted {
   SupervisorState state;
 };
@@ -35,10 +35,10 @@
   bool draining = false;
 };
 // A status query timed out.
-struct Unresponsive {
+struct StatusTimedOut {
   std::uint64_t generation = 0;
 };
-struct Exited {
+struct ProcessExited {
   std::uint64_t generation = 0;
   bool clean = false;  // By itself, after answering all requests.
 };
@@ -50,9 +50,9 @@
 // The time of the last SetTimer was reached.
 struct TimerExpired {};
 
-using SupervisorEvent =
-    std::variant<SupervisorStarted, ProcessStarted, ProcessStartFailed, StatusReported, Unresponsive, Exited,
-                 StartRequested, DrainRequested, StopRequested, UpgradeRequested, TimerExpired>;
+using SupervisorEvent = std::variant<SupervisorStarted, ProcessStarted, ProcessStartFailed, StatusReported,
+                                     StatusTimedOut, ProcessExited, StartRequested, DrainRequested,
+                                     StopRequested, UpgradeRequested, TimerExpired>;
 
 // ---- Actions, to be executed in order ----
 
--- a/src/net/loop_group.cpp
+++ b/src/net/loop_group.cpp
@@ -139,13 +139,13 @@
           members_[at].busy = m.report.busy;
           members_[at].looks = std::move(m.looks);
           if (stopping_) return;
-          for (const decide::Move& move : placement_.OnReport(m.report, Now())) Move(move);
+          for (const decide::ConnectionMove& move : placement_.OnReport(m.report, Now())) Move(move);
         }
       },
       message);
 }
 
-void LoopGroup::Move(const decide::Move& move) {
+void LoopGroup::Move(const decide::ConnectionMove& move) {
   if (const auto from = book_.BeginMove(move.id, move.to)) Send(*from, ReleaseConnection{move.id});
 }
 
--- a/src/net/loop_group.h
+++ b/src/net/loop_group.h
@@ -59,7 +59,7 @@
   bool AllSent() const override;
 
   // Asks for a move, as the placement does.
-  void Move(const decide::Move& move);
+  void Move(const decide::ConnectionMove& move);
 
   std::vector<LoopLook> Loops() const override;
   bool BindLoop(std::size_t loop, const std::vector<unsigned>& units) override {
--- a/tests/decide/connections/connection_balancer_test.cpp
+++ b/tests/decide/connections/connection_balancer_test.cpp
@@ -47,7 +47,7 @@
   }
   void ReportAll(std::chrono::milliseconds now) {
     for (LoopIndex loop = 0; loop < loops_; ++loop) {
-      for (const Move& move : balancer_.OnReport(ReportOf(loop), now)) {
+      for (const ConnectionMove& move : balancer_.OnReport(ReportOf(loop), now)) {
         EXPECT_EQ(loop_of_.at(move.id), move.from);
         loop_of_[move.id] = move.to;
         balancer_.OnMoveFinished(move.id, now);
@@ -134,7 +134,7 @@
     static_cast<void>(balancer.OnReport(MakeReport(1, 0, {}), now));
     const auto moves = balancer.OnReport(MakeReport(0, 1, work), now);
     EXPECT_LE(moves.size(), 4u);
-    for (const Move& move : moves) EXPECT_TRUE(moved.insert(move.id).second);
+    for (const ConnectionMove& move : moves) EXPECT_TRUE(moved.insert(move.id).second);
   }
   EXPECT_GT(moved.size(), 8u);
 }
@@ -153,7 +153,7 @@
     if (busy >= other_busy) RC_ASSERT(moves_back.empty());
     if (busy <= other_busy) RC_ASSERT(moves.empty());
     double moved_load = 0;
-    for (const Move& move : moves) {
+    for (const ConnectionMove& move : moves) {
       moved_load += busy * static_cast<double>(work[(move.id & 0xffffff) - 1]) / total_work;
     }
     RC_ASSERT(moved_load <= (busy - other_busy) / 2 + 1e-9 || moves.empty());
--- a/tests/decide/supervision/supervisor_property_test.cpp
+++ b/tests/decide/supervision/supervisor_property_test.cpp
@@ -108,7 +108,7 @@
       const Process* found = Find((*incarnation)->generation);
       const bool is_known = (*incarnation)->process.pid != 0;
       if (found == nullptr || !found->alive || !is_known) {
-        events.emplace_back(Exited{(*incarnation)->generation, false});
+        events.emplace_back(ProcessExited{(*incarnation)->generation, false});
       }
     }
     for (const SupervisorEvent& event : events) Deliver(event);
@@ -163,7 +163,7 @@
   void EndProcess(std::size_t index, bool clean) {
     if (index >= processes_.size() || !processes_[index].alive) return;
     processes_[index].alive = false;
-    Deliver(Exited{processes_[index].generation, clean && processes_[index].drain_requested});
+    Deliver(ProcessExited{processes_[index].generation, clean && processes_[index].drain_requested});
   }
 
   Process* Find(std::uint64_t generation) {
@@ -201,7 +201,7 @@
     Process* process = Find(action.generation);
     if (process == nullptr || !process->alive) return;
     process->alive = false;
-    pending_.emplace_back(Exited{action.generation, false});
+    pending_.emplace_back(ProcessExited{action.generation, false});
   }
   void Execute(const SetTimer& action) { timer_at_ = action.at; }
   void Execute(const ExitSupervisor&) { exited_ = true; }
--- a/tests/decide/supervision/supervisor_test.cpp
+++ b/tests/decide/supervision/supervisor_test.cpp
@@ -37,7 +37,7 @@
   SupervisorTime now = Ms(1000);
   SupervisorTime expected = options.crash_backoff.initial_backoff;
   for (int crash = 0; crash < 12; ++crash) {
-    const Actions actions = supervisor.At(now, Exited{supervisor.last_generation(), false});
+    const Actions actions = supervisor.At(now, ProcessExited{supervisor.last_generation(), false});
     EXPECT_TRUE(Logs(actions, "crashed"));
     EXPECT_FALSE(Contains<SpawnProcess>(actions));
     ASSERT_TRUE(supervisor.restart_at());
@@ -57,7 +57,7 @@
   std::set<SupervisorTime> backoffs;
   for (std::uint64_t seed = 0; seed < 50; ++seed) {
     StartingSupervisor supervisor({}, seed);
-    supervisor.At(0, Exited{1, false});
+    supervisor.At(0, ProcessExited{1, false});
     const SupervisorTime backoff = *supervisor.restart_at();
     const CrashBackoffOptions& options = supervisor.options().crash_backoff;
     EXPECT_GE(backoff, options.initial_backoff * (1 - options.jitter_fraction));
@@ -72,7 +72,7 @@
   SupervisorTime now = Ms(1000);
   const std::uint32_t threshold = supervisor.options().crash_backoff.crash_loop_threshold;
   for (std::uint32_t crash = 1;; ++crash) {
-    const Actions actions = supervisor.At(now, Exited{supervisor.last_generation(), false});
+    const Actions actions = supervisor.At(now, ProcessExited{supervisor.last_generation(), false});
     EXPECT_EQ(Logs(actions, "crash-loop"), crash == threshold);
     if (crash == threshold) return now;
     now = *supervisor.restart_at();
@@ -95,13 +95,13 @@
   EXPECT_EQ(Replies(supervisor.At(now, StartRequested{})), "ok:done");
   EXPECT_TRUE(Contains<SpawnProcess>(supervisor.At(now, TimerExpired{})));
   supervisor.At(now, ProcessStarted{supervisor.last_generation(), {301, 1}});
-  supervisor.At(now + Ms(5), Exited{supervisor.last_generation(), false});
+  supervisor.At(now + Ms(5), ProcessExited{supervisor.last_generation(), false});
   EXPECT_EQ(supervisor.state().consecutive_crashes, 1u);
 }
 
 TEST(Supervisor, AStableNodeResetsTheCrashCount) {
   ServingSupervisor supervisor(OptionsWithoutJitter());
-  supervisor.At(1000, Exited{1, false});
+  supervisor.At(1000, ProcessExited{1, false});
   const SupervisorTime now = *supervisor.restart_at();
   supervisor.At(now, TimerExpired{});
   supervisor.At(now, ProcessStarted{2, {302, 1}});
@@ -113,7 +113,7 @@
 
 TEST(Supervisor, ANodeThatLosesReadinessKeepsTheCrashCount) {
   ServingSupervisor supervisor;
-  supervisor.At(1000, Exited{1, false});
+  supervisor.At(1000, ProcessExited{1, false});
   const SupervisorTime now = *supervisor.restart_at();
   supervisor.At(now, TimerExpired{});
   supervisor.At(now, ProcessStarted{2, {9, 9}});
@@ -154,20 +154,20 @@
 TEST(Supervisor, ConsecutiveStatusTimeoutsKillTheNode) {
   ServingSupervisor supervisor;
   for (std::uint32_t timeout = 1; timeout < supervisor.options().unresponsive_threshold; ++timeout) {
-    EXPECT_FALSE(Contains<KillProcess>(supervisor.At(1000, Unresponsive{1})));
+    EXPECT_FALSE(Contains<KillProcess>(supervisor.At(1000, StatusTimedOut{1})));
   }
-  EXPECT_TRUE(Contains<KillProcess>(supervisor.At(1000, Unresponsive{1})));
+  EXPECT_TRUE(Contains<KillProcess>(supervisor.At(1000, StatusTimedOut{1})));
 }
 
 TEST(Supervisor, AStatusReportResetsTheCountOfTimeouts) {
   ServingSupervisor supervisor;
   const std::uint32_t threshold = supervisor.options().unresponsive_threshold;
-  for (std::uint32_t timeout = 1; timeout < threshold; ++timeout) supervisor.At(1000, Unresponsive{1});
+  for (std::uint32_t timeout = 1; timeout < threshold; ++timeout) supervisor.At(1000, StatusTimedOut{1});
   supervisor.At(1000, StatusReported{.generation = 1, .ready = true});
   for (std::uint32_t timeout = 1; timeout < threshold; ++timeout) {
-    EXPECT_FALSE(Contains<KillProcess>(supervisor.At(1000, Unresponsive{1})));
+    EXPECT_FALSE(Contains<KillProcess>(supervisor.At(1000, StatusTimedOut{1})));
   }
-  EXPECT_TRUE(Contains<KillProcess>(supervisor.At(1000, Unresponsive{1})));
+  EXPECT_TRUE(Contains<KillProcess>(supervisor.At(1000, StatusTimedOut{1})));
 }
 
 // ---- Drains ----
@@ -189,7 +189,7 @@
   EXPECT_FALSE(Contains<RequestDrain>(supervisor.At(2000, StopRequested{})));
   EXPECT_FALSE(Contains<KillProcess>(supervisor.At(Ms(1000) + timeout - Ms(1), TimerExpired{})));
   EXPECT_TRUE(Contains<KillProcess>(supervisor.At(Ms(1000) + timeout, TimerExpired{})));
-  const Actions exited = supervisor.At(6000, Exited{1, false});
+  const Actions exited = supervisor.At(6000, ProcessExited{1, false});
   EXPECT_TRUE(Logs(exited, "drain-incomplete"));
   EXPECT_TRUE(Contains<ExitSupervisor>(exited));
 }
@@ -208,7 +208,7 @@
 TEST(Supervisor, ANodeKilledWhileItDrainsIsNotRestarted) {
   ServingSupervisor supervisor;
   supervisor.At(1000, DrainRequested{});
-  const Actions exited = supervisor.At(1200, Exited{1, false});
+  const Actions exited = supervisor.At(1200, ProcessExited{1, false});
   EXPECT_FALSE(Contains<SpawnProcess>(exited));
   EXPECT_FALSE(Contains<ExitSupervisor>(exited));
   EXPECT_FALSE(supervisor.restart_at());
@@ -218,7 +218,7 @@
 TEST(Supervisor, StartRequestAfterADrainSpawnsANode) {
   ServingSupervisor supervisor;
   supervisor.At(1000, DrainRequested{});
-  supervisor.At(1200, Exited{1, false});
+  supervisor.At(1200, ProcessExited{1, false});
   EXPECT_TRUE(Contains<SpawnProcess>(supervisor.At(1300, StartRequested{})));
 }
 
@@ -228,19 +228,19 @@
   EXPECT_FALSE(Contains<SpawnProcess>(supervisor.At(1100, StartRequested{})));
   const StatusReported draining{.generation = 1, .ready = false, .draining = true};
   EXPECT_FALSE(Contains<SpawnProcess>(supervisor.At(1200, draining)));
-  EXPECT_EQ(ActionsOf<SpawnProcess>(supervisor.At(1300, Exited{1, true})).size(), 1u);
+  EXPECT_EQ(ActionsOf<SpawnProcess>(supervisor.At(1300, ProcessExited{1, true})).size(), 1u);
 }
 
 TEST(Supervisor, ANodeThatWasDrainedExternallyIsNotRestarted) {
   ServingSupervisor supervisor;
   const StatusReported draining{.generation = 1, .ready = false, .draining = true};
   EXPECT_TRUE(Logs(supervisor.At(1000, draining), "drained-externally"));
-  EXPECT_FALSE(Contains<SpawnProcess>(supervisor.At(1500, Exited{1, true})));
+  EXPECT_FALSE(Contains<SpawnProcess>(supervisor.At(1500, ProcessExited{1, true})));
 }
 
 TEST(Supervisor, ACleanExitWithoutAReportedDrainIsAnExternalDrain) {
   ServingSupervisor supervisor;
-  const Actions exited = supervisor.At(1000, Exited{1, true});
+  const Actions exited = supervisor.At(1000, ProcessExited{1, true});
   EXPECT_TRUE(Logs(exited, "drained-externally"));
   EXPECT_FALSE(Contains<SpawnProcess>(exited));
   EXPECT_FALSE(supervisor.restart_at());
@@ -266,7 +266,7 @@
   ASSERT_EQ(ActionsOf<RequestDrain>(ready).size(), 1u);
   EXPECT_EQ(ActionsOf<RequestDrain>(ready)[0].generation, 1u);
   EXPECT_EQ(ActionsOf<RedirectControlSocket>(ready)[0].generation, 2u);
-  supervisor.At(1300, Exited{1, true});
+  supervisor.At(1300, ProcessExited{1, true});
   EXPECT_EQ(supervisor.state().current->generation, 2u);
   EXPECT_FALSE(supervisor.state().predecessor);
 }
@@ -276,14 +276,14 @@
   EXPECT_EQ(Replies(supervisor.At(1100, UpgradeRequested{})), "rejected:upgrade-under-way");
   supervisor.At(1200, StatusReported{.generation = 2, .ready = true});
   EXPECT_EQ(Replies(supervisor.At(1250, UpgradeRequested{})), "rejected:upgrade-under-way");
-  supervisor.At(1300, Exited{1, true});
+  supervisor.At(1300, ProcessExited{1, true});
   supervisor.At(1300, StatusReported{.generation = 2, .ready = true});
   EXPECT_EQ(Replies(supervisor.At(1400, UpgradeRequested{})), "ok:done");
 }
 
 TEST(Supervisor, AnUpgradeIsRolledBackWhenTheSuccessorExits) {
   UpgradingSupervisor supervisor;
-  const Actions exited = supervisor.At(1100, Exited{2, false});
+  const Actions exited = supervisor.At(1100, ProcessExited{2, false});
   EXPECT_TRUE(Logs(exited, "upgrade-rolled-back"));
   EXPECT_FALSE(Contains<RequestDrain>(exited));
   EXPECT_FALSE(Contains<SpawnProcess>(exited));
@@ -301,13 +301,13 @@
   // A report that was sent before the kill.
   const StatusReported ready{.generation = 2, .ready = true};
   EXPECT_FALSE(Contains<RequestDrain>(supervisor.At(timeout_at, ready)));
-  supervisor.At(timeout_at + Ms(1), Exited{2, false});
+  supervisor.At(timeout_at + Ms(1), ProcessExited{2, false});
   EXPECT_EQ(supervisor.state().current->generation, 1u);
 }
 
 TEST(Supervisor, TheSuccessorReplacesACurrentNodeThatCrashesDuringAnUpgrade) {
   UpgradingSupervisor supervisor;
-  const Actions exited = supervisor.At(1100, Exited{1, false});
+  const Actions exited = supervisor.At(1100, ProcessExited{1, false});
   EXPECT_FALSE(Contains<SpawnProcess>(exited));
   EXPECT_EQ(supervisor.state().current->generation, 2u);
   EXPECT_FALSE(supervisor.state().successor);
@@ -331,8 +331,8 @@
   // The successor's readiness no longer completes the upgrade.
   const StatusReported ready{.generation = 2, .ready = true};
   EXPECT_FALSE(Contains<RedirectControlSocket>(supervisor.At(1200, ready)));
-  supervisor.At(1300, Exited{1, true});
-  supervisor.At(1300, Exited{2, true});
+  supervisor.At(1300, ProcessExited{1, true});
+  supervisor.At(1300, ProcessExited{2, true});
   EXPECT_EQ(supervisor.phase(), SupervisorPhase::kDrained);
 }
 
@@ -353,7 +353,7 @@
   const Actions actions = supervisor.At(0, SupervisorStarted{state});
   EXPECT_EQ(ActionsOf<RequestDrain>(actions).size(), 1u);
   EXPECT_FALSE(Contains<SpawnProcess>(actions));
-  supervisor.At(100, Exited{4, true});
+  supervisor.At(100, ProcessExited{4, true});
   EXPECT_EQ(supervisor.phase(), SupervisorPhase::kDrained);
 }
 
