--- a/src/decide/connections/connection_admission.cpp
+++ b/src/decide/connections/connection_admission.cpp
@@ -32,11 +32,11 @@
   if (is_any_awaited) {
     eviction_ = EvictionState::kAwaitingCandidates;
   } else {
-    OnNoneEvictable(actions);
+    OnNoEvictableConnection(actions);
   }
 }
 
-std::optional<std::size_t> ConnectionAdmission::LoopOfLeastValuable() const {
+std::optional<std::size_t> ConnectionAdmission::LoopWithLeastValuableCandidate() const {
   std::optional<std::size_t> least;
   for (std::size_t i = 0; i < candidates_.size(); ++i) {
     if (candidates_[i] && (!least || *candidates_[i] < *candidates_[*least])) least = i;
@@ -47,23 +47,23 @@
 void ConnectionAdmission::EvictLeastValuable(const LoopCounts& connections, Actions& actions) {
   if (std::find(awaited_.begin(), awaited_.end(), true) != awaited_.end()) return;
   eviction_ = EvictionState::kIdle;
-  // Connections may have been closed since the candidates were requested.
+  // The eviction is no longer needed if enough connections were closed since the candidates were requested.
   const bool is_needed = (pending_ > 0 || is_saturated_) && Total(connections) >= options_.max_connections;
-  const std::optional<std::size_t> loop = LoopOfLeastValuable();
+  const std::optional<std::size_t> loop = LoopWithLeastValuableCandidate();
   if (is_needed && loop) {
     eviction_ = EvictionState::kAwaitingEviction;
     evicting_loop_ = *loop;
     actions.emplace_back(Evict{*loop});
   } else if (is_needed) {
-    OnNoneEvictable(actions);
+    OnNoEvictableConnection(actions);
   }
   Advance(connections, actions);
 }
 
-void ConnectionAdmission::OnNoneEvictable(Actions& actions) {
+void ConnectionAdmission::OnNoEvictableConnection(Actions& actions) {
   if (is_shared_) {
-    // The other process releases its descriptors soon.
-    none_evictable_ = true;
+    // Keep the connection pending: the sibling process releases its file descriptors soon.
+    no_evictable_connection_ = true;
   } else if (pending_ > 0) {
     actions.emplace_back(Reject{});
     RemoveOldestPending();
@@ -88,8 +88,9 @@
 
 void ConnectionAdmission::Advance(const LoopCounts& connections, Actions& actions) {
   AdmitPending(connections, actions);
-  // A request for candidates that finds no loop to ask rejects one pending connection.
-  while (eviction_ == EvictionState::kIdle && !none_evictable_ && (pending_ > 0 || is_saturated_)) {
+  // RequestCandidates() rejects a pending connection if no loop can be asked, so the next pending connection
+  // needs another attempt. While the limit is shared it rejects none, and one attempt is enough.
+  while (eviction_ == EvictionState::kIdle && !no_evictable_connection_ && (pending_ > 0 || is_saturated_)) {
     RequestCandidates(connections, actions);
     if (is_shared_) break;
   }
@@ -122,7 +123,7 @@
   eviction_ = EvictionState::kIdle;
   if (!evicted && ++failed_evictions_ >= options_.max_eviction_attempts) {
     failed_evictions_ = 0;
-    OnNoneEvictable(actions);
+    OnNoEvictableConnection(actions);
   }
   Advance(connections, actions);
   return actions;
@@ -140,14 +141,14 @@
   Actions actions;
   options_.max_connections = max_connections;
   is_shared_ = is_shared;
-  none_evictable_ = none_evictable_ && is_shared;
+  no_evictable_connection_ = no_evictable_connection_ && is_shared;
   Advance(connections, actions);
   return actions;
 }
 
 ConnectionAdmission::Actions ConnectionAdmission::RetryPending(const LoopCounts& connections) {
   Actions actions;
-  none_evictable_ = false;
+  no_evictable_connection_ = false;
   Advance(connections, actions);
   return actions;
 }
--- a/src/decide/connections/connection_balancer.cpp
+++ b/src/decide/connections/connection_balancer.cpp
@@ -6,9 +6,10 @@
 namespace hingelink::decide {
 namespace {
 
-// Weight of a new report in the smoothed load.
+// Weight of a new report in the exponentially smoothed loads.
 constexpr double kReportWeight = 0.5;
-// Load of a connection while no load has been reported, as a fraction of a core: it only breaks ties.
+// Minimum load that a connection is assumed to cause, as a fraction of a core. It applies while no load has
+// been reported, and is small enough only to break ties between equally loaded loops.
 constexpr double kMinConnectionLoad = 0.0005;
 
 }  // namespace
@@ -25,7 +26,8 @@
 }
 
 LoopIndex ConnectionBalancer::ChooseLoop(const std::vector<std::size_t>& connections) {
-  // Loads that differ by less than one connection count as equal; then the count decides.
+  // Loads that differ by less than the load of one connection count as equal; the loop with fewer connections
+  // is then chosen.
   const double connection_load = std::max(kMinConnectionLoad, mean_connection_load_);
   LoopIndex best = loops_.size();
   for (LoopIndex i = 0; i < loops_.size(); ++i) {
@@ -46,7 +48,7 @@
   return best;
 }
 
-bool ConnectionBalancer::ExceedsGap(double busy, LoopIndex target) const {
+bool ConnectionBalancer::ExceedsMinGap(double busy, LoopIndex target) const {
   const double gap = busy - load(target);
   return gap > options_.min_gap_cores && gap > options_.min_gap_fraction * busy;
 }
@@ -70,8 +72,9 @@
   const bool is_busiest = std::all_of(loops_.begin(), loops_.end(), [&state](const LoopState& other) {
     return other.is_stalled || other.load + other.expected_load <= state.load;
   });
-  // Both by the smoothed load and by the latest report: one outlier moves no connection.
-  return is_busiest && ExceedsGap(std::min(state.load, busy), target);
+  // Both the smoothed load and the latest report must exceed the gap, so that a single high report moves no
+  // connection.
+  return is_busiest && ExceedsMinGap(std::min(state.load, busy), target);
 }
 
 std::vector<ConnectionMove> ConnectionBalancer::OnReport(const LoopReport& report, Time now) {
@@ -98,7 +101,7 @@
   for (const auto& connection : report.heaviest_connections) {
     if (moves.size() >= options_.max_moves_per_report || connection.work == 0) break;
     const double connection_load = load_per_work * static_cast<double>(connection.work);
-    // A connection of more than half of the gap would only make the other loop the busy one.
+    // Moving a connection whose load exceeds half of the gap would make the target the busier loop.
     if (connection_load > gap / 2 || cooldown_until_.contains(connection.id)) continue;
     moves.push_back({connection.id, report.loop, target});
     cooldown_until_[connection.id] = now + options_.cooldown;
--- a/src/decide/connections/connection_locations.h
+++ b/src/decide/connections/connection_locations.h
@@ -1,11 +1,14 @@
-// Which event loop owns each connection of a node, and the answers held back for a connection that is being
-// moved to another loop.
+// Records which event loop owns each connection of a node, and holds the answers for a connection while it is
+// being moved to another loop.
 //
-// A move is requested from the loop that owns the connection. From then on its answers are held here, so that
-// none reaches a loop that no longer owns it. The queue to a loop is ordered: answers sent before the request
-// are delivered before the request is handled. The move ends when the loop reports that it released the
-// connection (the target loop adopts it and then receives the held answers), that it kept it, or that the
-// connection was closed.
+// To move a connection, the node asks the owning loop to release it. From then on the node holds the answers
+// for the connection here, so that no answer reaches a loop that no longer owns the connection. Messages to a
+// loop are delivered in order, so the loop receives answers that were sent before the release request while
+// it still owns the connection.
+//
+// The move ends when the loop reports one of three results: it released the connection (the target loop
+// adopts the connection and then receives the held answers), it kept the connection, or the connection was
+// closed.
 #ifndef HINGELINK_DECIDE_CONNECTIONS_CONNECTION_LOCATIONS_H_
 #define HINGELINK_DECIDE_CONNECTIONS_CONNECTION_LOCATIONS_H_
 
@@ -22,12 +25,12 @@
 using ConnectionId = std::uint64_t;
 using LoopIndex = std::size_t;
 
-// `Answer` is what is to be delivered to a connection; moved, never inspected. Not thread-safe.
+// `Answer` is the message to deliver to a connection; it is moved and never inspected. Not thread-safe.
 template <class Answer>
 class ConnectionLocations {
  public:
-  // The upper bits of an id hold the connection's first loop, so that only connections that were moved need
-  // an entry.
+  // The bits of an id from this one up hold the connection's first loop, so that only connections that were
+  // moved need a map entry.
   static constexpr int kLoopShift = 56;
 
   explicit ConnectionLocations(std::size_t loops) : counts_(loops) {}
@@ -38,8 +41,8 @@
     return static_cast<ConnectionId>(loop) << kLoopShift | ++last_number_;
   }
 
-  // `loop` reports that the connection was closed; its held answers are dropped. Returns false, and changes
-  // nothing, if the loop does not own the connection.
+  // `loop` reports that the connection was closed. Drops the answers held for the connection. Returns false,
+  // and changes nothing, if the loop does not own the connection.
   [[nodiscard]] bool Remove(ConnectionId id, LoopIndex loop) {
     const auto entry = entries_.find(id);
     if (OwnerOf(id, entry) != loop) return false;
@@ -50,7 +53,8 @@
     return true;
   }
 
-  // Returns the loop to ask for the connection, or nothing if it is already on `target` or being moved.
+  // Begins to move a connection to `target`. Returns the loop that must be asked to release the connection,
+  // or nothing if the connection is already on `target` or is being moved.
   [[nodiscard]] std::optional<LoopIndex> BeginMove(ConnectionId id, LoopIndex target) {
     auto entry = entries_.find(id);
     const LoopIndex owner = OwnerOf(id, entry);
@@ -63,12 +67,12 @@
   }
 
   struct FinishedMove {
-    LoopIndex loop = 0;                // The owner from now on.
-    std::vector<Answer> held_answers;  // In the order of Route().
+    LoopIndex loop = 0;                // The owner after the move.
+    std::vector<Answer> held_answers;  // In the order of the calls of Route().
   };
-  // The owner `from` has released the connection, or keeps it. If it was released, the caller has
-  // FinishedMove::loop adopt it before it sends the held answers there. Nothing if no move was requested from
-  // that loop.
+  // The loop `from` reports whether it released the connection or kept it. If it released the connection, the
+  // caller must have FinishedMove::loop adopt the connection before it sends the held answers to that loop.
+  // Returns nothing if no move from that loop is in progress.
   [[nodiscard]] std::optional<FinishedMove> FinishMove(ConnectionId id, LoopIndex from, bool released) {
     const auto entry = entries_.find(id);
     if (entry == entries_.end()) return std::nullopt;
@@ -86,8 +90,8 @@
     return finished;
   }
 
-  // Returns the loop to send the answer to. Nothing if the connection is being moved: `answer` is then moved
-  // from and held until the move ends.
+  // Returns the loop to send the answer to. Returns nothing if the connection is being moved; `answer` is
+  // then moved from and held until the move ends.
   [[nodiscard]] std::optional<LoopIndex> Route(ConnectionId id, Answer& answer) {
     if (entries_.empty()) return FirstLoop(id);
     const auto entry = entries_.find(id);
@@ -105,13 +109,13 @@
   [[nodiscard]] std::size_t size() const {
     return std::accumulate(counts_.begin(), counts_.end(), std::size_t{0});
   }
-  // Connections with an entry: being moved, or not on their first loop.
+  // Number of connections that need a map entry: those being moved or not on their first loop.
   [[nodiscard]] std::size_t moved_count() const { return entries_.size(); }
 
  private:
   struct Entry {
     LoopIndex owner = 0;
-    std::optional<LoopIndex> target;  // While it is being moved.
+    std::optional<LoopIndex> target;  // Set while the connection is being moved.
     std::vector<Answer> held_answers;
   };
   using Entries = std::unordered_map<ConnectionId, Entry>;
@@ -121,7 +125,7 @@
     return entry == entries_.end() ? FirstLoop(id) : entry->second.owner;
   }
 
-  std::vector<std::size_t> counts_;  // By loop.
+  std::vector<std::size_t> counts_;  // Connections, by loop.
   ConnectionId last_number_ = 0;
   std::size_t pending_moves_ = 0;
   Entries entries_;
--- a/src/decide/jobs/job_budget.cpp
+++ b/src/decide/jobs/job_budget.cpp
@@ -5,6 +5,8 @@
 namespace hingelink::decide {
 namespace {
 
+// Minimum wait until the bucket is expected to cover a cost. Without it, a wait that rounds to 0 would make
+// the caller wake up in a busy loop.
 constexpr JobTime kMinWait{1};
 
 JobCost Scaled(const JobCost& cost, double factor) { return {cost.cpu * factor, cost.bytes * factor}; }
--- a/src/decide/jobs/job_scheduler.cpp
+++ b/src/decide/jobs/job_scheduler.cpp
@@ -7,9 +7,9 @@
 namespace hingelink::decide {
 namespace {
 
-// Weight of a new run in the mean cost of a job.
+// Weight of a new run in the moving mean of a job's cost.
 constexpr double kCostWeight = 0.25;
-// Failures past this many no longer double the backoff, which keeps the power finite.
+// Maximum number of times that the backoff is doubled, so that the power of two stays finite.
 constexpr int kMaxDoublings = 20;
 
 }  // namespace
@@ -19,7 +19,8 @@
   for (JobSpec& spec : jobs) {
     Job job;
     job.mean_cost = {spec.expected_cpu, spec.expected_bytes};
-    // The first run follows after a whole period: a start has more urgent work.
+    // The first run takes place a full period after the start, since the node has more urgent work at the
+    // start.
     if (spec.period > JobTime(0)) job.due_at = now + spec.period;
     job.spec = std::move(spec);
     jobs_.push_back(std::move(job));
@@ -90,7 +91,7 @@
 JobActions JobScheduler::BeginDrain(JobTime now) {
   JobActions actions;
   if (std::exchange(draining_, true)) return actions;
-  // The final run of a cancelled job follows, for what changed since the cancelled run began.
+  // A cancelled job still gets its final run, which covers what changed after the cancelled run had begun.
   if (running_ && !running_->final_run) {
     running_->cancelled = true;
     actions.emplace_back(CancelJob{running_->job});
@@ -112,7 +113,8 @@
     return;
   }
   const std::optional<JobIndex> next = draining_ ? NextFinalRun() : NextRun(now);
-  // No smaller job is started instead of one that waits for its budget: it would wait forever.
+  // While the next job waits for its budget, no cheaper job is started in its place: cheaper jobs could use
+  // up the budget repeatedly, and the next job would never run.
   if (next && (draining_ || budget_.Covers(jobs_[*next].mean_cost))) Start(*next, draining_, now, actions);
 }
 
--- a/src/decide/jobs/job_scheduler.h
+++ b/src/decide/jobs/job_scheduler.h
@@ -1,7 +1,8 @@
-// Decides which background job runs when: priorities, budgets of CPU time and written bytes, deferral while
-// the node is overloaded, a bound on that deferral, and the final runs of a drain. No I/O and no clock.
+// Decides when each background job runs. Takes into account the priorities of jobs, the budgets of CPU time
+// and written bytes, and whether the node is overloaded: jobs are then deferred, up to a limit. Schedules the
+// final runs of a drain. Does no I/O and reads no clock.
 //
-// One job runs at a time, so that a slow call (an fsync on a slow disk) delays other jobs only.
+// Only one job runs at a time, so that a slow call (such as an fsync on a slow disk) delays only other jobs.
 #ifndef HINGELINK_DECIDE_JOBS_JOB_SCHEDULER_H_
 #define HINGELINK_DECIDE_JOBS_JOB_SCHEDULER_H_
 
@@ -18,23 +19,25 @@
 
 namespace hingelink::decide {
 
-// The place of a job in the list given at construction.
+// Index of a job in the list that is given to the constructor.
 using JobIndex = std::size_t;
 
 struct JobSpec {
   std::string name;
-  // Of the jobs that are due the one of the highest priority runs first; of equal ones the one due longest.
+  // The due job with the highest priority runs first; among equal priorities, the job that is due for
+  // longest.
   int priority = 0;
-  // From the end of a run to the next one; 0: runs only when requested.
+  // Time from the end of a run until the job is due again; 0 if the job runs only when requested.
   JobTime period{0};
-  // A job due for so long runs although the node is overloaded, before all that are not.
+  // A job that is due for this long is starved: it runs even while the node is overloaded, and before all
+  // jobs that are not starved.
   JobTime starvation_limit{60'000};
-  // A run that takes longer is reported once.
+  // A run that takes longer than this is reported as hung, once.
   JobTime hung_after{10'000};
-  // Cost expected of the first run; later the mean of past runs.
+  // Expected cost of the first run. Later the moving mean of past runs is used, which starts at this cost.
   JobTime expected_cpu{1};
   double expected_bytes = 0;
-  // Runs once more during a drain, whatever the budgets.
+  // Whether the job runs a final time during a drain, regardless of the budgets.
   bool run_on_drain = false;
 };
 
@@ -50,7 +53,7 @@
   bool final_run = false;  // The last run before the process exits.
   bool operator==(const StartJob&) const = default;
 };
-// Ask the running job to end early, without partial effects. OnJobFinished() still follows.
+// Ask the running job to end early, without partial effects. The caller still calls OnJobFinished().
 struct CancelJob {
   JobIndex job = 0;
   bool operator==(const CancelJob&) const = default;
@@ -74,45 +77,47 @@
   JobState state = JobState::kIdle;
   std::uint64_t runs = 0;
   std::uint64_t failures = 0;
-  std::uint64_t starvation_runs = 0;  // Begun because the starvation limit was reached.
+  std::uint64_t starvation_runs = 0;  // Runs of the job that were started while it was starved.
   std::uint64_t cancelled = 0;
-  JobTime overdue_by{0};
+  JobTime overdue_by{0};  // Time since the job became due; 0 unless its state is kDue.
   JobTime last_duration{0};
   JobCost total_cost;
 };
 
-// Not thread-safe. Each function that takes `now` expects a monotonic time and returns the actions to
-// execute, in order.
+// Not thread-safe. `now` is always a reading of the caller's monotonic clock. Functions that return actions
+// expect the caller to execute them in order.
 class JobScheduler {
  public:
   JobScheduler(const JobSchedulerOptions& options, std::vector<JobSpec> jobs, JobTime now);
 
-  // Makes a job due now. A job that is running runs again afterwards.
+  // Makes a job due now. If the job is running, it becomes due again when the run has finished.
   [[nodiscard]] JobActions RequestRun(JobIndex job, JobTime now);
   // While the node is overloaded only starved jobs are started.
   [[nodiscard]] JobActions SetOverloaded(bool overloaded, JobTime now);
-  // To be called at NextWakeup().
+  // Starts the next job if it may run now, and reports a hung run. To be called at NextWakeup().
   [[nodiscard]] JobActions Advance(JobTime now);
   [[nodiscard]] JobActions OnJobFinished(JobIndex job, const JobOutcome& outcome, JobTime now);
-  // Cancels what runs. From now on only final runs are started, highest priority first, each at most once.
+  // Cancels the running job, if any. Afterwards only final runs are started, by descending priority, each at
+  // most once.
   [[nodiscard]] JobActions BeginDrain(JobTime now);
 
   // Whether no job is running.
   bool idle() const { return !running_; }
   // Whether the drain is complete: no job is running and none will be started.
   bool drained() const { return draining_ && !running_ && !NextFinalRun(); }
-  // When to call Advance() unless another event comes first; empty where only an event can change anything.
+  // Returns when to call Advance(), unless another event occurs before; empty if no call is needed until the
+  // next event.
   [[nodiscard]] std::optional<JobTime> NextWakeup(JobTime now) const;
   [[nodiscard]] JobStats StatsOf(JobIndex job, JobTime now) const;
 
  private:
   static constexpr JobTime kNever{std::numeric_limits<double>::infinity()};
-  static constexpr JobTime kAlways{-1e300};
+  static constexpr JobTime kDistantPast{-1e300};
 
   struct Job {
     JobSpec spec;
     JobTime due_at = kNever;
-    JobTime not_before = kAlways;  // End of the backoff after a failure.
+    JobTime not_before = kDistantPast;  // End of the backoff after a failed run.
     int consecutive_failures = 0;
     bool requested_while_running = false;
     bool had_final_run = false;
@@ -132,13 +137,13 @@
   static bool RunsBefore(const Job& left, const Job& right, JobTime now);
   void RecordOutcome(Job& job, const Run& run, const JobOutcome& outcome, JobTime now);
   JobTime Backoff(int consecutive_failures) const;
-  // Starts the next job, or reports a running one that is hung.
+  // Starts the next job if none is running, or reports the running job if it is hung.
   void Schedule(JobTime now, JobActions& actions);
   void Start(JobIndex job, bool final_run, JobTime now, JobActions& actions);
-  // The job to run next, whether or not the budget allows it yet.
+  // Returns the job to run next, regardless of whether the budget covers it yet.
   std::optional<JobIndex> NextRun(JobTime now) const;
   std::optional<JobIndex> NextFinalRun() const;
-  // The earliest time at which a job becomes due or starved; kNever where none will.
+  // Returns the earliest time after `now` at which a job becomes due or starved; kNever if there is none.
   JobTime NextDueTime(JobTime now) const;
 
   JobSchedulerOptions options_;
--- a/src/decide/learned/learned_state_import.h
+++ b/src/decide/learned/learned_state_import.h
@@ -1,5 +1,6 @@
-// How much of what an earlier incarnation of the node learned a new one imports: less the older it is, and
-// nothing that fails a sanity check. No I/O and no clock.
+// Decides which learned values a node imports from an earlier incarnation of itself, and with which weight.
+// The weight falls with the age of the values, and values that fail a sanity check are not imported. Does no
+// I/O and reads no clock.
 #ifndef HINGELINK_DECIDE_LEARNED_LEARNED_STATE_IMPORT_H_
 #define HINGELINK_DECIDE_LEARNED_LEARNED_STATE_IMPORT_H_
 
@@ -12,7 +13,8 @@
 
 namespace hingelink::decide {
 
-// The configuration of a class when its values were learned. They are imported only by an equal class.
+// The configuration of a request class at the time its values were learned. The values are imported only if
+// the class is still configured the same way.
 struct ClassSignature {
   std::string name;
   double latency_objective_ms = 0;
@@ -20,7 +22,7 @@
   bool operator==(const ClassSignature&) const = default;
 };
 
-// What a node learned, and where and when.
+// The values that a node learned, with the node's name, the time of recording and the configuration.
 struct LearnedRecord {
   std::string node_name;
   std::chrono::milliseconds recorded_at{0};  // Unix time.
@@ -29,34 +31,40 @@
   hingelink::Learned learned;
 };
 
-// The record of `learned` under the configuration in force.
+// Returns a record of `learned`. `now`: Unix time. `settings`: the configuration under which the values were
+// learned.
 [[nodiscard]] LearnedRecord MakeLearnedRecord(const std::string& node_name, std::chrono::milliseconds now,
                                               const hingelink::Settings& settings,
                                               hingelink::Learned learned);
 
 struct LearnedImportOptions {
-  // Confidence in a record halves in this time, as a release changes the work.
+  // The confidence in a record halves each time its age grows by this much, since new releases change the
+  // execution times.
   std::chrono::milliseconds half_life = std::chrono::hours(72);
-  // Weight of a record at full confidence, in samples: so many new samples count as much.
+  // Weight of a record at full confidence: the number of new samples that would have the same weight.
   int max_samples = 12;
-  // The age of a record that is dated in the future.
+  // The age that is assumed for a record dated in the future.
   std::chrono::milliseconds future_dated_age = std::chrono::hours(144);
 };
 
 struct LearnedImport {
-  hingelink::Learned learned;        // To be imported by the policy.
-  double confidence = 0;             // 0 to 1; 1: as if learned just now.
-  std::vector<std::string> skipped;  // What was not imported and why, a line each.
+  hingelink::Learned learned;  // The values for the policy to import.
+  double confidence = 0;       // From 0 to 1; 1 for a record of age 0.
+  // One line for each class (or the whole record) that was not imported, and for a date in the future, with
+  // the reason.
+  std::vector<std::string> skipped;
 };
 
-// Never fails: what cannot be imported is listed in `skipped`.
+// Selects the values of `record` to import into the node `node_name`. `now`: Unix time. Never fails: what
+// cannot be imported is listed in LearnedImport::skipped.
 [[nodiscard]] LearnedImport ImportLearnedRecord(const LearnedRecord& record, const std::string& node_name,
                                                 std::chrono::milliseconds now,
                                                 const hingelink::Settings& settings,
                                                 const LearnedImportOptions& options = {});
 
-// Why the values cannot have been learned, for an operator; empty where they can. A file may pass its
-// checksum and still hold values that were damaged in memory or written by hand.
+// Returns a message for the operator that says why the values are implausible, or an empty string if they are
+// plausible. The check is needed because a file with a valid checksum can still hold values that were
+// corrupted in memory before they were written, or that were written by hand.
 [[nodiscard]] std::string SanityCheckFailure(const hingelink::LearnedClass& learned);
 
 }  // namespace hingelink::decide
--- a/src/decide/loops/core_pinning.cpp
+++ b/src/decide/loops/core_pinning.cpp
@@ -15,7 +15,7 @@
 };
 
 std::map<unsigned, Core> GroupByCore(const std::vector<ProcessingUnit>& allowed) {
-  std::map<unsigned, Core> by_number;
+  std::map<unsigned, Core> by_number;  // By core number.
   for (const ProcessingUnit& unit : allowed) {
     Core& core = by_number[unit.core];
     core.numa_node = unit.numa_node;
@@ -25,7 +25,8 @@
   return by_number;
 }
 
-// Cores of the NUMA node that has most of them come first, so that threads that communicate share memory.
+// Returns the cores grouped by NUMA node. The node with the most cores comes first, so that threads that
+// communicate share local memory where possible.
 std::vector<Core> OrderedCores(const std::vector<ProcessingUnit>& allowed) {
   std::map<unsigned, std::size_t> cores_on_node;
   std::vector<Core> cores;
@@ -48,11 +49,11 @@
 std::string DescribePinned(const std::vector<Core>& cores, std::size_t threads) {
   const std::size_t used = std::min(threads, cores.size());
   std::string text = Plural(threads, "thread") + " on " + Plural(used, "core");
-  if (threads > cores.size()) text += ": loops share cores; fewer threads serve as much";
+  if (threads > cores.size()) text += ": loops share cores; fewer threads would give the same throughput";
   const bool spans_nodes =
       std::any_of(cores.begin(), cores.begin() + static_cast<std::ptrdiff_t>(used),
                   [&cores](const Core& core) { return core.numa_node != cores[0].numa_node; });
-  if (spans_nodes) text += "; some are far from the deciding thread's memory";
+  if (spans_nodes) text += "; some cores are far from the main thread's memory (on another NUMA node)";
   return text;
 }
 
@@ -61,13 +62,14 @@
 CorePinningPlan PlanCorePinning(const std::vector<ProcessingUnit>& allowed, std::size_t threads) {
   CorePinningPlan plan;
   if (threads < 2) {
-    plan.description = "one thread is not bound: nothing shares its work";
+    plan.description = "not pinned: there is only one thread";
     return plan;
   }
   const std::vector<Core> cores = OrderedCores(allowed);
-  // Threads bound to the same core could only wait for each other.
+  // Threads that are all pinned to one core would only wait for each other.
   if (cores.size() < 2) {
-    plan.description = "not bound: " + Plural(cores.size(), "core") + " for " + Plural(threads, "thread");
+    plan.description = "not pinned: " + Plural(cores.size(), "core") + " for " + Plural(threads, "thread") +
+                       "; at least 2 cores are needed";
     return plan;
   }
   plan.units.push_back(cores[0].units);
--- a/src/decide/loops/core_pinning.h
+++ b/src/decide/loops/core_pinning.h
@@ -1,4 +1,5 @@
-// Assigns the threads of a node to cores. The caller reads the topology of the machine and binds the threads.
+// Plans which cores the threads of a node are pinned to. The caller reads the topology of the machine and
+// pins the threads.
 #ifndef HINGELINK_DECIDE_LOOPS_CORE_PINNING_H_
 #define HINGELINK_DECIDE_LOOPS_CORE_PINNING_H_
 
@@ -8,24 +9,28 @@
 
 namespace hingelink::decide {
 
-// A hardware thread. Units of the same core share its execution units and do not count as cores.
+// A hardware thread. A core has one or more; they share the core's execution units, so each does not count as
+// a core.
 struct ProcessingUnit {
   unsigned os_index = 0;
-  unsigned core = 0;       // Unique over all NUMA nodes.
-  unsigned numa_node = 0;  // The one with local memory.
+  unsigned core = 0;       // Number of the core, unique over all NUMA nodes.
+  unsigned numa_node = 0;  // The NUMA node that the core belongs to.
 };
 
 struct CorePinningPlan {
-  // OS indexes of the units that each thread may use, the main thread first. Empty: no thread is bound.
+  // OS indexes of the processing units that each thread may use, the main thread first. Empty if no thread is
+  // pinned.
   std::vector<std::vector<unsigned>> units;
-  // One line for the operator: what was decided, and what is missing.
+  // One line for the operator: the decision, and any lack of cores.
   std::string description;
 };
 
-// Plans `threads` threads, of which the first is the node's main thread and the others run event loops.
-// `allowed`: the units that the process may use. The main thread gets a core of its own, since it is the
-// first to saturate; the loops get cores close to it and share them if there are too few. A thread is bound
-// to all units of its core.
+// Plans the pinning of `threads` threads. The first is the node's main thread; the others run event loops.
+// `allowed`: the processing units that the process may use.
+//
+// The main thread gets a core of its own, since it is the first thread to saturate. The event loops get cores
+// on the same NUMA node if possible, and share cores if there are too few. A thread is pinned to all allowed
+// units of its core.
 [[nodiscard]] CorePinningPlan PlanCorePinning(const std::vector<ProcessingUnit>& allowed,
                                               std::size_t threads);
 
--- a/src/decide/loops/loop_watchdog.h
+++ b/src/decide/loops/loop_watchdog.h
@@ -1,7 +1,7 @@
-// Detects event loops that are stalled.
+// Detects stalled event loops.
 //
-// Progress is counted in observations and heartbeats, not in time: when the whole machine pauses, the loops
-// and their observer pause together, and no loop is reported.
+// A stall is measured in observations without a heartbeat, not in time. When the whole machine pauses, the
+// loops and the thread that observes them pause together, so that no loop is reported as stalled.
 #ifndef HINGELINK_DECIDE_LOOPS_LOOP_WATCHDOG_H_
 #define HINGELINK_DECIDE_LOOPS_LOOP_WATCHDOG_H_
 
@@ -11,7 +11,7 @@
 
 namespace hingelink::decide {
 
-// Not thread-safe. Loops are numbered from 0.
+// Not thread-safe. Event loops are numbered from 0.
 class LoopWatchdog {
  public:
   enum class Transition { kNone, kStalled, kRecovered };
@@ -19,8 +19,8 @@
   // A loop is stalled after `max_missed` consecutive observations without a heartbeat.
   LoopWatchdog(std::size_t loops, int max_missed) : max_missed_(max_missed), loops_(loops) {}
 
-  // Compares the loop's heartbeat counter with that of the previous observation. kStalled and kRecovered are
-  // returned once per change.
+  // To be called periodically for each loop. Compares the loop's heartbeat counter with its value at the
+  // previous observation. Returns kStalled or kRecovered only when the state of the loop changes.
   [[nodiscard]] Transition Observe(std::size_t loop, std::uint64_t heartbeats);
   [[nodiscard]] bool is_stalled(std::size_t loop) const { return loops_[loop].is_stalled; }
 
--- a/src/decide/supervision/crash_backoff.h
+++ b/src/decide/supervision/crash_backoff.h
@@ -1,4 +1,4 @@
-// How long the restart of a crashed node is delayed.
+// Computes the delay before a crashed node is restarted.
 #ifndef HINGELINK_DECIDE_SUPERVISION_CRASH_BACKOFF_H_
 #define HINGELINK_DECIDE_SUPERVISION_CRASH_BACKOFF_H_
 
@@ -9,13 +9,13 @@
 namespace hingelink::decide {
 
 struct CrashBackoffOptions {
-  SupervisorTime initial_backoff{200};  // After the first crash; doubles with each consecutive one.
+  SupervisorTime initial_backoff{200};  // After the first crash; doubles with each consecutive crash.
   SupervisorTime max_backoff{30'000};
-  // Fraction of a backoff that is added or subtracted at random.
+  // Maximum random change of a backoff in either direction, as a fraction of the backoff.
   double jitter_fraction = 0.2;
-  // Consecutive crashes that make a crash loop.
+  // Number of consecutive crashes from which on the node counts as being in a crash loop.
   std::uint32_t crash_loop_threshold = 5;
-  // Least backoff in a crash loop.
+  // Minimum backoff, before jitter, while the node is in a crash loop.
   SupervisorTime crash_loop_backoff{300'000};
 };
 
@@ -29,7 +29,8 @@
   [[nodiscard]] bool IsCrashLoop(std::uint32_t consecutive_crashes) const {
     return consecutive_crashes >= options_.crash_loop_threshold;
   }
-  // The delay after this many consecutive crashes, at least 1. Draws one random number.
+  // Returns the delay of the next restart. `consecutive_crashes` is at least 1 and includes the latest crash.
+  // Each call draws one random number.
   [[nodiscard]] SupervisorTime NextDelay(std::uint32_t consecutive_crashes);
 
  private:
--- a/src/decide/supervision/supervisor.cpp
+++ b/src/decide/supervision/supervisor.cpp
@@ -64,7 +64,8 @@
 
 void Supervisor::On(const SupervisorStarted& event) {
   state_ = event.state;
-  // Processes that still run are adopted, with new timers.
+  // The processes in the loaded state are adopted with new timers. For a process that no longer exists,
+  // ProcessExited follows.
   for (IncarnationTimers* timers : {&current_, &successor_, &predecessor_}) *timers = {.since = now_};
   if (state_.current) Emit(RedirectControlSocket{state_.current->generation});
   if (state_.desired != DesiredState::kServing) {
@@ -78,8 +79,8 @@
   for (std::optional<Incarnation>* incarnation : {&state_.current, &state_.successor}) {
     if (!HasGeneration(*incarnation, event.generation)) continue;
     (*incarnation)->process = event.process;
-    // Persisted before the release: a running process is always known to the next supervisor. One that was
-    // not released exits with this supervisor.
+    // The process id is persisted before the release, so that the next supervisor knows every process that
+    // runs the node. A process that was not released exits when this supervisor exits.
     Emit(PersistState{});
     Emit(ReleaseProcess{event.generation});
     return;
@@ -112,7 +113,8 @@
   const bool is_serving =
       !state_.current->draining && !state_.successor && state_.desired == DesiredState::kServing;
   if (event.draining && is_serving) {
-    // The drain was requested from the node itself; it must not be undone by a restart.
+    // The node was asked to drain directly, not through the supervisor. The desired state becomes kDrained so
+    // that a restart does not undo the drain.
     state_.desired = DesiredState::kDrained;
     state_.current->draining = true;
     current_.drain_requested_at = now_;
@@ -132,7 +134,8 @@
   }
 }
 
-// Timeouts are counted rather than timed: a machine that was suspended adds only one.
+// Counts timeouts instead of measuring the time without an answer: a suspension of the machine, however long,
+// adds only one timeout.
 void Supervisor::On(const StatusTimedOut& event) {
   if (!HasGeneration(state_.current, event.generation) || !current_.has_reported) return;
   ++current_.consecutive_timeouts;
@@ -168,8 +171,8 @@
   state_.current.reset();
   const bool drain_expected = state_.desired != DesiredState::kServing;
   if (!drain_expected && state_.successor) {
-    // The successor serves from now on, ready or not.
-    AdoptSuccessorAsCurrent();
+    // The successor becomes the current node even if it is not ready yet.
+    PromoteSuccessor();
     Emit(PersistState{});
     Emit(RedirectControlSocket{state_.current->generation});
     Emit(LogEvent{event.clean ? "upgraded" : "upgraded-after-crash", state_.current->generation});
@@ -189,7 +192,8 @@
 
 void Supervisor::On(const StartRequested&) {
   if (state_.desired == DesiredState::kServing) {
-    // A start request during a backoff means that the cause of the crashes was removed.
+    // A start request during a backoff restarts the node now: it means that the operator removed the cause of
+    // the crashes.
     const bool is_backing_off = !state_.current && restart_at_.has_value();
     if (is_backing_off) {
       state_.consecutive_crashes = 0;
@@ -227,7 +231,7 @@
   restart_at_.reset();
   Emit(PersistState{});
   Emit(OperatorReply{true, "done"});
-  // A drain in progress keeps its deadline.
+  // A drain that is in progress keeps its deadline.
   if (!is_draining) RequestDrainOfAll();
 }
 
@@ -253,7 +257,7 @@
 void Supervisor::On(const TimerExpired&) {
   if (restart_at_ && now_ >= *restart_at_) {
     restart_at_.reset();
-    if (state_.desired == DesiredState::kServing && !state_.current) SpawnNext();
+    if (state_.desired == DesiredState::kServing && !state_.current) SpawnNextGeneration();
   }
   CheckCurrentTimers();
   CheckSuccessorTimers();
@@ -311,7 +315,7 @@
 
 // ---- Transitions ----
 
-void Supervisor::SpawnNext() {
+void Supervisor::SpawnNextGeneration() {
   state_.current = Incarnation{.generation = ++state_.last_generation};
   current_ = {.since = now_};
   Emit(PersistState{});
@@ -328,7 +332,7 @@
   Emit(LogEvent{is_crash_loop() ? "crash-loop" : "crashed", crashed_generation, delay});
 }
 
-void Supervisor::AdoptSuccessorAsCurrent() {
+void Supervisor::PromoteSuccessor() {
   state_.current = std::exchange(state_.successor, std::nullopt);
   current_ = std::exchange(successor_, {});
 }
@@ -336,11 +340,12 @@
 void Supervisor::CompleteUpgrade() {
   state_.predecessor = std::exchange(state_.current, std::nullopt);
   predecessor_ = current_;
-  AdoptSuccessorAsCurrent();
+  PromoteSuccessor();
   current_.ready_at = now_;
   state_.consecutive_crashes = 0;
   if (state_.predecessor) state_.predecessor->draining = true;
-  // Persisted before the drain request: the next supervisor must not return to a node that drains.
+  // Persisted before the drain request, so that a supervisor that restarts in between does not treat the
+  // draining node as the current one.
   Emit(PersistState{});
   Emit(RedirectControlSocket{state_.current->generation});
   Emit(LogEvent{"upgraded", state_.current->generation});
@@ -349,7 +354,7 @@
 
 void Supervisor::RequestDrainOf(Incarnation& incarnation, IncarnationTimers& timers) {
   incarnation.draining = true;
-  if (timers.drain_requested_at) return;  // The first request set the deadline.
+  if (timers.drain_requested_at) return;  // Only the first request sets the deadline.
   timers.drain_requested_at = now_;
   timers.kill_at = now_ + options_.drain_timeout;
   Emit(RequestDrain{incarnation.generation});
@@ -375,7 +380,7 @@
 }
 
 void Supervisor::Reconcile() {
-  if (state_.desired == DesiredState::kServing && !state_.current && !restart_at_) SpawnNext();
+  if (state_.desired == DesiredState::kServing && !state_.current && !restart_at_) SpawnNextGeneration();
   if (state_.desired == DesiredState::kStopped && !has_processes()) {
     exited_ = true;
     Emit(PersistState{});
--- a/src/decide/supervision/supervisor.h
+++ b/src/decide/supervision/supervisor.h
@@ -1,6 +1,7 @@
 // Decides when the appliance's node is started, restarted after a crash, upgraded, drained and killed.
-// States and events in, actions out; no I/O, no clock, no processes. docs/design/appliance.md holds the state
-// machine.
+//
+// The supervisor receives events and returns actions for its caller to execute. It does no I/O, reads no
+// clock and creates no processes. docs/design/appliance.md describes the state machine.
 #ifndef HINGELINK_DECIDE_SUPERVISION_SUPERVISOR_H_
 #define HINGELINK_DECIDE_SUPERVISION_SUPERVISOR_H_
 
@@ -16,15 +17,17 @@
 
 struct SupervisorOptions {
   CrashBackoffOptions crash_backoff;
-  // A node that was ready for so long resets the count of consecutive crashes.
+  // The count of consecutive crashes is reset once the node has been ready for this long.
   SupervisorTime stable_after{60'000};
-  // From the start to the first status report; past it the node is killed, which counts as a crash.
+  // Maximum time from the start of a node to its first status report. After it the node is killed, which
+  // counts as a crash.
   SupervisorTime startup_timeout{15'000};
-  // Consecutive status timeouts after which a node is killed.
+  // Number of consecutive status timeouts after which a node is killed.
   std::uint32_t unresponsive_threshold = 10;
-  // From the start of a successor to its readiness; past it the upgrade is rolled back.
+  // Maximum time from the start of a successor until it is ready. After it the successor is killed and the
+  // upgrade is rolled back.
   SupervisorTime upgrade_timeout{30'000};
-  // From the first drain request to the kill.
+  // Time from the first drain request until a node that has not exited is killed.
   SupervisorTime drain_timeout{4'000};
   // A drain request is repeated at this interval until the node reports that it drains.
   SupervisorTime drain_resend_interval{500};
@@ -42,7 +45,7 @@
   kStopped,
 };
 
-// The phase's word in the control protocol.
+// Returns the name of the phase in the control protocol.
 [[nodiscard]] const char* SupervisorPhaseName(SupervisorPhase phase);
 
 // Not thread-safe.
@@ -51,25 +54,27 @@
   // `seed` determines the jitter of the crash backoff.
   Supervisor(const SupervisorOptions& options, std::uint64_t seed);
 
-  // Decides on one event. `now` is monotonic; an earlier time than the last one counts as the last one. The
-  // actions are to be executed in order; none are returned after ExitSupervisor.
+  // Processes one event and returns the actions that the caller must execute, in order. `now` is a reading of
+  // a monotonic clock; a time before the previous call's is replaced by the previous one. No actions are
+  // returned after ExitSupervisor.
   [[nodiscard]] std::vector<SupervisorAction> OnEvent(SupervisorTime now, const SupervisorEvent& event);
 
-  // To be made durable at PersistState.
+  // The state that the caller makes durable when it executes PersistState.
   const SupervisorState& state() const { return state_; }
   [[nodiscard]] SupervisorPhase phase() const;
-  // When the node is restarted; empty while no restart is scheduled.
+  // The time of the scheduled restart; empty while no restart is scheduled.
   std::optional<SupervisorTime> restart_at() const { return restart_at_; }
 
  private:
-  // Timers of one incarnation. Not durable: an adopted incarnation gets new ones.
+  // Timers of one incarnation. They are not durable: an incarnation that is adopted after a restart of the
+  // supervisor gets new timers.
   struct IncarnationTimers {
-    SupervisorTime since{0};
-    std::optional<SupervisorTime> ready_at{};
-    bool has_reported = false;
+    SupervisorTime since{0};                   // When the incarnation was spawned or adopted.
+    std::optional<SupervisorTime> ready_at{};  // When it became ready; empty while it is not ready.
+    bool has_reported = false;                 // Whether any status report was received.
     std::uint32_t consecutive_timeouts = 0;
-    std::optional<SupervisorTime> drain_requested_at{};  // The last request.
-    std::optional<SupervisorTime> kill_at{};
+    std::optional<SupervisorTime> drain_requested_at{};  // Time of the latest drain request.
+    std::optional<SupervisorTime> kill_at{};             // Deadline of the drain.
     bool killed = false;
   };
 
@@ -92,18 +97,24 @@
   void OnCurrentExited(const ProcessExited& event);
 
   void Emit(const SupervisorAction& action) { actions_.push_back(action); }
-  void SpawnNext();
+  void SpawnNextGeneration();
   void ScheduleRestart(std::uint64_t crashed_generation);
-  void AdoptSuccessorAsCurrent();
+  // Makes the successor the current incarnation. The previous one must have been removed from `current`.
+  void PromoteSuccessor();
+  // Promotes a ready successor and drains the previous current incarnation as the predecessor.
   void CompleteUpgrade();
+  // Sends the first drain request and sets the deadline of the drain. Later calls change nothing.
   void RequestDrainOf(Incarnation& incarnation, IncarnationTimers& timers);
+  // Repeats the drain request if the node does not report that it drains and the resend interval has passed.
   void ResendDrainRequest(const StatusReported& event, IncarnationTimers& timers);
   void RequestDrainOfAll();
+  // Kills the incarnation unless that was done already. `code`: the code of the log event.
   void Kill(const Incarnation& incarnation, IncarnationTimers& timers, const char* code);
   void CheckCurrentTimers();
   void CheckSuccessorTimers();
   void CheckPredecessorTimers();
-  // After every event: a wanted node exists or is scheduled; a stopped supervisor without processes exits.
+  // Called after every event. Spawns a node if the desired state is kServing and there is neither a node nor
+  // a scheduled restart. Exits if the desired state is kStopped and no processes are left.
   void Reconcile();
   void ScheduleTimer();
   bool has_processes() const { return state_.current || state_.successor || state_.predecessor; }
--- a/src/decide/supervision/supervisor_events.h
+++ b/src/decide/supervision/supervisor_events.h
@@ -1,4 +1,4 @@
-// Events that the supervisor decides on, and the actions that it emits.
+// Events that decide::Supervisor processes, and the actions that it returns.
 #ifndef HINGELINK_DECIDE_SUPERVISION_SUPERVISOR_EVENTS_H_
 #define HINGELINK_DECIDE_SUPERVISION_SUPERVISOR_EVENTS_H_
 
@@ -15,12 +15,12 @@
 
 // ---- Events ----
 
-// The first event. `state` is as it was loaded; a ProcessExited event follows for each incarnation in it
-// whose process no longer exists.
+// The first event. `state` is the state that was loaded. The caller then delivers a ProcessExited event for
+// each incarnation in `state` whose process no longer exists.
 struct SupervisorStarted {
   SupervisorState state;
 };
-// A process was spawned for this generation and waits for ReleaseProcess.
+// A process was created for this generation; it waits for ReleaseProcess before it runs the node.
 struct ProcessStarted {
   std::uint64_t generation = 0;
   ProcessId process;
@@ -40,9 +40,9 @@
 };
 struct ProcessExited {
   std::uint64_t generation = 0;
-  bool clean = false;  // By itself, after answering all requests.
+  bool clean = false;  // Whether the node exited voluntarily, after it had answered all requests.
 };
-// Requests of the operator. Each is answered by one OperatorReply.
+// Requests of the operator. Each results in exactly one OperatorReply.
 struct StartRequested {};
 struct DrainRequested {};
 struct StopRequested {};
@@ -56,9 +56,10 @@
 
 // ---- Actions, to be executed in order ----
 
-// Make Supervisor::state() durable before the next action.
+// Make Supervisor::state() durable before the next action is executed.
 struct PersistState {};
-// Create a process that waits before it runs the node. ProcessStarted or ProcessStartFailed follows.
+// Create a process that waits for ReleaseProcess before it runs the node. The caller then delivers
+// ProcessStarted or ProcessStartFailed.
 struct SpawnProcess {
   std::uint64_t generation = 0;
 };
@@ -66,14 +67,14 @@
 struct ReleaseProcess {
   std::uint64_t generation = 0;
 };
-// Send SIGTERM: the node drains, or hands over to its successor and exits.
+// Send SIGTERM to the node, which then drains, or hands over to its successor, and exits.
 struct RequestDrain {
   std::uint64_t generation = 0;
 };
 struct KillProcess {
   std::uint64_t generation = 0;
 };
-// The node's control socket leads to this generation from now on.
+// Make the node's control socket lead to this generation.
 struct RedirectControlSocket {
   std::uint64_t generation = 0;
 };
@@ -84,14 +85,14 @@
 struct LogEvent {
   const char* code;  // docs/operators/appliance.md lists the codes.
   std::uint64_t generation = 0;
-  SupervisorTime restart_in{0};  // Over 0 where a restart is delayed.
+  SupervisorTime restart_in{0};  // Delay of the scheduled restart; 0 if none was scheduled by this event.
 };
-// To the operator whose request is being decided.
+// Answer the operator's request that is being processed.
 struct OperatorReply {
   bool ok = true;
-  const char* code;  // "done", "already" (nothing to do), or the reason of a rejection.
+  const char* code;  // "done", "already" (nothing to do), or the reason for the rejection.
 };
-// The supervisor has nothing left to do.
+// Exit the supervisor process: the node was stopped and no processes are left.
 struct ExitSupervisor {};
 
 using SupervisorAction =
--- a/tests/decide/connections/connection_admission_test.cpp
+++ b/tests/decide/connections/connection_admission_test.cpp
@@ -17,7 +17,8 @@
 // The value of a connection that cannot be evicted.
 constexpr int kUnevictable = 9;
 
-// Plays the loops: each has connections of some value and answers requests.
+// Simulates event loops whose connections have given values. Executes the actions of a ConnectionAdmission,
+// and answers its requests when AnswerAll() is called.
 class LoopsModel {
  public:
   LoopsModel(std::vector<std::vector<int>> values, std::size_t max_connections)
@@ -41,7 +42,7 @@
       }
     }
   }
-  // Answers all requests, also the ones that follow from the answers.
+  // Answers all requests, including those that result from the answers.
   void AnswerAll(bool evictions_fail = false) {
     while (!unanswered_.empty()) {
       const ConnectionAdmission::Action action = unanswered_.front();
@@ -156,7 +157,7 @@
   EXPECT_EQ(model.evicted, (std::vector<int>{1}));
 }
 
-TEST(ConnectionAdmission, ALoopThatStallsWithARequestUnansweredDelaysNoDecision) {
+TEST(ConnectionAdmission, LoopThatStallsBeforeAnsweringCountsAsHavingNoCandidate) {
   LoopsModel model({{1}, {2}}, 2);
   model.Accept();
   ASSERT_TRUE(model.has_unanswered());
@@ -165,13 +166,13 @@
   EXPECT_EQ(model.rejected, 1);
 }
 
-TEST(ConnectionAdmission, ASharedLimitAloneDoesNotPauseTheListener) {
+TEST(ConnectionAdmission, SharedLimitDoesNotPauseTheListenerBeforeItIsReached) {
   LoopsModel model({{kUnevictable}, {kUnevictable}}, 100);
   model.Execute(model.admission().SetMaxConnections(2, true, model.Counts()));
   EXPECT_FALSE(model.is_paused);
 }
 
-// A shared limit that is reached, with one pending connection and none that can be evicted.
+// A shared limit that has been reached: one connection is pending, and no connection can be evicted.
 class SharedLimit : public testing::Test {
  protected:
   void SetUp() override {
@@ -194,7 +195,7 @@
   EXPECT_EQ(model_.admitted, 0);
 }
 
-TEST_F(SharedLimit, ARaisedLimitAdmitsThePendingConnection) {
+TEST_F(SharedLimit, RaisingTheLimitAdmitsThePendingConnection) {
   model_.Execute(model_.admission().RetryPending(model_.Counts()));
   model_.AnswerAll();
   model_.Execute(model_.admission().SetMaxConnections(10, true, model_.Counts()));
--- a/tests/decide/connections/connection_balancer_test.cpp
+++ b/tests/decide/connections/connection_balancer_test.cpp
@@ -15,7 +15,7 @@
 
 constexpr auto kReportInterval = 500ms;
 
-// A report of a loop whose connections did this work, in descending order.
+// Returns a report of a loop. `work`: the work of each of its connections, in descending order.
 LoopReport MakeReport(LoopIndex loop, double busy, const std::vector<std::uint64_t>& work) {
   LoopReport report{.loop = loop, .busy = busy, .work = 0, .heaviest_connections = {}};
   for (std::size_t i = 0; i < work.size(); ++i) {
@@ -25,21 +25,21 @@
   return report;
 }
 
-TEST(ConnectionBalancer, ChoosesTheLoopWithFewestConnectionsWithoutLoad) {
+TEST(ConnectionBalancer, ChoosesTheLoopWithFewestConnectionsBeforeAnyReport) {
   ConnectionBalancer balancer({.loops = 3});
   std::vector<std::size_t> connections(3);
   for (int i = 0; i < 30; ++i) ++connections[balancer.ChooseLoop(connections)];
   EXPECT_EQ(connections, (std::vector<std::size_t>{10, 10, 10}));
 }
 
-TEST(ConnectionBalancer, ChoosesTheLeastLoadedLoopWhateverItsConnections) {
+TEST(ConnectionBalancer, ChoosesTheLeastLoadedLoopRegardlessOfConnectionCounts) {
   ConnectionBalancer balancer({.loops = 2});
-  static_cast<void>(balancer.OnReport(MakeReport(0, 0.9, {900}), 0ms));     // One heavy connection.
-  static_cast<void>(balancer.OnReport(MakeReport(1, 0.1, {50, 50}), 0ms));  // Light ones.
+  static_cast<void>(balancer.OnReport(MakeReport(0, 0.9, {900}), 0ms));     // One connection with much work.
+  static_cast<void>(balancer.OnReport(MakeReport(1, 0.1, {50, 50}), 0ms));  // Two with little work.
   EXPECT_EQ(balancer.ChooseLoop({1, 40}), 1u);
 }
 
-// Loops whose connections all do the same work, and which execute all moves.
+// Simulates event loops that execute all moves. All connections have the same work and start on loop 0.
 class EqualConnections {
  public:
   EqualConnections(std::size_t loops, std::size_t connections) : loops_(loops), balancer_({.loops = loops}) {
@@ -62,17 +62,18 @@
 
  private:
   static constexpr std::uint64_t kWork = 32;
-  static constexpr double kWorkOfCore = 3200;
-  static constexpr std::size_t kReported = 64;
+  static constexpr double kMaxWorkPerCore = 3200;  // Work that takes all CPU time of a core.
+  static constexpr std::size_t kMaxReportedConnections = 64;
 
   LoopReport ReportOf(LoopIndex loop) const {
     LoopReport report{.loop = loop, .busy = 0, .work = 0, .heaviest_connections = {}};
     for (const auto& [id, owner] : loop_of_) {
       if (owner != loop) continue;
       report.work += kWork;
-      if (report.heaviest_connections.size() < kReported) report.heaviest_connections.push_back({id, kWork});
+      if (report.heaviest_connections.size() < kMaxReportedConnections)
+        report.heaviest_connections.push_back({id, kWork});
     }
-    report.busy = static_cast<double>(report.work) / kWorkOfCore;
+    report.busy = static_cast<double>(report.work) / kMaxWorkPerCore;
     return report;
   }
 
@@ -81,7 +82,7 @@
   std::map<ConnectionId, LoopIndex> loop_of_;
 };
 
-TEST(ConnectionBalancer, MovesTheConnectionsOfOneOverloadedLoopToAllLoops) {
+TEST(ConnectionBalancer, SpreadsTheConnectionsOfOneOverloadedLoopOverAllLoops) {
   EqualConnections model(4, 100);
   for (int i = 0; i < 60; ++i) model.ReportAll(i * kReportInterval);
   for (const int count : model.Counts()) {
@@ -90,7 +91,7 @@
   }
 }
 
-TEST(ConnectionBalancer, KeepsAConnectionThatWouldOverloadTheOtherLoop) {
+TEST(ConnectionBalancer, DoesNotMoveAConnectionThatWouldOverloadTheTargetLoop) {
   ConnectionBalancer balancer({.loops = 2});
   for (int i = 0; i < 20; ++i) {
     EXPECT_TRUE(balancer.OnReport(MakeReport(1, 0.0, {}), i * kReportInterval).empty());
@@ -98,7 +99,7 @@
   }
 }
 
-TEST(ConnectionBalancer, MovesNothingAfterOneOutlier) {
+TEST(ConnectionBalancer, MovesNoConnectionAfterASingleHighReport) {
   ConnectionBalancer balancer({.loops = 2});
   for (int i = 0; i < 20; ++i) {
     static_cast<void>(balancer.OnReport(MakeReport(1, 0.2, {10, 10}), i * kReportInterval));
@@ -107,7 +108,7 @@
   }
 }
 
-TEST(ConnectionBalancer, AStalledLoopReceivesNoConnections) {
+TEST(ConnectionBalancer, AStalledLoopReceivesNeitherNewNorMovedConnections) {
   ConnectionBalancer balancer({.loops = 2});
   balancer.SetStalled(0, true);
   EXPECT_EQ(balancer.ChooseLoop({0, 50}), 1u);
@@ -125,11 +126,11 @@
   EXPECT_EQ(balancer.ChooseLoop({0, 50}), 0u);
 }
 
-TEST(ConnectionBalancer, MovesAreLimitedPerReportAndAConnectionMovesOncePerCooldown) {
+TEST(ConnectionBalancer, LimitsMovesPerReportAndMovesAConnectionOncePerCooldown) {
   ConnectionBalancer balancer({.loops = 2, .max_moves_per_report = 4});
   const std::vector<std::uint64_t> work(100, 10);
   std::set<ConnectionId> moved;
-  // The connections are asked to move, and stay.
+  // No move is executed, so that all connections stay on loop 0.
   for (std::chrono::milliseconds now{0}; now < ConnectionBalancerOptions().cooldown; now += 200ms) {
     static_cast<void>(balancer.OnReport(MakeReport(1, 0, {}), now));
     const auto moves = balancer.OnReport(MakeReport(0, 1, work), now);
@@ -139,14 +140,14 @@
   EXPECT_GT(moved.size(), 8u);
 }
 
-RC_GTEST_PROP(ConnectionBalancer, MovesFromTheBusiestLoopAtMostHalfOfTheGap, ()) {
+RC_GTEST_PROP(ConnectionBalancer, MovesAtMostHalfOfTheGapAndOnlyFromTheBusiestLoop, ()) {
   auto work = *rc::gen::container<std::vector<std::uint64_t>>(rc::gen::inRange<std::uint64_t>(0, 1000));
   const double busy = *rc::gen::inRange(0, 101) / 100.0;
   const double other_busy = *rc::gen::inRange(0, 101) / 100.0;
   ConnectionBalancer balancer({.loops = 2});
   std::sort(work.rbegin(), work.rend());
   double total_work = 0;
-  for (const std::uint64_t each : work) total_work += static_cast<double>(each);
+  for (const std::uint64_t connection_work : work) total_work += static_cast<double>(connection_work);
   for (int i = 0; i < 3; ++i) {
     const auto moves_back = balancer.OnReport(MakeReport(1, other_busy, {5, 5}), i * kReportInterval);
     const auto moves = balancer.OnReport(MakeReport(0, busy, work), i * kReportInterval);
--- a/tests/decide/connections/connection_locations_test.cpp
+++ b/tests/decide/connections/connection_locations_test.cpp
@@ -13,9 +13,9 @@
 namespace hingelink::decide {
 namespace {
 
-// A model of a node and its loops: queues that keep their order, and loops that handle one message at a time.
-// A request is a pair of connection and number; the loops check that each answer reaches the loop that owns
-// its connection.
+// Simulates a node and its event loops. The node sends orders to each loop and receives its reports, over
+// queues that keep their order. A loop handles one order at a time. A request is identified by its connection
+// and a number. The model checks that each answer reaches the loop that owns the connection.
 class LoopsModel {
  public:
   struct Answer {
@@ -29,7 +29,7 @@
     const ConnectionId id = locations_.Add(loop);
     loops_[loop].orders.push_back(Adopt{id, {}});
   }
-  // The peer of some connection on the loop sends a request, or cancels one.
+  // The peer of one of the loop's connections sends a request.
   void SendRequest(LoopIndex loop, std::size_t draw) {
     auto* connection = Pick(loop, draw);
     if (connection == nullptr) return;
@@ -37,6 +37,7 @@
     loops_[loop].reports.push_back(RequestRead{connection->first, last_request_});
     unanswered_.insert(last_request_);
   }
+  // The peer of one of the loop's connections cancels its oldest request.
   void CancelRequest(LoopIndex loop, std::size_t draw) {
     auto* connection = Pick(loop, draw);
     if (connection == nullptr || connection->second.empty()) return;
@@ -45,6 +46,7 @@
     unanswered_.erase(request);
     loops_[loop].reports.push_back(RequestCancelled{connection->first, request});
   }
+  // One of the loop's connections is closed, which cancels its requests.
   void Close(LoopIndex loop, std::size_t draw) {
     auto* connection = Pick(loop, draw);
     if (connection == nullptr) return;
@@ -55,14 +57,16 @@
     loops_[loop].reports.push_back(Closed{connection->first});
     loops_[loop].open.erase(connection->first);
   }
-  // By what the node knows, which may be outdated.
+  // The node begins to move one of the connections that it knows; that connection may have been closed
+  // meanwhile.
   void BeginMove(std::size_t draw, LoopIndex target) {
     LearnConnections();
     if (known_.empty()) return;
     const ConnectionId id = *std::next(known_.begin(), static_cast<std::ptrdiff_t>(draw % known_.size()));
     if (const auto owner = locations_.BeginMove(id, target)) loops_[*owner].orders.push_back(Release{id});
   }
-  // The loop handles its next order. `releasable`: a connection to be released is between two frames.
+  // The loop handles its next order. `releasable`: whether a connection that the order asks to release can be
+  // released, which is so between two frames.
   void HandleOrder(LoopIndex index, bool releasable) {
     Loop& loop = loops_[index];
     if (loop.orders.empty()) return;
@@ -83,7 +87,7 @@
     const Report report = std::move(loop.reports.front());
     loop.reports.pop_front();
     if (const auto* request = std::get_if<RequestRead>(&report)) {
-      // A request is not reported after its end.
+      // A request is never reported after its cancellation.
       RC_ASSERT(cancelled_.count(request->number) == 0u);
       RC_ASSERT(in_flight_.emplace(request->number, request->id).second);
     } else if (const auto* cancelled = std::get_if<RequestCancelled>(&report)) {
@@ -105,7 +109,7 @@
     in_flight_.erase(it);
     if (const auto loop = locations_.Route(answer.id, answer)) loops_[*loop].orders.push_back(answer);
   }
-  // Delivers all messages, and answers every request.
+  // Handles all orders and reports, and answers every request.
   void Settle() {
     for (int round = 0; round < 1000; ++round) {
       for (LoopIndex i = 0; i < loops_.size(); ++i) {
@@ -205,14 +209,15 @@
 
   ConnectionLocations<Answer> locations_;
   std::vector<Loop> loops_;
-  std::map<ConnectionId, LoopIndex> location_;  // As the node knows.
+  std::map<ConnectionId, LoopIndex> location_;  // According to the node.
   std::set<ConnectionId> known_;
   std::map<int, ConnectionId> in_flight_;
   std::set<int> unanswered_, cancelled_;
   int last_request_ = 0;
 };
 
-void PlayStep(LoopsModel& model, std::size_t count, int step, std::uint32_t draw) {
+// Executes a random step of the model. `draw`: a random number that selects the loop and the connection.
+void ExecuteStep(LoopsModel& model, std::size_t count, int step, std::uint32_t draw) {
   const LoopIndex loop = draw % count;
   const std::size_t rest = draw / count;
   switch (step) {
@@ -250,12 +255,12 @@
   LoopsModel model(count);
   const auto steps = *rc::gen::container<std::vector<std::pair<int, std::uint32_t>>>(
       rc::gen::pair(rc::gen::inRange(0, 12), rc::gen::arbitrary<std::uint32_t>()));
-  for (const auto& [step, draw] : steps) PlayStep(model, count, step, draw);
+  for (const auto& [step, draw] : steps) ExecuteStep(model, count, step, draw);
   model.Settle();
   model.CheckSettled();
 }
 
-// A connection on loop 0 whose move to loop 1 was requested, with one answer sent before.
+// A connection that is being moved from loop 0 to loop 1. One answer was sent to it before the move.
 class MovingConnection : public testing::Test {
  protected:
   void SetUp() override {
@@ -268,7 +273,7 @@
   int first_answer_ = 1, second_answer_ = 2, third_answer_ = 3;
 };
 
-TEST_F(MovingConnection, IsNotMovedTwice) {
+TEST_F(MovingConnection, CannotBeMovedAgainBeforeTheMoveIsFinished) {
   EXPECT_TRUE(locations_.has_pending_moves());
   EXPECT_FALSE(locations_.BeginMove(id_, 1));
 }
@@ -282,12 +287,12 @@
   EXPECT_EQ(finished->held_answers, (std::vector<int>{2, 3}));
 }
 
-TEST_F(MovingConnection, IsNotFinishedByALoopThatDoesNotOwnIt) {
+TEST_F(MovingConnection, MoveCannotBeFinishedByALoopThatIsNotTheOwner) {
   EXPECT_FALSE(locations_.FinishMove(id_, 1, true));
   EXPECT_TRUE(locations_.has_pending_moves());
 }
 
-TEST_F(MovingConnection, CountsForItsNewLoopOnceReleased) {
+TEST_F(MovingConnection, IsCountedOnTheTargetLoopOnceReleased) {
   ASSERT_TRUE(locations_.FinishMove(id_, 0, true));
   EXPECT_FALSE(locations_.has_pending_moves());
   EXPECT_EQ(locations_.count(0), 0u);
@@ -295,7 +300,7 @@
   EXPECT_EQ(locations_.moved_count(), 1u);
 }
 
-TEST_F(MovingConnection, NeedsNoEntryBackOnItsFirstLoop) {
+TEST_F(MovingConnection, EntryIsRemovedWhenItReturnsToItsFirstLoop) {
   ASSERT_TRUE(locations_.FinishMove(id_, 0, true));
   ASSERT_TRUE(locations_.BeginMove(id_, 0));
   ASSERT_TRUE(locations_.FinishMove(id_, 1, true));
--- a/tests/decide/jobs/job_budget_test.cpp
+++ b/tests/decide/jobs/job_budget_test.cpp
@@ -5,7 +5,7 @@
 namespace hingelink::decide {
 namespace {
 
-// Capacity: 100 ms of CPU time and 1,000 bytes. Accrues 0.1 ms and 1 byte a millisecond.
+// The capacity is 100 ms of CPU time and 1,000 bytes; 0.1 ms and 1 byte accrue per millisecond.
 constexpr JobBudgetOptions kOptions{
     .cpu_fraction = 0.1, .bytes_per_second = 1000, .max_burst = JobTime(1000)};
 
@@ -14,7 +14,7 @@
   EXPECT_TRUE(budget.Covers({JobTime(100), 1000}));
 }
 
-TEST(JobBudget, CoversACostAboveItsCapacityOnlyWhenFull) {
+TEST(JobBudget, CostAboveTheCapacityIsCoveredOnlyByAFullBucket) {
   JobBudget budget(kOptions, JobTime(0));
   const JobCost large{JobTime(1), 1e9};
   EXPECT_TRUE(budget.Covers(large));
@@ -33,7 +33,7 @@
   EXPECT_FALSE(budget.Covers({JobTime(1), 0}));
 }
 
-TEST(JobBudget, SettlesAReservationByTheActualCost) {
+TEST(JobBudget, ReplacesAReservationByTheActualCost) {
   JobBudget budget(kOptions, JobTime(0));
   budget.Reserve({JobTime(10), 0});
   budget.Settle({JobTime(10), 0}, {JobTime(60), 0});
--- a/tests/decide/jobs/job_scheduler_property_test.cpp
+++ b/tests/decide/jobs/job_scheduler_property_test.cpp
@@ -1,5 +1,5 @@
-// Any order of events: JobScheduler keeps its budgets, runs one job at a time, defers jobs while overloaded,
-// and completes a drain.
+// Checks with random events that JobScheduler stays within its budgets, runs one job at a time, defers jobs
+// while the node is overloaded, and completes a drain.
 #include <gtest/gtest.h>
 #include <rapidcheck.h>
 #include <rapidcheck/gtest.h>
@@ -30,8 +30,8 @@
 
 constexpr double kMaxCpuMs = 30;
 constexpr double kMaxBytes = 2000;
-constexpr double kRounding = 1e-6;
-constexpr std::size_t kFinalRuns = 2;
+constexpr double kRoundingTolerance = 1e-6;
+constexpr std::size_t kFinalRuns = 2;  // Number of jobs in Specs() that run on a drain.
 
 rc::Gen<double> NumberBetween(double least, double most) {
   return rc::gen::map(rc::gen::inRange(0, 1001),
@@ -61,7 +61,7 @@
   return options;
 }
 
-// Delivers events to a scheduler, and calls Advance() whenever the scheduler asked for it.
+// Delivers events to a scheduler, and calls Advance() at each time that NextWakeup() returns.
 class SimulatedJobs {
  public:
   void Deliver(const RandomEvent& event) {
@@ -81,13 +81,13 @@
     }
   }
 
-  // Outside a drain the cost is bounded by the budgets and by one run that exceeds its expected cost.
+  // Without a drain the total cost is bounded by the budgets plus one run that exceeds its expected cost.
   void CheckEnd() const {
     if (!draining_) {
       const JobBudgetOptions& budget = options_.budget;
       const double accrual_ms = now_.count() + budget.max_burst.count();
-      RC_ASSERT(cost_.cpu.count() <= budget.cpu_fraction * accrual_ms + kMaxCpuMs + kRounding);
-      RC_ASSERT(cost_.bytes <= budget.bytes_per_second / 1000 * accrual_ms + kMaxBytes + kRounding);
+      RC_ASSERT(cost_.cpu.count() <= budget.cpu_fraction * accrual_ms + kMaxCpuMs + kRoundingTolerance);
+      RC_ASSERT(cost_.bytes <= budget.bytes_per_second / 1000 * accrual_ms + kMaxBytes + kRoundingTolerance);
     } else if (!running_) {
       RC_ASSERT(scheduler_.drained() == (final_runs_.size() == kFinalRuns));
     }
@@ -146,7 +146,7 @@
   std::map<JobIndex, int> final_runs_;
 };
 
-RC_GTEST_PROP(JobSchedulerProperty, KeepsItsBudgetsRunsOneJobAtATimeAndStarvesNone, ()) {
+RC_GTEST_PROP(JobSchedulerProperty, StaysWithinBudgetRunsOneJobAtATimeAndDefersJobsWhileOverloaded, ()) {
   SimulatedJobs jobs;
   for (const RandomEvent& event : *RandomEvents()) jobs.Deliver(event);
   jobs.CheckEnd();
--- a/tests/decide/jobs/job_scheduler_test.cpp
+++ b/tests/decide/jobs/job_scheduler_test.cpp
@@ -1,4 +1,4 @@
-// decide::JobScheduler: the order of jobs, their budgets, overload, failures and the final runs of a drain.
+// Tests of decide::JobScheduler: order of jobs, budgets, overload, failures and the final runs of a drain.
 #include "decide/jobs/job_scheduler.h"
 
 #include <gtest/gtest.h>
@@ -16,7 +16,7 @@
 JobOutcome Success(double cpu_ms = 1, double bytes = 0) { return {true, {Ms(cpu_ms), bytes}}; }
 JobOutcome Failure(double cpu_ms = 1, double bytes = 0) { return {false, {Ms(cpu_ms), bytes}}; }
 
-// A scheduler that starts at 0 ms, with times in milliseconds, whose actions a test may ignore.
+// A scheduler that is created at 0 ms. Takes times in milliseconds; tests may ignore the returned actions.
 class TestScheduler {
  public:
   TestScheduler(const JobSchedulerOptions& options, std::vector<JobSpec> jobs)
@@ -41,7 +41,7 @@
   JobScheduler scheduler_;
 };
 
-TEST(JobScheduler, RunsEachJobWhenItIsDueAndOneAtATime) {
+TEST(JobScheduler, RunsDueJobsOneAtATime) {
   TestScheduler jobs({}, {Spec("snapshot", 1, 1000), Spec("clean", 0, 1000)});
   EXPECT_EQ(jobs.NextWakeup(0), 1000);
   EXPECT_TRUE(jobs.Advance(999).empty());
@@ -81,7 +81,7 @@
   EXPECT_EQ(jobs.NextWakeup(11'000), 13'000);
 }
 
-TEST(JobScheduler, BackoffIsBoundedAndEndsWithASuccess) {
+TEST(JobScheduler, BackoffIsBoundedAndEndsAfterASuccessfulRun) {
   TestScheduler jobs({}, {Spec("snapshot", 1, 10'000)});
   double now = 10'000;
   for (int failure = 0; failure < 42; ++failure) {
@@ -111,7 +111,7 @@
   EXPECT_TRUE(jobs.drained());
 }
 
-TEST(JobScheduler, NothingIsStartedAfterADrain) {
+TEST(JobScheduler, NoJobIsStartedAfterADrain) {
   TestScheduler jobs({}, {Spec("snapshot", 1, 1000, 1, 0, true)});
   EXPECT_EQ(jobs.BeginDrain(950), Starts(0, true));
   jobs.Finish(0, Success(), 980);
@@ -139,7 +139,7 @@
   EXPECT_EQ(jobs.Finish(0, Success(), 13'000), Starts(1));
 }
 
-TEST(JobScheduler, ARunRequestedWhileTheJobRunsFollowsIt) {
+TEST(JobScheduler, RunRequestedWhileTheJobRunsStartsAfterTheCurrentRun) {
   TestScheduler jobs({}, {Spec("snapshot", 1, 0)});
   EXPECT_EQ(jobs.NextWakeup(0), std::nullopt);
   EXPECT_EQ(jobs.RequestRun(0, 10), Starts(0));
@@ -148,11 +148,11 @@
   EXPECT_TRUE(jobs.Finish(0, Success(), 13).empty());
 }
 
-TEST(JobScheduler, SmallJobsDoNotStarveALargeOne) {
+TEST(JobScheduler, CheapJobsAreNotStartedWhileAnExpensiveJobWaitsForBudget) {
   JobSchedulerOptions options;
   options.budget.bytes_per_second = 1000;
   TestScheduler jobs(options, {Spec("large", 1, 0, 0, 1e9), Spec("small", 0, 0, 0, 1000)});
-  EXPECT_EQ(jobs.RequestRun(1, 0), Starts(1));  // The bucket held 5,000 bytes.
+  EXPECT_EQ(jobs.RequestRun(1, 0), Starts(1));  // The bucket is full: 5,000 bytes.
   jobs.Finish(1, Success(0, 1000), 0);
   EXPECT_TRUE(jobs.RequestRun(0, 0).empty());  // Needs a full bucket.
   EXPECT_TRUE(jobs.RequestRun(1, 500).empty());
--- a/tests/decide/jobs/job_specs.h
+++ b/tests/decide/jobs/job_specs.h
@@ -1,4 +1,4 @@
-// Job specifications in plain milliseconds, for tests of decide::JobScheduler.
+// Creates job specifications from times in milliseconds, for tests of decide::JobScheduler.
 #ifndef HINGELINK_TESTS_DECIDE_JOBS_JOB_SPECS_H_
 #define HINGELINK_TESTS_DECIDE_JOBS_JOB_SPECS_H_
 
--- a/tests/decide/learned/learned_state_import_test.cpp
+++ b/tests/decide/learned/learned_state_import_test.cpp
@@ -32,23 +32,23 @@
   return ImportLearnedRecord(record, kNodeName, kRecordedAt + age, settings);
 }
 
-TEST(LearnedStateImport, AFreshRecordCountsForTheMaximumOfSamples) {
+TEST(LearnedStateImport, NewRecordIsImportedWithTheMaximumNumberOfSamples) {
   const LearnedImport imported = ImportAfter(milliseconds(0));
   ASSERT_EQ(imported.learned.classes.size(), 2u);
   EXPECT_EQ(imported.confidence, 1);
   EXPECT_EQ(imported.learned.classes[0].samples, 12);
 }
 
-TEST(LearnedStateImport, TheWeightOfARecordHalvesWithItsHalfLife) {
+TEST(LearnedStateImport, SamplesHalveWithEachHalfLife) {
   EXPECT_EQ(ImportAfter(hours(72)).learned.classes.at(0).samples, 6);
   EXPECT_EQ(ImportAfter(hours(144)).learned.classes.at(0).samples, 3);
 }
 
-TEST(LearnedStateImport, ARecordOfThreeWeeksIsTooOld) {
+TEST(LearnedStateImport, RecordOfThreeWeeksIsNotImported) {
   EXPECT_TRUE(ImportAfter(hours(21 * 24)).learned.classes.empty());
 }
 
-TEST(LearnedStateImport, ARecordDatedInTheFutureCountsAsOld) {
+TEST(LearnedStateImport, RecordDatedInTheFutureIsImportedWithTheWeightOfAnOldRecord) {
   const LearnedImport imported = ImportAfter(-hours(1));
   EXPECT_EQ(imported.learned.classes.at(0).samples, 3);
   ASSERT_EQ(imported.skipped.size(), 1u);
@@ -62,7 +62,7 @@
   EXPECT_EQ(imported.confidence, 0);
 }
 
-TEST(LearnedStateImport, AClassThatIsConfiguredOtherwiseOrRemovedIsSkipped) {
+TEST(LearnedStateImport, ClassWhoseConfigurationChangedOrThatWasRemovedIsSkipped) {
   Settings changed = TwoClasses();
   changed.classes[0].deadline_ms = 2000;
   changed.classes[1].name = "other";
--- a/tests/decide/loops/core_pinning_test.cpp
+++ b/tests/decide/loops/core_pinning_test.cpp
@@ -12,8 +12,8 @@
 
 using Units = std::vector<std::vector<unsigned>>;
 
-// Cores of two units each, numbered as most operating systems do: the first unit of each core, then the
-// second of each. `on_first_node`: cores on the first NUMA node.
+// Returns the units of `cores` cores with two units each, numbered as most operating systems do: first the
+// first units of all cores, then the second units. `on_first_node`: number of cores on the first NUMA node.
 std::vector<ProcessingUnit> MakeUnits(unsigned cores, unsigned on_first_node) {
   std::vector<ProcessingUnit> units;
   for (unsigned i = 0; i < 2 * cores; ++i) {
@@ -22,23 +22,23 @@
   return units;
 }
 
-bool Mentions(const CorePinningPlan& plan, const char* words) {
-  return plan.description.find(words) != std::string::npos;
+bool Mentions(const CorePinningPlan& plan, const char* text) {
+  return plan.description.find(text) != std::string::npos;
 }
 
-TEST(CorePinning, BindsEachThreadToAllUnitsOfOneCore) {
+TEST(CorePinning, PinsEachThreadToAllUnitsOfOneCore) {
   const CorePinningPlan plan = PlanCorePinning(MakeUnits(4, 4), 4);
   EXPECT_EQ(plan.units, (Units{{0, 4}, {1, 5}, {2, 6}, {3, 7}}));
   EXPECT_EQ(plan.description, "4 threads on 4 cores");
 }
 
-TEST(CorePinning, LoopsShareCoresButNotThatOfTheMainThread) {
+TEST(CorePinning, EventLoopsShareCoresButNotTheCoreOfTheMainThread) {
   const CorePinningPlan plan = PlanCorePinning(MakeUnits(3, 3), 6);
   EXPECT_EQ(plan.units, (Units{{0, 3}, {1, 4}, {2, 5}, {1, 4}, {2, 5}, {1, 4}}));
   EXPECT_TRUE(Mentions(plan, "loops share cores"));
 }
 
-TEST(CorePinning, BindsNothingWithFewerThanTwoCoresOrThreads) {
+TEST(CorePinning, PinsNoThreadWithFewerThanTwoCoresOrThreads) {
   EXPECT_TRUE(PlanCorePinning(MakeUnits(1, 1), 2).units.empty());
   EXPECT_TRUE(PlanCorePinning({}, 2).units.empty());
   EXPECT_TRUE(PlanCorePinning(MakeUnits(4, 4), 1).units.empty());
--- a/tests/decide/loops/loop_watchdog_test.cpp
+++ b/tests/decide/loops/loop_watchdog_test.cpp
@@ -21,7 +21,7 @@
   EXPECT_FALSE(watchdog.is_stalled(1));
 }
 
-// Loop 0 sent its last heartbeat, number 2, and is stalled.
+// Loop 0 is stalled; its heartbeat counter stopped at 2.
 class StalledLoop : public testing::Test {
  protected:
   void SetUp() override {
--- a/tests/decide/supervision/supervisor_harness.h
+++ b/tests/decide/supervision/supervisor_harness.h
@@ -1,4 +1,5 @@
-// Helpers for tests of decide::Supervisor: times in milliseconds, and what a list of actions holds.
+// Helpers for tests of decide::Supervisor: times in milliseconds, searches in lists of actions, and
+// supervisors in several initial states.
 #ifndef HINGELINK_TESTS_DECIDE_SUPERVISION_SUPERVISOR_HARNESS_H_
 #define HINGELINK_TESTS_DECIDE_SUPERVISION_SUPERVISOR_HARNESS_H_
 
@@ -32,7 +33,7 @@
   return !ActionsOf<Wanted>(actions).empty();
 }
 
-// The place of the first action of the kind; the size of the list where there is none.
+// Returns the index of the first action of the wanted type, or the size of the list if there is none.
 template <typename Wanted>
 std::size_t FirstIndexOf(const Actions& actions) {
   const auto is_wanted = [](const SupervisorAction& action) {
@@ -46,7 +47,7 @@
   return std::any_of(events.begin(), events.end(), [&](const LogEvent& event) { return event.code == code; });
 }
 
-// The replies to the operator, as "ok:CODE" or "rejected:CODE".
+// Returns the replies to the operator, concatenated, each as "ok:CODE" or "rejected:CODE".
 inline std::string Replies(const Actions& actions) {
   std::string replies;
   for (const OperatorReply& reply : ActionsOf<OperatorReply>(actions)) {
@@ -55,7 +56,7 @@
   return replies;
 }
 
-// A supervisor whose actions a test may ignore.
+// A supervisor that takes times in milliseconds; tests may ignore the returned actions.
 class SupervisorHarness {
  public:
   explicit SupervisorHarness(const SupervisorOptions& options = {}, std::uint64_t seed = 1)
@@ -75,7 +76,8 @@
   Supervisor supervisor_;
 };
 
-// Started at 0 ms without earlier state; generation 1 is a process, without a status report.
+// A supervisor that started at 0 ms without stored state. The process of generation 1 has started but has not
+// reported a status.
 class StartingSupervisor : public SupervisorHarness {
  public:
   explicit StartingSupervisor(const SupervisorOptions& options = {}, std::uint64_t seed = 1)
@@ -85,7 +87,7 @@
   }
 };
 
-// Generation 1 is ready since 100 ms.
+// A supervisor whose generation 1 has been ready since 100 ms.
 class ServingSupervisor : public StartingSupervisor {
  public:
   explicit ServingSupervisor(const SupervisorOptions& options = {}) : StartingSupervisor(options, 7) {
@@ -93,7 +95,8 @@
   }
 };
 
-// Generation 1 serves, and an upgrade to generation 2 was requested at 1,000 ms.
+// A supervisor whose generation 1 serves. An upgrade to generation 2 was requested at 1,000 ms, and its
+// process has started.
 class UpgradingSupervisor : public ServingSupervisor {
  public:
   UpgradingSupervisor() {
--- a/tests/decide/supervision/supervisor_property_test.cpp
+++ b/tests/decide/supervision/supervisor_property_test.cpp
@@ -1,5 +1,6 @@
-// Any order of events against simulated processes, with the supervisor crashing before any action: at most
-// one node serves, every process is known, and the desired state is reached.
+// Delivers random events to a supervisor of simulated processes. The supervisor may crash before any action.
+// Checks that at most one node serves (two during an upgrade), that the supervisor knows every process, and
+// that the desired state is reached.
 #include <gtest/gtest.h>
 #include <rapidcheck.h>
 
@@ -19,7 +20,7 @@
   void Run() {
     for (int step = 0; step < kSteps; ++step) {
       now_ += Ms(Draw(400));
-      TakeRandomStep();
+      ExecuteRandomStep();
       if (crashed_) RestartSupervisor();
       CheckInvariants();
       if (exited_) {
@@ -32,7 +33,7 @@
 
  private:
   static constexpr int kSteps = 200;
-  static constexpr int kQuietSteps = 400;
+  static constexpr int kStepsToDesiredState = 400;
 
   struct Process {
     std::uint64_t generation = 0;
@@ -43,7 +44,7 @@
 
   std::uint32_t Draw(std::uint32_t bound) { return static_cast<std::uint32_t>(random_() % bound); }
 
-  void TakeRandomStep() {
+  void ExecuteRandomStep() {
     switch (Draw(14)) {
       case 0:
         Deliver(DrainRequested{});
@@ -75,12 +76,13 @@
     }
   }
 
-  // Without further crashes and requests, and with nodes that follow requests, the desired state is reached.
+  // Checks that the desired state is reached if there are no more crashes and requests of the operator, and
+  // if nodes exit after a drain request.
   void ReachDesiredState() {
     crash_after_.reset();
-    quiet_ = true;
+    reaching_desired_state_ = true;
     const DesiredState desired = supervisor_->state().desired;
-    for (int step = 0; step < kQuietSteps && !exited_; ++step) {
+    for (int step = 0; step < kStepsToDesiredState && !exited_; ++step) {
       now_ += Ms(100);
       ExpireTimer();
       ReportStatus();
@@ -114,8 +116,8 @@
     for (const SupervisorEvent& event : events) Deliver(event);
   }
 
-  // Continues with the state that was persisted last. A process that was not released ends with its
-  // supervisor.
+  // Starts a new supervisor with the state that was persisted last. A process that was not released exits
+  // with the crashed supervisor.
   void RestartSupervisor() {
     for (Process& process : processes_) {
       if (!process.released) process.alive = false;
@@ -155,7 +157,7 @@
     for (std::size_t index = 0; index < processes_.size(); ++index) {
       const Process process = processes_[index];
       if (!process.alive || !process.released) continue;
-      const bool ready = !process.drain_requested && (quiet_ || Draw(3) > 0);
+      const bool ready = !process.drain_requested && (reaching_desired_state_ || Draw(3) > 0);
       Deliver(StatusReported{process.generation, ready, process.drain_requested});
     }
   }
@@ -179,14 +181,14 @@
 
   void Execute(const PersistState&) { persisted_ = supervisor_->state(); }
   void Execute(const SpawnProcess& action) {
-    RC_ASSERT(Find(action.generation) == nullptr);  // No generation twice.
+    RC_ASSERT(Find(action.generation) == nullptr);  // Generations are not reused.
     RC_ASSERT(persisted_.last_generation == action.generation);
     processes_.push_back({.generation = action.generation});
     const ProcessId id{static_cast<std::int64_t>(1000 + action.generation), action.generation};
     pending_.emplace_back(ProcessStarted{action.generation, id});
   }
   void Execute(const ReleaseProcess& action) {
-    // Its process id is durable before it runs.
+    // The process id must be durable before the process runs the node.
     const auto is_durable = [&action](const std::optional<Incarnation>& incarnation) {
       return incarnation && incarnation->generation == action.generation && incarnation->process.pid != 0;
     };
@@ -215,7 +217,7 @@
     for (const Process& process : processes_) {
       if (!process.alive) continue;
       serving += process.released && !process.drain_requested ? 1 : 0;
-      // Every process that runs is part of the state.
+      // The state contains every running process.
       const auto is_this = [&process](const std::optional<Incarnation>& incarnation) {
         return incarnation && incarnation->generation == process.generation;
       };
@@ -232,11 +234,11 @@
   std::vector<Process> processes_;
   std::deque<SupervisorEvent> pending_;
   std::optional<SupervisorTime> timer_at_;
-  std::optional<std::uint32_t> crash_after_;  // Actions until the supervisor crashes.
-  bool crashed_ = false, exited_ = false, quiet_ = false;
+  std::optional<std::uint32_t> crash_after_;  // Number of actions until the supervisor crashes.
+  bool crashed_ = false, exited_ = false, reaching_desired_state_ = false;
 };
 
-TEST(SupervisorProperty, AnyOrderOfEventsAndCrashesKeepsOneNodeAndReachesTheDesiredState) {
+TEST(SupervisorProperty, KeepsAtMostOneServingNodeAndReachesTheDesiredStateDespiteCrashes) {
   EXPECT_TRUE(rc::check([](std::uint64_t seed) { SimulatedAppliance(seed).Run(); }));
 }
 
--- a/tests/decide/supervision/supervisor_test.cpp
+++ b/tests/decide/supervision/supervisor_test.cpp
@@ -1,4 +1,4 @@
-// Each rule of decide::Supervisor by itself.
+// Tests of the individual rules of decide::Supervisor.
 #include "decide/supervision/supervisor.h"
 
 #include <gtest/gtest.h>
@@ -67,7 +67,7 @@
   EXPECT_GT(backoffs.size(), 45u);
 }
 
-// Crashes as often as makes a crash loop; returns when the last crash was.
+// Lets the node crash until it is in a crash loop. Returns the time of the last crash.
 SupervisorTime EnterCrashLoop(SupervisorHarness& supervisor) {
   SupervisorTime now = Ms(1000);
   const std::uint32_t threshold = supervisor.options().crash_backoff.crash_loop_threshold;
@@ -99,7 +99,7 @@
   EXPECT_EQ(supervisor.state().consecutive_crashes, 1u);
 }
 
-TEST(Supervisor, AStableNodeResetsTheCrashCount) {
+TEST(Supervisor, CrashCountIsResetOnceTheNodeIsStable) {
   ServingSupervisor supervisor(OptionsWithoutJitter());
   supervisor.At(1000, ProcessExited{1, false});
   const SupervisorTime now = *supervisor.restart_at();
@@ -111,7 +111,7 @@
   EXPECT_EQ(supervisor.state().consecutive_crashes, 0u);
 }
 
-TEST(Supervisor, ANodeThatLosesReadinessKeepsTheCrashCount) {
+TEST(Supervisor, CrashCountIsKeptWhenTheNodeLosesReadiness) {
   ServingSupervisor supervisor;
   supervisor.At(1000, ProcessExited{1, false});
   const SupervisorTime now = *supervisor.restart_at();
@@ -134,7 +134,7 @@
 
 // ---- Unresponsive nodes ----
 
-TEST(Supervisor, ANodeThatReportsWithoutBeingReadyIsNotKilled) {
+TEST(Supervisor, NodeThatReportsThatItIsNotReadyIsNotKilled) {
   StartingSupervisor supervisor;
   supervisor.At(50, StatusReported{.generation = 1, .ready = false});
   for (double now = 100; now < 1e7; now += 60'000) {
@@ -143,7 +143,7 @@
   }
 }
 
-TEST(Supervisor, AStartWithoutAnyStatusReportIsKilledOnceAtItsTimeout) {
+TEST(Supervisor, NodeWithoutAnyStatusReportIsKilledOnceAtTheStartupTimeout) {
   StartingSupervisor supervisor;
   const SupervisorTime timeout = supervisor.options().startup_timeout;
   EXPECT_FALSE(Contains<KillProcess>(supervisor.At(timeout - Ms(1), TimerExpired{})));
@@ -222,7 +222,7 @@
   EXPECT_TRUE(Contains<SpawnProcess>(supervisor.At(1300, StartRequested{})));
 }
 
-TEST(Supervisor, StartRequestDuringADrainSpawnsTheNextNodeAfterIt) {
+TEST(Supervisor, StartRequestDuringADrainSpawnsTheNextNodeAfterTheDrain) {
   ServingSupervisor supervisor;
   supervisor.At(1000, DrainRequested{});
   EXPECT_FALSE(Contains<SpawnProcess>(supervisor.At(1100, StartRequested{})));
@@ -238,7 +238,7 @@
   EXPECT_FALSE(Contains<SpawnProcess>(supervisor.At(1500, ProcessExited{1, true})));
 }
 
-TEST(Supervisor, ACleanExitWithoutAReportedDrainIsAnExternalDrain) {
+TEST(Supervisor, CleanExitWithoutAReportedDrainCountsAsExternalDrain) {
   ServingSupervisor supervisor;
   const Actions exited = supervisor.At(1000, ProcessExited{1, true});
   EXPECT_TRUE(Logs(exited, "drained-externally"));
@@ -259,7 +259,7 @@
   EXPECT_FALSE(Contains<RequestDrain>(supervisor.At(1100, not_ready)));
 }
 
-TEST(Supervisor, AReadySuccessorReplacesTheCurrentNodeAfterThatIsPersisted) {
+TEST(Supervisor, ReadySuccessorIsPersistedAsCurrentBeforeThePredecessorIsDrained) {
   UpgradingSupervisor supervisor;
   const Actions ready = supervisor.At(1200, StatusReported{.generation = 2, .ready = true});
   EXPECT_LT(FirstIndexOf<PersistState>(ready), FirstIndexOf<RequestDrain>(ready));
@@ -298,7 +298,7 @@
   const Actions timed_out = supervisor.At(timeout_at, TimerExpired{});
   ASSERT_EQ(ActionsOf<KillProcess>(timed_out).size(), 1u);
   EXPECT_EQ(ActionsOf<KillProcess>(timed_out)[0].generation, 2u);
-  // A report that was sent before the kill.
+  // A status report that the successor sent before it was killed does not complete the upgrade.
   const StatusReported ready{.generation = 2, .ready = true};
   EXPECT_FALSE(Contains<RequestDrain>(supervisor.At(timeout_at, ready)));
   supervisor.At(timeout_at + Ms(1), ProcessExited{2, false});
@@ -345,7 +345,7 @@
   return state;
 }
 
-TEST(Supervisor, AnAdoptedDrainIsContinued) {
+TEST(Supervisor, DrainOfAnAdoptedNodeIsContinued) {
   SupervisorState state = StateWithGeneration4();
   state.desired = DesiredState::kDrained;
   state.current->draining = true;
@@ -357,7 +357,7 @@
   EXPECT_EQ(supervisor.phase(), SupervisorPhase::kDrained);
 }
 
-TEST(Supervisor, AnAdoptedServingNodeIsLeftAlone) {
+TEST(Supervisor, AdoptedServingNodeIsNeitherDrainedNorKilledNorReplaced) {
   SupervisorHarness supervisor;
   const Actions actions = supervisor.At(0, SupervisorStarted{StateWithGeneration4()});
   EXPECT_FALSE(Contains<RequestDrain>(actions));
