--- a/src/decide/load_balancing/active_set_scaler.cpp
+++ b/src/decide/load_balancing/active_set_scaler.cpp
@@ -5,14 +5,16 @@
 namespace hingelink::decide {
 namespace {
 
-// Usage is sampled this often within LoadBalancerOptions::expansion_interval.
+// Number of usage samples within LoadBalancerOptions::expansion_interval.
 constexpr double kSamplesPerInterval = 4;
-// Requests in flight per unit of capacity that LoadBalancerOptions::expansion_threshold is a fraction of.
+// Requests in flight per unit of capacity at full load. LoadBalancerOptions::expansion_threshold is a
+// fraction of this load.
 constexpr double kFullLoad = 2;
-// So few requests of this node tell nothing about its share: they come in bursts.
+// Up to this many requests in flight of this node are not compared with its share, because requests arrive in
+// bursts.
 constexpr double kMaxInsignificantRequests = 4;
-// Part of LoadBalancerOptions::contraction_delay that has passed after a contraction.
-constexpr double kDelayAfterContraction = 0.9;
+// Fraction of LoadBalancerOptions::contraction_delay that counts as elapsed after a contraction.
+constexpr double kDelayElapsedAfterContraction = 0.9;
 
 }  // namespace
 
@@ -52,8 +54,8 @@
   changed_at_ = now;
   if (!endpoints_.Contract()) return;
   ++counters_.contractions;
-  // The next contraction follows sooner, but later than an expansion would.
-  needed_at_ = now - options_.contraction_delay * kDelayAfterContraction;
+  // The next contraction follows sooner than the first, but an expansion may follow even sooner.
+  needed_at_ = now - options_.contraction_delay * kDelayElapsedAfterContraction;
 }
 
 }  // namespace hingelink::decide
--- a/src/decide/load_balancing/choice.cpp
+++ b/src/decide/load_balancing/choice.cpp
@@ -6,7 +6,7 @@
 namespace hingelink::decide {
 namespace {
 
-// In the order of ChoiceReason. These words are in records.
+// In the order of ChoiceReason. Records contain these words.
 constexpr std::array<const char*, 6> kReasonNames = {"chosen", "only",      "untried",
                                                      "trial",  "all-aside", "repeat"};
 
--- a/src/decide/load_balancing/choice.h
+++ b/src/decide/load_balancing/choice.h
@@ -1,4 +1,4 @@
-// A request to be balanced, the endpoint chosen for it, and why.
+// Types for the choice of an endpoint for a request: the request's traits, the choice and its reason.
 #ifndef HINGELINK_DECIDE_LOAD_BALANCING_CHOICE_H_
 #define HINGELINK_DECIDE_LOAD_BALANCING_CHOICE_H_
 
@@ -12,27 +12,28 @@
 using EndpointId = std::uint32_t;
 inline constexpr EndpointId kNoEndpoint = UINT32_MAX;
 
+// What the load balancer knows of a request.
 struct RequestTraits {
-  std::uint32_t request_kind = 0;  // Requests of a kind take similar time.
-  bool is_idempotent = true;       // May be executed twice.
+  std::uint32_t request_kind = 0;  // Requests of the same kind have similar execution times.
+  bool is_idempotent = true;       // The request may be executed twice.
 };
 
 enum class RequestOutcome : std::uint8_t {
   kSuccess,
-  kError,        // Executed, and failed.
-  kNotExecuted,  // Proven by the endpoint never to have been executed.
+  kError,        // The request was executed and failed.
+  kNotExecuted,  // The endpoint has confirmed that it never executed the request.
 };
 
 enum class ChoiceReason : std::uint8_t {
-  kPolicy,
+  kPolicy,         // The configured policy chose among the available endpoints.
   kOnlyEndpoint,   // No other endpoint was available.
-  kUnprobed,       // It received no request of this node for long.
-  kHalfOpenProbe,  // Shows whether the ejected endpoint has recovered.
-  kAllEjected,     // No endpoint was available: all connected ones were candidates.
-  kRetry,          // Of a request that another endpoint did not execute.
+  kUnprobed,       // The endpoint received no request of this node for a long time.
+  kHalfOpenProbe,  // Tests whether the ejected endpoint has recovered.
+  kAllEjected,     // No active endpoint was available, so all connected active ones were candidates.
+  kRetry,          // Retry of a request that another endpoint did not execute.
 };
 
-// The word of records, such as "chosen".
+// Returns the word that records contain, such as "chosen".
 [[nodiscard]] const char* ChoiceReasonName(ChoiceReason reason);
 
 struct Choice {
@@ -40,13 +41,13 @@
   ChoiceReason reason = ChoiceReason::kPolicy;
 };
 
-// One of the recent choices, for operators.
+// A recent choice, for operators.
 struct ChoiceRecord {
   Milliseconds at{0};
   EndpointId endpoint = kNoEndpoint;
-  EndpointId alternative = kNoEndpoint;  // The best one not chosen, if the policy compared any.
+  EndpointId alternative = kNoEndpoint;  // The best endpoint not chosen, if the policy compared several.
   ChoiceReason reason = ChoiceReason::kPolicy;
-  // As the policy compares them; the smaller one is chosen.
+  // The values that the policy compared. The endpoint with the smaller cost is chosen.
   double cost = 0;
   double alternative_cost = 0;
 };
--- a/src/decide/load_balancing/endpoint.cpp
+++ b/src/decide/load_balancing/endpoint.cpp
@@ -5,7 +5,7 @@
 namespace hingelink::decide {
 namespace {
 
-// In the order of the enumerations. These words are in records.
+// In the order of the enumerations. Records contain these words.
 constexpr std::array<const char*, 5> kStateNames = {"good", "back", "aside", "trial", "down"};
 constexpr std::array<const char*, 4> kCauseNames = {"none", "errors", "latency", "silence"};
 
--- a/src/decide/load_balancing/endpoint_selector.cpp
+++ b/src/decide/load_balancing/endpoint_selector.cpp
@@ -8,18 +8,18 @@
 namespace hingelink::decide {
 namespace {
 
-// A latency ratio up to this factor, or down to its inverse, is attributed to chance.
+// A latency ratio between the inverse of this factor and the factor is attributed to random variation.
 constexpr double kMinLatencyDifference = 1.7;
-// Requests in flight cost this much of a request's latency beyond the queueing for cores.
+// Cost of the load per core, as a fraction of the latency of a request, in addition to queueing for cores.
 constexpr double kLoadCost = 0.2;
-// Added to the cost of hot endpoints: they are chosen only if all are hot.
+// Added to the cost of hot endpoints, so that a hot endpoint is chosen only if all are hot.
 constexpr double kHotCost = 1e6;
 
 }  // namespace
 
 double EndpointSelector::ExpectedLatency(Milliseconds now, const Endpoint& endpoint) const {
   const double load_per_core = (parts_.load.EstimatedLoad(now, endpoint) + 1) / endpoint.record.capacity;
-  // With fewer requests than cores, each has a core to itself.
+  // If there are no more requests than cores, each request has its own core and does not queue.
   return std::max(1.0, load_per_core) * endpoint.latency_ratio +
          kLoadCost * load_per_core * endpoint.latency_ratio;
 }
@@ -142,7 +142,7 @@
 
 EndpointId EndpointSelector::SelectLeastLocalLoad(const std::vector<EndpointId>& candidates,
                                                   ChoiceRecord& record) {
-  // Starts at a random candidate: otherwise all nodes with few requests would use the first one.
+  // Starts at a random candidate. Otherwise all nodes with few requests would choose the first candidate.
   const std::size_t first = parts_.random() % candidates.size();
   EndpointId best = candidates[first];
   for (std::size_t i = 1; i < candidates.size(); ++i) {
--- a/src/decide/load_balancing/endpoint_selector.h
+++ b/src/decide/load_balancing/endpoint_selector.h
@@ -27,28 +27,30 @@
   };
   explicit EndpointSelector(const Parts& parts) : parts_(parts) {}
 
-  // `candidates` must not be empty. Sets the costs, the alternative and ChoiceReason::kOnlyEndpoint in
-  // `record`.
+  // Returns one of `candidates`, which must not be empty. Sets the costs and the alternative in `record`, and
+  // the reason ChoiceReason::kOnlyEndpoint if there is a single candidate.
   [[nodiscard]] EndpointId Select(Milliseconds now, const std::vector<EndpointId>& candidates,
                                   ChoiceRecord& record);
 
  private:
-  // A fresh load report, used up by a number of choices (Policy::kProbePool).
+  // A recent load report that has not reached its maximum number of uses (Policy::kProbePool).
   struct Probe {
     EndpointId id = kNoEndpoint;
     double load = 0;  // Per unit of capacity.
   };
 
   EndpointId SelectLeastLocalLoad(const std::vector<EndpointId>& candidates, ChoiceRecord& record);
+  // Compares two candidates drawn by traffic weight.
   EndpointId SelectOfTwo(Milliseconds now, const std::vector<EndpointId>& candidates, ChoiceRecord& record);
+  // Compares all candidates with a usable report, or calls SelectOfTwo() if there are fewer than two.
   EndpointId SelectByProbes(Milliseconds now, const std::vector<EndpointId>& candidates,
                             ChoiceRecord& record);
 
-  // A random candidate other than `excluded`, by traffic weight. `total_weight`: of all candidates but the
-  // excluded one.
+  // Draws a candidate other than `excluded` with a probability proportional to its traffic weight.
+  // `total_weight`: sum of the weights of all candidates except `excluded`.
   EndpointId DrawWeighted(Milliseconds now, const std::vector<EndpointId>& candidates, double total_weight,
                           EndpointId excluded);
-  // Capacity, reduced during slow start.
+  // The capacity of the endpoint, reduced during slow start.
   [[nodiscard]] double TrafficWeight(Milliseconds now, EndpointId id) const;
   [[nodiscard]] std::vector<Probe> UnexpiredProbes(Milliseconds now,
                                                    const std::vector<EndpointId>& candidates) const;
@@ -56,12 +58,12 @@
   [[nodiscard]] double HotLoad(const std::vector<Probe>& probes) const;
   [[nodiscard]] double ProbeCost(Milliseconds now, const Probe& probe, double hot_load) const;
 
-  // What the policy compares; the smaller one is chosen.
+  // The value that the policy compares. The endpoint with the smaller cost is chosen.
   [[nodiscard]] double Cost(Milliseconds now, const Endpoint& endpoint) const;
-  // Expected latency of one more request, in relative units.
+  // Expected latency of one more request in relative units: the latency ratio scaled by the load per core.
   [[nodiscard]] double ExpectedLatency(Milliseconds now, const Endpoint& endpoint) const;
-  // What is compared while all reports are stale: requests of this node, and a latency that differs by more
-  // than chance.
+  // The cost while the reports of both candidates are stale: the requests of this node per unit of capacity,
+  // weighted by the latency ratio if that differs from 1 by more than random variation.
   [[nodiscard]] static double LocalCost(const Endpoint& endpoint);
 
   Parts parts_;
--- a/src/decide/load_balancing/endpoint_set.cpp
+++ b/src/decide/load_balancing/endpoint_set.cpp
@@ -7,7 +7,7 @@
 namespace hingelink::decide {
 namespace {
 
-// Returns a function that gives the row of `self` in AssignSubsets().
+// Returns a function that returns the subset of the node `self` according to AssignSubsets().
 SubsetFunction SubsetOf(const std::string& self) {
   return [self](const std::vector<SubsetNode>& nodes, const std::vector<SubsetEndpoint>& endpoints,
                 std::size_t size) {
@@ -59,7 +59,7 @@
   for (Endpoint& endpoint : endpoints_) {
     if (endpoint.is_listed || endpoint.record.name.empty()) continue;
     endpoint.is_active = endpoint.is_expansion = false;
-    // Keeps its id while requests are in flight, in case it is listed again.
+    // The endpoint keeps its id while requests are in flight, in case it is listed again.
     if (endpoint.in_flight > 0) continue;
     by_name_.erase(endpoint.record.name);
     endpoint.record.name.clear();
@@ -132,7 +132,7 @@
   if (std::exchange(endpoint.is_active, true)) return;
   endpoint.is_expansion = is_expansion;
   endpoint.last_request_at = endpoint.last_response_at = now;
-  // All nodes whose subsets changed activate it at about the same time.
+  // Slow start, because all nodes whose subsets changed activate the endpoint at about the same time.
   if (endpoint.is_connected) BeginRecovery(now, endpoint);
 }
 
--- a/src/decide/load_balancing/latency_tracker.cpp
+++ b/src/decide/load_balancing/latency_tracker.cpp
@@ -5,17 +5,17 @@
 namespace hingelink::decide {
 namespace {
 
-// Weight of a response in the mean of its endpoint.
+// Weight of a response in the mean latency of its endpoint.
 constexpr double kEndpointWeight = 0.1;
-// Weight of a response in the means over all endpoints.
+// Weight of a response in the mean latencies over all endpoints.
 constexpr double kOverallWeight = 0.02;
-// Shorter latencies count as this long.
+// Shorter latencies are raised to this one, so that no mean is 0.
 constexpr double kMinLatencyMs = 0.01;
-// Responses that the latency ratio of an endpoint averages over: at least and at most.
+// Minimum and maximum number of responses over which the latency ratio of an endpoint is averaged.
 constexpr double kMinRatioSamples = 2;
 constexpr double kMaxRatioSamples = 1 / kEndpointWeight;
 
-// Moves the mean towards the value; the first value (the mean is 0) is taken as it is.
+// Updates an exponentially weighted mean. The first value, while the mean is 0, becomes the mean.
 void UpdateMean(double& mean, double value, double weight) {
   mean += (mean == 0 ? 1 : weight) * (value - mean);
 }
--- a/src/decide/load_balancing/latency_tracker.h
+++ b/src/decide/load_balancing/latency_tracker.h
@@ -1,5 +1,5 @@
-// Learns how long requests take: over all endpoints by kind of request, and for each endpoint relative to
-// that.
+// Tracks the latency of requests: the mean over all endpoints for each kind of request, and the latency of
+// each endpoint relative to that mean.
 #ifndef HINGELINK_DECIDE_LOAD_BALANCING_LATENCY_TRACKER_H_
 #define HINGELINK_DECIDE_LOAD_BALANCING_LATENCY_TRACKER_H_
 
@@ -14,7 +14,7 @@
 // Not thread-safe.
 class LatencyTracker {
  public:
-  // A request succeeded after `elapsed`. Updates the endpoint's latency.
+  // Updates the means and the endpoint's latency after a request of this kind succeeded in `elapsed`.
   void OnSuccess(Endpoint& endpoint, std::uint32_t request_kind, Milliseconds elapsed);
 
   // Mean over all kinds of requests and all endpoints, in ms; 0 before the first response.
--- a/src/decide/load_balancing/load_balancer.cpp
+++ b/src/decide/load_balancing/load_balancer.cpp
@@ -6,7 +6,7 @@
 namespace hingelink::decide {
 namespace {
 
-// Requests to unprobed endpoints that may accumulate.
+// Maximum number of accumulated tokens for requests to unprobed endpoints.
 constexpr double kMaxUnprobedBudget = 2;
 
 }  // namespace
--- a/src/decide/load_balancing/load_balancer.h
+++ b/src/decide/load_balancing/load_balancer.h
@@ -1,11 +1,13 @@
-// Chooses the endpoint for each request of a node, where many nodes share many endpoints and each node sees
-// only its own requests. docs/design/spread.md compares the policies.
+// Chooses the endpoint for each request of a node. Many nodes share many endpoints, and each node sees only
+// its own requests. docs/design/spread.md compares the policies.
 //
-// Guarantees. Only listed endpoints are chosen, and connected ones while there are any. At most
-// LoadBalancerOptions::max_ejected_fraction of the active endpoints are ejected; if no endpoint is available,
-// all connected ones are used. While requests are started or Tick() is called, each active endpoint receives
-// a request or a poll at least every LoadBalancerOptions::max_unprobed_time. Retries are limited to a
-// fraction of the requests.
+// Guarantees:
+// - Only listed and connected endpoints are chosen.
+// - At most LoadBalancerOptions::max_ejected_fraction of the active endpoints are ejected. If no active
+//   endpoint is available, all connected active endpoints are candidates.
+// - While requests are started or Tick() is called, each active endpoint receives a request or a poll at
+//   least every LoadBalancerOptions::max_unprobed_time.
+// - Retries are limited to a fraction of the requests.
 //
 // Memory: one record per listed endpoint, and LoadBalancerOptions::max_recent_choices choices.
 #ifndef HINGELINK_DECIDE_LOAD_BALANCING_LOAD_BALANCER_H_
@@ -38,7 +40,7 @@
 
 namespace hingelink::decide {
 
-// An endpoint as this node sees it, for operators.
+// The state of an endpoint as this node sees it, for operators.
 struct EndpointSnapshot {
   std::string name;
   std::string zone;
@@ -47,7 +49,7 @@
   EjectionCause ejection_cause = EjectionCause::kNone;
   bool is_active = false;
   bool is_expansion = false;
-  std::size_t sharing_nodes = 0;      // Nodes that use it, this one included.
+  std::size_t sharing_nodes = 0;      // Nodes that have the endpoint in their subset; at least 1.
   std::uint64_t local_in_flight = 0;  // Requests of this node.
   std::uint64_t requests = 0;
   std::uint64_t errors = 0;
@@ -56,7 +58,7 @@
   double reported_load = -1;          // Requests in flight of all nodes; below 0: never reported.
   Milliseconds report_age{-1};        // Below 0: never reported.
   Milliseconds last_request_age{-1};  // Below 0: no request.
-  double estimated_load = 0;          // Requests in flight of all nodes, as choices assume.
+  double estimated_load = 0;          // Estimated requests in flight of all nodes; choices use it.
   double latency_ratio = 1;           // Relative to all endpoints.
   double mean_latency_ms = 0;
   Milliseconds ejection_time_left{0};
@@ -65,8 +67,9 @@
 // Times are on the caller's monotonic clock. Not thread-safe.
 class LoadBalancer {
  public:
-  // `self`, `zone`: this node. `random` feeds all random draws. `subset`: this node's row of AssignSubsets()
-  // if empty; for callers that run many nodes and compute the assignment once.
+  // `self`, `zone`: name and zone of this node. `random`: source of all random numbers. `subset`: computes
+  // the subset of this node. If it is empty, AssignSubsets() is used; callers that simulate many nodes pass a
+  // function so that they compute the assignment only once.
   LoadBalancer(const LoadBalancerOptions& options, std::string self, std::string zone, RandomSource random,
                SubsetFunction subset = {});
   LoadBalancer(const LoadBalancer&) = delete;
@@ -74,57 +77,63 @@
 
   // ---- Endpoints and nodes ----
 
-  // All endpoints that this node may use. New ones are disconnected; others are forgotten, once they have no
-  // requests of this node in flight.
+  // Replaces the list of the endpoints that this node may use. New endpoints start disconnected. An endpoint
+  // that is no longer listed is removed by this call or a later one, once no request of this node is in
+  // flight there.
   void SetEndpoints(Milliseconds now, const std::vector<SubsetEndpoint>& endpoints);
-  // All nodes that share them; this node is added if it is missing.
+  // Replaces the list of the nodes that share the endpoints. This node is added if it is missing.
   void SetNodes(Milliseconds now, std::vector<SubsetNode> nodes);
   void SetConnected(Milliseconds now, EndpointId id, bool is_connected);
-  // kNoEndpoint if there is none of this name.
+  // Returns kNoEndpoint if no endpoint has this name.
   [[nodiscard]] EndpointId FindEndpoint(const std::string& name) const { return endpoints_.Find(name); }
 
   // ---- Requests ----
 
-  // Returns the endpoint for a request, which is in flight there from now on, or nothing if none is
-  // connected. `excluded` marks a retry: the endpoint that did not execute it, chosen again only if there is
-  // no other.
+  // Returns the endpoint for a request, or nothing if no endpoint is connected. The request counts as in
+  // flight there until OnRequestFinished() or OnRequestAbandoned(). For a retry, `excluded` is the endpoint
+  // that did not execute the request; that endpoint is chosen only if no other is connected.
   [[nodiscard]] std::optional<Choice> ChooseEndpoint(Milliseconds now, const RequestTraits& request,
                                                      EndpointId excluded = kNoEndpoint);
-  // A request in flight has ended. `elapsed`: its execution time as reported by the endpoint.
+  // To be called when a request in flight has ended. `elapsed`: the execution time that the endpoint
+  // reported.
   void OnRequestFinished(Milliseconds now, EndpointId id, const RequestTraits& request,
                          RequestOutcome outcome, Milliseconds elapsed);
-  // A request in flight is no longer awaited there: it was moved, or its end will not be reported.
+  // To be called when a request in flight is no longer expected to end at the endpoint: another endpoint
+  // received the request, or its end will not be reported.
   void OnRequestAbandoned(Milliseconds now, EndpointId id);
-  // Whether a request that was not executed may be retried; takes it from the retry budget.
+  // Consumes a token of the retry budget. Returns false, and counts a denied retry, if there is none: the
+  // request must not be retried.
   [[nodiscard]] bool TryConsumeRetry();
 
   // ---- Load reports ----
 
-  // Returns the endpoints to poll now.
+  // Returns the endpoints to poll now, and records the polls as sent.
   [[nodiscard]] std::vector<EndpointId> EndpointsToPoll(Milliseconds now) {
     return poller_.EndpointsToPoll(now);
   }
-  // An endpoint reported its requests in flight of all nodes. `polled_at`: when the poll was sent.
+  // To be called when an endpoint has reported `in_flight`, its requests in flight of all nodes. `polled_at`:
+  // when the poll was sent.
   void OnLoadReport(Milliseconds now, EndpointId id, double in_flight, Milliseconds polled_at) {
     load_.OnReport(now, id, in_flight, polled_at);
   }
 
-  // Ejects unresponsive endpoints and lets ejected ones return. To be called at NextDeadline() at the latest.
+  // Ejects unresponsive endpoints, makes ejected endpoints half-open when their ejection time has passed, and
+  // expands or contracts the active endpoints. To be called at NextDeadline() at the latest.
   void Tick(Milliseconds now);
   [[nodiscard]] Milliseconds NextDeadline() const { return outliers_.next_deadline(); }
 
   // ---- For operators ----
 
   [[nodiscard]] EndpointSnapshot Snapshot(Milliseconds now, EndpointId id) const;
-  // All listed endpoints, by name.
+  // All listed endpoints, sorted by name.
   [[nodiscard]] std::vector<EndpointId> endpoints() const { return endpoints_.listed(); }
-  // The endpoints that this node uses.
+  // The endpoints that this node uses: its subset and the expansions.
   [[nodiscard]] const std::vector<EndpointId>& active_endpoints() const { return endpoints_.active(); }
-  // The first `count` of the others, in the order in which they would become active.
+  // The first `count` standbys, in the order in which they would become active.
   [[nodiscard]] std::vector<EndpointId> StandbyEndpoints(std::size_t count) const;
   // Whether the endpoint is one of StandbyEndpoints(count).
   [[nodiscard]] bool IsStandby(EndpointId id, std::size_t count) const;
-  // Oldest first.
+  // The latest choices, oldest first.
   [[nodiscard]] const std::deque<ChoiceRecord>& recent_choices() const { return recent_choices_; }
   [[nodiscard]] const LoadBalancerCounters& counters() const { return counters_; }
   // Nodes that share the endpoints.
@@ -133,17 +142,20 @@
  private:
   struct Candidates {
     std::vector<EndpointId> connected;
-    std::vector<EndpointId> available;  // Of them: may be chosen by the policy.
-    std::vector<EndpointId> half_open;  // Of them: may be probed by the request.
+    std::vector<EndpointId> available;  // Connected, and may be chosen by the policy.
+    std::vector<EndpointId> half_open;  // Connected, and may be probed by the request.
   };
   [[nodiscard]] Candidates FindCandidates(Milliseconds now, const RequestTraits& request,
                                           EndpointId excluded) const;
-  // Used while no active endpoint is connected.
+  // Returns the candidates while no active endpoint except `excluded` is connected: the connected standbys,
+  // or else the excluded endpoint if it is connected.
   [[nodiscard]] std::vector<EndpointId> FindFallbacks(EndpointId excluded) const;
+  // Adds the tokens of a new request, not of a retry, to the budgets.
   void FillBudgets();
   EndpointId Select(const Candidates& candidates, const RequestTraits& request, bool is_retry,
                     ChoiceRecord& record);
-  // The endpoint without a request for longest, if that is too long; kNoEndpoint otherwise.
+  // Returns the endpoint with the oldest last request and consumes a token, if that request is older than
+  // LoadBalancerOptions::max_unprobed_time and the budget has a token. Returns kNoEndpoint otherwise.
   EndpointId SelectUnprobed(Milliseconds now, const std::vector<EndpointId>& available);
   void StartRequest(const ChoiceRecord& record);
 
--- a/src/decide/load_balancing/load_balancer_counters.h
+++ b/src/decide/load_balancing/load_balancer_counters.h
@@ -7,18 +7,18 @@
 namespace hingelink::decide {
 
 struct LoadBalancerCounters {
-  std::uint64_t requests = 0;  // Choices, retries included.
+  std::uint64_t requests = 0;  // Choices of an endpoint, retries included.
   std::uint64_t retries = 0;
-  std::uint64_t retries_denied = 0;
-  std::uint64_t unprobed_choices = 0;
+  std::uint64_t retries_denied = 0;    // The retry budget was empty.
+  std::uint64_t unprobed_choices = 0;  // ChoiceReason::kUnprobed.
   std::uint64_t half_open_probes = 0;
   std::uint64_t ejections = 0;
   std::uint64_t recoveries = 0;  // From the half-open state.
   std::uint64_t expansions = 0;
   std::uint64_t contractions = 0;
   std::uint64_t polls = 0;
-  std::uint64_t all_ejected_choices = 0;  // Choices while no endpoint was available.
-  std::uint64_t no_endpoint = 0;          // Requests for which no endpoint was connected.
+  std::uint64_t all_ejected_choices = 0;  // Choices while no active endpoint was available.
+  std::uint64_t no_endpoint = 0;          // Requests that found no connected endpoint.
 };
 
 }  // namespace hingelink::decide
--- a/src/decide/load_balancing/load_balancer_options.h
+++ b/src/decide/load_balancing/load_balancer_options.h
@@ -14,68 +14,74 @@
 
   // Endpoints in the subset of a node.
   std::size_t subset_size = 8;
-  // Active endpoints, expansions of the subset included.
+  // Maximum number of active endpoints, expansions of the subset included.
   std::size_t max_active_endpoints = 64;
 
-  // Load reports. The weight of a report halves in this time; the mean of all reports has the rest.
+  // Load reports. The weight of a report in the estimated load halves in this time. The mean of all reports
+  // has the remaining weight.
   Milliseconds load_report_half_life{120};
-  // Between two polls of an active endpoint while requests are started.
+  // Interval between two polls of an active endpoint while requests are started.
   Milliseconds poll_interval{250};
-  // Between two polls otherwise.
+  // Interval between two polls otherwise: while no requests are started, or if the policy needs no regular
+  // reports.
   Milliseconds idle_poll_interval{2'000};
 
-  // Policy::kProbePool. Endpoints polled per request.
+  // Policy::kProbePool. Polls of random endpoints per request.
   double probes_per_request = 2;
-  // Choices that may rely on the same report.
+  // Maximum number of choices that rely on the same report.
   std::size_t max_probe_uses = 3;
+  // Older reports are not compared.
   Milliseconds max_probe_age{250};
-  // Endpoints whose load is above this quantile are hot.
+  // An endpoint whose load is above this quantile of the loads is hot: it is chosen only if all are hot.
   double hot_quantile = 0.75;
 
-  // Slow start. Successful responses until a recovering endpoint is healthy.
+  // Slow start. Number of successful responses after which a recovering endpoint is healthy.
   double slow_start_responses = 12;
-  // Duration after which one successful response is enough.
+  // After this time a single successful response is enough.
   Milliseconds max_slow_start{4'000};
-  // Nodes begin to use an endpoint that became available at random times, within this multiple of the time in
-  // which it can serve one request of each node that shares it ...
+  // When an endpoint reconnects, recovers or is activated, each node waits for a random delay before it uses
+  // the endpoint. The maximum delay is this multiple of the time in which the endpoint can serve one request
+  // of each node that shares it, ...
   double reaction_delay_factor = 1.0;
-  // ... and within this time.
+  // ... but at most this time.
   Milliseconds max_reaction_delay{2'000};
 
-  // An endpoint without a request for this long may receive the next one, whatever the policy ...
+  // An endpoint that received no request for this long may receive the next request regardless of the policy.
   Milliseconds max_unprobed_time{2'000};
-  // ... for at most this fraction of the requests.
+  // Maximum fraction of the requests that are sent to an endpoint for that reason.
   double unprobed_request_fraction = 0.05;
 
-  // The subset is expanded above this load per core, as a multiple of two requests in flight.
+  // The subset is expanded above this load, as a multiple of two requests in flight per unit of capacity.
   double expansion_threshold = 0.9;
-  // Between two changes of the active endpoints.
+  // Minimum time between two changes of the active endpoints.
   Milliseconds expansion_interval{100};
-  // Without need for an expansion, one is removed after this time.
+  // An expansion is removed when the load has not required an expansion for this time.
   Milliseconds contraction_delay{10'000};
 
-  // Retries as a fraction of the requests, and how many may accumulate.
+  // Maximum fraction of the requests that are retried.
   double retry_budget_fraction = 0.1;
+  // Maximum number of retries that accumulate in the budget.
   double max_retry_budget = 10;
 
-  // Outlier detection. Active endpoints that may be ejected at the same time.
+  // Outlier detection. Maximum fraction of the active endpoints that are ejected at the same time.
   double max_ejected_fraction = 0.34;
+  // Error rate above which an endpoint may be ejected. Scaled down while the endpoint has few responses.
   double ejection_error_rate = 0.5;
-  // Relative to the median of the other endpoints.
+  // An endpoint is ejected if its latency ratio exceeds this multiple of the median of the other endpoints.
   double ejection_latency_factor = 3.5;
-  // Latency is judged after this many responses, the error rate after half as many.
+  // Number of responses after which the latency is evaluated. The error rate is evaluated after half as many.
   double min_responses = 8;
   // An endpoint with requests in flight is unresponsive after this time without a response, or after this
-  // multiple of the mean latency, whichever is longer.
+  // multiple of the mean latency over all endpoints, whichever is longer.
   Milliseconds min_unresponsive_time{1'500};
   double unresponsive_latency_factor = 12;
-  // The first ejection; each further one takes twice as long.
+  // Duration of the first ejection. Each further ejection takes twice as long, up to the maximum.
   Milliseconds base_ejection_time{1'000};
   Milliseconds max_ejection_time{30'000};
-  // Consecutive successful probes that end the half-open state.
+  // Number of consecutive successful probes that end the half-open state.
   double half_open_successes = 3;
 
-  // Choices kept for operators.
+  // Number of recent choices that are kept for operators.
   std::size_t max_recent_choices = 256;
 };
 
--- a/src/decide/load_balancing/load_estimator.cpp
+++ b/src/decide/load_balancing/load_estimator.cpp
@@ -6,9 +6,9 @@
 namespace hingelink::decide {
 namespace {
 
-// Half-lives after which a report does not count in the mean of all.
+// Reports older than this number of half-lives are excluded from the mean over all endpoints.
 constexpr double kMaxHalfLivesInMean = 8;
-// Half-lives after which a report does not compare endpoints.
+// Reports older than this number of half-lives are stale: they are not used to compare endpoints.
 constexpr double kMaxHalfLivesInComparison = 2.5;
 
 }  // namespace
@@ -47,7 +47,7 @@
 
 void LoadEstimator::OnReport(Milliseconds now, EndpointId id, double in_flight, Milliseconds polled_at) {
   Endpoint& endpoint = endpoints_.at(id);
-  // Reports may overtake each other when the connection is replaced.
+  // Reports may arrive out of order when the connection is replaced.
   if (endpoint.reported_load >= 0 && polled_at < endpoint.reported_at) return;
   endpoints_.OnLoadChanged();
   endpoint.reported_load = in_flight;
--- a/src/decide/load_balancing/load_poller.cpp
+++ b/src/decide/load_balancing/load_poller.cpp
@@ -7,9 +7,9 @@
 namespace hingelink::decide {
 namespace {
 
-// Probes that may accumulate.
+// Maximum number of probes that accumulate in the budget.
 constexpr double kMaxProbeBudget = 8;
-// Polls of one endpoint that may be unanswered; older ones are forgotten.
+// Maximum number of unanswered polls that are recorded per endpoint. Older ones are dropped.
 constexpr std::size_t kMaxPendingPolls = 32;
 
 }  // namespace
@@ -24,7 +24,7 @@
 
 Milliseconds LoadPoller::PollInterval(Milliseconds now) const {
   const bool has_requests = now - last_start_at_ < options_.idle_poll_interval;
-  // Policy::kProbePool gets its reports from probes.
+  // Policy::kProbePool receives its reports from probes, see AddProbes().
   const bool needs_reports = UsesLoadReports(options_.policy) && options_.policy != Policy::kProbePool;
   return needs_reports && has_requests ? options_.poll_interval : options_.idle_poll_interval;
 }
@@ -34,8 +34,8 @@
   for (const EndpointId id : endpoints_.active()) {
     Endpoint& endpoint = endpoints_.at(id);
     if (!endpoint.is_connected || now - endpoint.last_poll_at < interval) continue;
-    // The second poll follows the first one after a random part of the interval, so that nodes that started
-    // together do not poll together.
+    // The second poll follows the first one after a random fraction of the interval, so that nodes that
+    // started at the same time do not poll at the same time.
     const bool is_first = endpoint.last_poll_at == kNever;
     endpoint.last_poll_at = is_first ? now - interval * RandomFraction(random_) : now;
     polled.push_back(id);
--- a/src/decide/load_balancing/load_poller.h
+++ b/src/decide/load_balancing/load_poller.h
@@ -20,18 +20,18 @@
   LoadPoller(const LoadBalancerOptions& options, EndpointSet& endpoints, const RandomSource& random,
              LoadBalancerCounters& counters);
 
-  // A request was read that is no retry: adds to the budget of probes.
+  // Adds the tokens of a new request, not of a retry, to the budget of probes.
   void OnRequest() { probe_budget_.OnRequest(); }
-  // A request was started at an endpoint.
+  // To be called when a request is started at an endpoint.
   void OnRequestStarted(Milliseconds now) { last_start_at_ = now; }
-  // Returns the endpoints to poll now.
+  // Returns the endpoints to poll now, and records the polls as sent.
   [[nodiscard]] std::vector<EndpointId> EndpointsToPoll(Milliseconds now);
 
  private:
   [[nodiscard]] Milliseconds PollInterval(Milliseconds now) const;
-  // Endpoints whose poll interval has passed.
+  // Adds the connected active endpoints whose poll interval has passed.
   void AddScheduled(Milliseconds now, std::vector<EndpointId>& polled);
-  // Random endpoints, within the budget.
+  // Adds random connected active endpoints, within the budget of probes.
   void AddProbes(Milliseconds now, std::vector<EndpointId>& polled);
 
   const LoadBalancerOptions& options_;
--- a/src/decide/load_balancing/outlier_detector.cpp
+++ b/src/decide/load_balancing/outlier_detector.cpp
@@ -10,20 +10,23 @@
 namespace hingelink::decide {
 namespace {
 
-// Weight of a response in the error rate.
+// Weight of a response in the error rate of its endpoint.
 constexpr double kErrorWeight = 0.1;
-// An outlier's error rate exceeds this multiple of the others' median by the margin.
+// An endpoint is an outlier only if its error rate exceeds the median error rate of the other endpoints,
+// times this factor, by more than the margin.
 constexpr double kErrorRateFactor = 3;
 constexpr double kErrorRateMargin = 0.1;
-// Healthy for this multiple of its last ejection, an endpoint is next ejected for the shortest time.
+// If an endpoint was healthy for longer than this multiple of its last ejection time, its next ejection has
+// the base duration again.
 constexpr double kForgivenessFactor = 4;
-// Random factor of the ejection time, so that nodes that ejected together do not return together.
+// Bounds of the random factor of the ejection time. The factor prevents nodes that eject an endpoint at the
+// same time from using it again at the same time.
 constexpr double kMinEjectionJitter = 0.75;
 constexpr double kEjectionJitterRange = 0.5;
-// Ticks within LoadBalancerOptions::max_unprobed_time.
+// Number of ticks within LoadBalancerOptions::max_unprobed_time.
 constexpr double kTicksPerUnprobedTime = 4;
 
-// Sorts `values` partly. They must not be empty.
+// Returns the median of `values`, which must not be empty. Reorders them.
 double Median(std::vector<double>& values) {
   const auto middle = values.begin() + static_cast<std::ptrdiff_t>(values.size() / 2);
   std::nth_element(values.begin(), middle, values.end());
@@ -86,8 +89,9 @@
     latency_ratios.push_back(other.latency_ratio);
   }
   if (error_rates.empty()) return;
-  // The moving fraction starts at 0: after few responses it cannot reach the full rate. What fails at all
-  // endpoints is caused by the requests or by an upstream of all, and makes none of them an outlier.
+  // The weighted error rate starts at 0 and cannot reach 1 after few responses, so the limit is scaled down.
+  // The comparison with the median excludes errors that occur at all endpoints: these are caused by the
+  // requests or by a shared upstream.
   const double reachable_rate = 1 - std::pow(1 - kErrorWeight, endpoint.responses);
   if (endpoint.error_rate > parts_.options.ejection_error_rate * reachable_rate &&
       endpoint.error_rate > kErrorRateFactor * Median(error_rates) + kErrorRateMargin) {
--- a/src/decide/load_balancing/policy.cpp
+++ b/src/decide/load_balancing/policy.cpp
@@ -5,7 +5,7 @@
 namespace hingelink::decide {
 namespace {
 
-// In the order of Policy. These words are in configuration files, options and records.
+// In the order of Policy. Configuration files, options and records contain these words.
 constexpr std::array<const char*, kPolicies> kPolicyNames = {
     "random", "round-robin", "least-own", "two-own", "two-asked", "probes", "weighted"};
 
--- a/src/decide/load_balancing/policy.h
+++ b/src/decide/load_balancing/policy.h
@@ -12,17 +12,17 @@
 enum class Policy : std::uint8_t {
   kRandom,
   kRoundRobin,
-  kLeastLocalLoad,             // Fewest requests of this node in flight.
-  kTwoChoicesLocalLoad,        // Of two random ones the one with fewer requests of this node in flight.
-  kTwoChoicesReportedLoad,     // Of two random ones the one with the smaller estimated load.
-  kProbePool,                  // Of the endpoints with a fresh load report the fastest one that is not hot.
-  kTwoChoicesExpectedLatency,  // Of two random ones the one with the smaller expected latency.
+  kLeastLocalLoad,             // The endpoint with the fewest requests of this node in flight.
+  kTwoChoicesLocalLoad,        // Of two random endpoints, the one with fewer requests of this node.
+  kTwoChoicesReportedLoad,     // Of two random endpoints, the one with the smaller estimated load.
+  kProbePool,                  // Of the endpoints with a recent load report, the fastest that is not hot.
+  kTwoChoicesExpectedLatency,  // Of two random endpoints, the one with the smaller expected latency.
 };
 inline constexpr std::size_t kPolicies = 7;
 
-// The word of options and records, such as "two-own".
+// Returns the word that options and records contain, such as "two-own".
 [[nodiscard]] const char* PolicyName(Policy policy);
-// Nothing if no policy has this name.
+// Returns nothing if no policy has this name.
 [[nodiscard]] std::optional<Policy> ParsePolicy(const std::string& name);
 
 // Whether the policy compares endpoints by the load that they report.
--- a/src/decide/load_balancing/random_fraction.h
+++ b/src/decide/load_balancing/random_fraction.h
@@ -6,9 +6,9 @@
 
 namespace hingelink::decide {
 
-// Uniform in [0, 1); takes one random number.
+// Returns a uniformly distributed number in [0, 1). Draws one random number.
 inline double RandomFraction(const RandomSource& random) {
-  constexpr int kDroppedBits = 11;  // A double holds 53 of 64.
+  constexpr int kDroppedBits = 11;  // A double has 53 significant bits; the source returns 64.
   return static_cast<double>(random() >> kDroppedBits) * 0x1.0p-53;
 }
 
--- a/src/decide/load_balancing/request_budget.h
+++ b/src/decide/load_balancing/request_budget.h
@@ -1,4 +1,4 @@
-// Limits an activity to a fraction of the requests, with a small reserve.
+// Limits an activity, such as retries, to a fraction of the requests.
 #ifndef HINGELINK_DECIDE_LOAD_BALANCING_REQUEST_BUDGET_H_
 #define HINGELINK_DECIDE_LOAD_BALANCING_REQUEST_BUDGET_H_
 
@@ -6,7 +6,8 @@
 
 namespace hingelink::decide {
 
-// A token bucket that is filled by requests instead of by time. Not thread-safe.
+// A token bucket that is refilled by requests instead of by time. Unused tokens accumulate up to a maximum.
+// Not thread-safe.
 class RequestBudget {
  public:
   // Each request adds `tokens_per_request`, up to `max_tokens`.
@@ -15,7 +16,7 @@
 
   void OnRequest() { tokens_ = std::min(tokens_ + tokens_per_request_, max_tokens_); }
   [[nodiscard]] bool has_token() const { return tokens_ >= 1; }
-  // To be called only if has_token().
+  // Takes one token. To be called only if has_token().
   void Consume() { tokens_ -= 1; }
 
  private:
--- a/src/decide/load_balancing/slow_start.cpp
+++ b/src/decide/load_balancing/slow_start.cpp
@@ -7,6 +7,7 @@
 namespace hingelink::decide {
 namespace {
 
+// Smallest fraction, so that the endpoint receives some requests.
 constexpr double kMinTrafficFraction = 0.05;
 
 }  // namespace
--- a/src/decide/load_balancing/slow_start.h
+++ b/src/decide/load_balancing/slow_start.h
@@ -1,8 +1,9 @@
 // Slow start of endpoints that are new, reconnected, or no longer ejected.
 //
-// A connection proves nothing about what is behind it, and all nodes learn of a returning endpoint at about
-// the same time. So each node waits for a random time before its first request, and then gives the endpoint a
-// share of the requests that grows with its successful responses.
+// A successful connection does not prove that the endpoint can execute requests, and all nodes learn at about
+// the same time that an endpoint is available again. Each node therefore waits for a random delay before its
+// first request, and then gives the endpoint a share of the requests that grows with its successful
+// responses.
 #ifndef HINGELINK_DECIDE_LOAD_BALANCING_SLOW_START_H_
 #define HINGELINK_DECIDE_LOAD_BALANCING_SLOW_START_H_
 
@@ -20,16 +21,17 @@
   SlowStart(const LoadBalancerOptions& options, const LatencyTracker& latency, const RandomSource& random)
       : options_(options), latency_(latency), random_(random) {}
 
-  // Enters EndpointState::kRecovering and forgets what was learned about the endpoint. Takes one random
-  // number.
+  // Enters EndpointState::kRecovering and resets the statistics and load report of the endpoint. Draws one
+  // random number.
   void Begin(Milliseconds now, Endpoint& endpoint) const;
-  // Enters EndpointState::kHealthy once a recovering endpoint has answered enough requests, or for long
-  // enough.
+  // To be called after each response. Enters EndpointState::kHealthy if the endpoint is recovering and has
+  // answered enough requests successfully, or at least one after LoadBalancerOptions::max_slow_start.
   void OnResponse(Milliseconds now, Endpoint& endpoint) const;
 
-  // Whether the endpoint may receive a request by the policy.
+  // Whether the policy may choose the endpoint: it is healthy, or it is recovering, its random delay has
+  // passed and it has few requests in flight.
   [[nodiscard]] static bool IsAvailable(Milliseconds now, const Endpoint& endpoint);
-  // Its share of the requests, as a fraction of that of a healthy endpoint.
+  // The share of the requests for the endpoint, as a fraction of the share of a healthy endpoint.
   [[nodiscard]] double TrafficFraction(Milliseconds now, const Endpoint& endpoint) const;
 
  private:
--- a/src/decide/load_balancing/subset_matching.cpp
+++ b/src/decide/load_balancing/subset_matching.cpp
@@ -7,18 +7,19 @@
 namespace hingelink::decide {
 namespace {
 
-// Endpoints that a node considers first: a multiple of those it wants, and some more. What is left open is
-// assigned one by one.
+// The number of endpoints that a node considers in the matching is this multiple of the number it wants, plus
+// kMinConsidered. The limit bounds the pairs to be sorted. Endpoints still missing after the matching are
+// assigned one at a time.
 constexpr std::size_t kConsideredPerWanted = 3;
 constexpr std::size_t kMinConsidered = 8;
 
-// The part of an exchange of one endpoint by which another is freed.
+// A possible exchange: another node takes an endpoint with a free slot and releases one of its endpoints.
 struct ExchangeCandidate {
   bool is_set = false;
-  std::uint64_t preference = 0;  // Of both nodes together.
+  std::uint64_t preference = 0;  // Mean preference of both nodes for their new endpoints.
   std::uint32_t other_node = 0;
   std::uint32_t taken_by_other = 0;
-  std::uint32_t left_by_other = 0;
+  std::uint32_t released_by_other = 0;
 };
 
 }  // namespace
@@ -100,11 +101,11 @@
 bool SubsetMatching::Exchange(std::uint32_t node, const Indexes& nodes, const Indexes& endpoints) {
   ExchangeCandidate best;
   const auto consider = [&](std::uint32_t other, std::uint32_t taken) {
-    for (const std::uint32_t left : assigned_[other]) {
-      if (IsAssigned(node, left)) continue;
-      const std::uint64_t preference = Preference(other, taken) / 2 + Preference(node, left) / 2;
+    for (const std::uint32_t released : assigned_[other]) {
+      if (IsAssigned(node, released)) continue;
+      const std::uint64_t preference = Preference(other, taken) / 2 + Preference(node, released) / 2;
       if (best.is_set && preference <= best.preference) continue;
-      best = {true, preference, other, taken, left};
+      best = {true, preference, other, taken, released};
     }
   };
   for (const std::uint32_t endpoint : endpoints) {
@@ -115,8 +116,8 @@
   }
   if (!best.is_set) return false;
   Indexes& of_other = assigned_[best.other_node];
-  std::replace(of_other.begin(), of_other.end(), best.left_by_other, best.taken_by_other);
-  assigned_[node].push_back(best.left_by_other);
+  std::replace(of_other.begin(), of_other.end(), best.released_by_other, best.taken_by_other);
+  assigned_[node].push_back(best.released_by_other);
   --free_slots_[best.taken_by_other];
   return true;
 }
--- a/src/decide/load_balancing/subset_matching.h
+++ b/src/decide/load_balancing/subset_matching.h
@@ -1,4 +1,4 @@
-// Matches nodes with endpoints by mutual preference, within the slots of the endpoints.
+// Matches nodes with endpoints by mutual preference. The slots of an endpoint limit how many nodes use it.
 #ifndef HINGELINK_DECIDE_LOAD_BALANCING_SUBSET_MATCHING_H_
 #define HINGELINK_DECIDE_LOAD_BALANCING_SUBSET_MATCHING_H_
 
@@ -16,12 +16,12 @@
  public:
   using Indexes = std::vector<std::uint32_t>;
 
-  // `slots`: nodes that may use each endpoint.
+  // `slots`: for each endpoint, the number of nodes that may use it.
   SubsetMatching(const std::vector<SubsetNode>& nodes, const std::vector<SubsetEndpoint>& endpoints,
                  const std::vector<std::size_t>& slots);
 
-  // Assigns further endpoints out of `endpoints` to each of `nodes`: as many as `wanted` has for it, or fewer
-  // if the slots do not suffice.
+  // Assigns further endpoints, chosen from `endpoints`, to each of `nodes`. `wanted`: the number of endpoints
+  // to assign to each node, in the order of `nodes`. A node gets fewer if there are not enough slots.
   void Match(const Indexes& nodes, const Indexes& endpoints, std::vector<std::size_t> wanted);
 
   [[nodiscard]] std::size_t free_slots(std::uint32_t endpoint) const { return free_slots_[endpoint]; }
@@ -34,13 +34,15 @@
   // Preference, position of the node in Match(), endpoint.
   using Pair = std::tuple<std::uint64_t, std::uint32_t, std::uint32_t>;
 
-  // The best pairs of the nodes that want endpoints, in descending preference.
+  // Returns the most preferred pairs of the nodes that want endpoints, in descending preference.
   [[nodiscard]] std::vector<Pair> PreferredPairs(const Indexes& nodes, const Indexes& endpoints,
                                                  const std::vector<std::size_t>& wanted) const;
-  // Assigns the preferred one of the endpoints with free slots. Returns false if there is none.
+  // Assigns to the node the endpoint that it prefers among those with free slots. Returns false if there is
+  // none.
   bool AssignPreferred(std::uint32_t node, const Indexes& endpoints);
-  // For a node that already has all endpoints with free slots: another node takes one of these and leaves an
-  // endpoint to this node. The preferred such exchange is made. Returns false if there is none.
+  // Assigns one more endpoint to a node to which all endpoints with free slots are already assigned. Another
+  // of `nodes` takes one of these endpoints and releases an endpoint for this node. Of all such exchanges,
+  // the most preferred one is made. Returns false if there is none.
   bool Exchange(std::uint32_t node, const Indexes& nodes, const Indexes& endpoints);
 
   [[nodiscard]] std::uint64_t Preference(std::uint32_t node, std::uint32_t endpoint) const;
@@ -48,9 +50,9 @@
   void Assign(std::uint32_t node, std::uint32_t endpoint);
 
   std::size_t endpoint_count_;
-  std::vector<std::size_t> free_slots_;     // By endpoint.
-  std::vector<Indexes> assigned_;           // By node.
-  std::vector<std::uint64_t> preferences_;  // By node and endpoint.
+  std::vector<std::size_t> free_slots_;     // Indexed by endpoint.
+  std::vector<Indexes> assigned_;           // Indexed by node.
+  std::vector<std::uint64_t> preferences_;  // Indexed by node and endpoint.
 };
 
 }  // namespace hingelink::decide
--- a/src/decide/load_balancing/subsetting.cpp
+++ b/src/decide/load_balancing/subsetting.cpp
@@ -18,9 +18,9 @@
 
 using Indexes = SubsetMatching::Indexes;
 
-// Remainders that differ by less are equal.
+// Remainders are rounded to multiples of the inverse, so that rounding errors do not order equal remainders.
 constexpr double kRemainderPrecision = 1e9;
-// Hashed with a node's name where only some nodes of a zone get one more endpoint.
+// Hashed with the names of nodes to decide which nodes of a zone get one more endpoint than the others.
 constexpr std::string_view kOddSlotSalt = "odd";
 
 std::uint64_t HashOf(std::string_view name) { return XXH3_64bits(name.data(), name.size()); }
@@ -37,8 +37,8 @@
   return capacity;
 }
 
-// Gives `nodes` slots to each endpoint whose share would be as large, and removes it from `open`. Returns
-// whether there was one; the shares of the others have then grown.
+// Gives `nodes` slots, the maximum, to each endpoint whose share by capacity is at least that large, and
+// removes it from `open`. Returns whether an endpoint was removed; the shares of the others are then larger.
 bool AssignFullEndpoints(std::size_t nodes, const std::vector<SubsetEndpoint>& endpoints, Indexes& open,
                          std::vector<std::size_t>& slots, std::size_t& slots_left) {
   const double slots_per_capacity = static_cast<double>(slots_left) / TotalCapacity(open, endpoints);
@@ -51,7 +51,8 @@
   return removed > 0;
 }
 
-// Distributes the slots by capacity, the rest by largest remainders.
+// Distributes the slots among the endpoints in `open` by capacity. The method of largest remainders rounds
+// the shares to whole slots.
 void AssignByRemainders(const std::vector<SubsetEndpoint>& endpoints, const Indexes& open,
                         std::vector<std::size_t>& slots, std::size_t slots_left) {
   const double capacity = TotalCapacity(open, endpoints);
@@ -83,8 +84,8 @@
   return zones;
 }
 
-// How many endpoints of its zone each node gets. If the zone has too few slots, they are shared evenly; which
-// nodes get one more is decided by a hash of their names.
+// Returns the number of endpoints of its own zone that each node of the zone gets. If the zone has too few
+// slots, they are shared evenly, and a hash of the names decides which nodes get one more.
 std::vector<std::size_t> WantedInZone(const std::vector<SubsetNode>& nodes, const Zone& zone,
                                       const SubsetMatching& matching, std::size_t size) {
   std::size_t slots = 0;
--- a/src/decide/load_balancing/subsetting.h
+++ b/src/decide/load_balancing/subsetting.h
@@ -1,10 +1,10 @@
-// Subsetting: which of the endpoints that many nodes share each node uses. Every node computes the same
-// assignment from the same lists; nothing is exchanged.
+// Subsetting assigns to each node the subset of the shared endpoints that it uses. Every node computes the
+// same assignment from the same lists, so that the nodes exchange no messages for it.
 //
 // With N nodes that use k endpoints each, every endpoint gets its share of the N*k slots by capacity, within
-// one. Nodes use endpoints of their own zone as far as these have slots. A node or endpoint that joins or
-// leaves moves few slots of the others: pairs are matched in the order of their rendezvous hash, a stable
-// matching (Gale and Shapley) with equal preferences on both sides.
+// one slot. Nodes use endpoints of their own zone as far as these have slots. A node or endpoint that joins
+// or leaves changes few assignments of the others, because pairs are matched in the order of their rendezvous
+// hash. This is a stable matching (Gale and Shapley) where node and endpoint have equal preferences.
 #ifndef HINGELINK_DECIDE_LOAD_BALANCING_SUBSETTING_H_
 #define HINGELINK_DECIDE_LOAD_BALANCING_SUBSETTING_H_
 
@@ -16,7 +16,7 @@
 
 namespace hingelink::decide {
 
-// Names are unique, among nodes and among endpoints.
+// The names of nodes are unique, and so are the names of endpoints.
 struct SubsetNode {
   std::string name;
   std::string zone;
@@ -29,17 +29,18 @@
   bool operator==(const SubsetEndpoint&) const = default;
 };
 
-// The preference of a node and an endpoint for each other, the same on every machine.
+// Returns the mutual preference of a node and an endpoint. The result is the same on every machine.
 [[nodiscard]] std::uint64_t RendezvousHash(std::string_view node, std::string_view endpoint);
 
-// Returns the slots of each endpoint, by largest remainders: `nodes` * `size` in all, each within one of its
-// exact share and never above `nodes`. `size` is limited to the number of endpoints.
+// Returns the number of slots of each endpoint. They add up to `nodes` * `size`, where `size` is limited to
+// the number of endpoints. The method of largest remainders keeps each number within one of the endpoint's
+// exact share by capacity. An endpoint has at most `nodes` slots.
 [[nodiscard]] std::vector<std::size_t> SlotsPerEndpoint(std::size_t nodes,
                                                         const std::vector<SubsetEndpoint>& endpoints,
                                                         std::size_t size);
 
-// Returns for each node its `size` endpoints, as indexes into `endpoints`, in descending preference. Takes
-// O(N*M) for the hashes and O(N*k*log(N*k)) for the matching.
+// Returns the subset of each node: `size` indexes into `endpoints`, in descending preference. For N nodes, M
+// endpoints and k = `size`, the hashes take O(N*M) and the matching takes O(N*k*log(N*k)).
 [[nodiscard]] std::vector<std::vector<std::uint32_t>> AssignSubsets(
     const std::vector<SubsetNode>& nodes, const std::vector<SubsetEndpoint>& endpoints, std::size_t size);
 
--- a/src/decide/milliseconds.h
+++ b/src/decide/milliseconds.h
@@ -1,4 +1,4 @@
-// The unit of time of the decisions: fractional milliseconds.
+// The time unit of the decision logic: fractional milliseconds.
 #ifndef HINGELINK_DECIDE_MILLISECONDS_H_
 #define HINGELINK_DECIDE_MILLISECONDS_H_
 
@@ -6,7 +6,7 @@
 
 namespace hingelink::decide {
 
-// A duration, or a time on the node's monotonic clock, whose origin is of no meaning.
+// A duration, or a point in time on the node's monotonic clock, whose origin is arbitrary.
 using Milliseconds = std::chrono::duration<double, std::milli>;
 
 }  // namespace hingelink::decide
--- a/src/decide/random_source.h
+++ b/src/decide/random_source.h
@@ -1,4 +1,4 @@
-// Where the decisions take their random numbers from, so that a seed reproduces a run.
+// The source of random numbers for the decision logic. It is injected so that a seeded run is reproducible.
 #ifndef HINGELINK_DECIDE_RANDOM_SOURCE_H_
 #define HINGELINK_DECIDE_RANDOM_SOURCE_H_
 
@@ -10,7 +10,7 @@
 // Returns the next random number, uniformly distributed over 64 bits.
 using RandomSource = std::function<std::uint64_t()>;
 
-// A number in [0, bound). Takes none from the source and returns 0 if `bound` is 0.
+// Returns a random number in [0, bound). If `bound` is 0, returns 0 and draws no number from the source.
 [[nodiscard]] inline std::uint64_t UniformRandom(const RandomSource& random, std::uint64_t bound) {
   return bound == 0 ? 0 : random() % bound;
 }
--- a/src/decide/upstream/reconnect_backoff.cpp
+++ b/src/decide/upstream/reconnect_backoff.cpp
@@ -5,15 +5,15 @@
 namespace hingelink::decide {
 namespace {
 
-// Bounds the shift; kMaxDelay is reached long before.
+// Bounds the exponent. The delay reaches kMaxDelay after fewer doublings.
 constexpr int kMaxDoublings = 8;
 
 }  // namespace
 
-ReconnectBackoff::Span ReconnectBackoff::OnFailure() {
-  const Span limit = std::min(kMaxDelay, kMinDelay * (2 << std::min(failures_, kMaxDoublings)));
+Milliseconds ReconnectBackoff::OnFailure() {
+  const Milliseconds limit = std::min(kMaxDelay, kMinDelay * (2 << std::min(failures_, kMaxDoublings)));
   ++failures_;
-  return kMinDelay + (limit - kMinDelay) * draw_();
+  return kMinDelay + (limit - kMinDelay) * random_fraction_();
 }
 
 }  // namespace hingelink::decide
--- a/src/decide/upstream/unresponsive_connection.h
+++ b/src/decide/upstream/unresponsive_connection.h
@@ -1,62 +1,64 @@
-// Decides when a connection to the upstream counts as unresponsive: calls are in flight on it, and nothing
-// was received for much longer than replies take.
+// Decides whether a connection to the upstream is unresponsive: calls are in flight on it, and nothing was
+// received for much longer than replies usually take.
 //
-// New calls then use another connection; the calls in flight on the unresponsive one are still awaited. It is
-// closed, and its calls fail, only if in addition many later calls were answered on other connections, or if
-// it stayed silent for a multiple of the timeout. Time alone is no proof: an upstream that suddenly becomes
-// ten times slower appears unresponsive, and a call with an effect must not be repeated once it was
-// abandoned.
+// New calls then use another connection, and the calls in flight on the unresponsive connection continue to
+// wait for their replies. The connection is closed, and its calls fail, only if in addition many replies
+// arrived on other connections, or if nothing was received for a multiple of the timeout. Exceeding the
+// timeout does not prove that the connection is broken: an upstream that suddenly becomes ten times slower
+// appears unresponsive, and an abandoned call that has an effect must not be repeated.
 //
-// Each connection that is given up without a reply in between doubles the timeout, so that an upstream that
-// has stopped costs only a handful of connections.
+// Each connection that is given up doubles the timeout until the next reply, so that only a few connections
+// are opened to an upstream that has stopped.
 #ifndef HINGELINK_DECIDE_UPSTREAM_UNRESPONSIVE_CONNECTION_H_
 #define HINGELINK_DECIDE_UPSTREAM_UNRESPONSIVE_CONNECTION_H_
 
-#include <chrono>
 #include <cstdint>
 
+#include "decide/milliseconds.h"
+
 namespace hingelink::decide {
 
-// One for all connections to an upstream. Not thread-safe.
+// One detector serves all connections to an upstream. Not thread-safe.
 class UnresponsiveConnectionDetector {
  public:
-  using Span = std::chrono::duration<double, std::milli>;
-
-  // Above the pauses of a machine that is shared with other processes.
-  static constexpr Span kMinTimeout{150};
-  static constexpr Span kMaxTimeout{3000};
-  // A connection that is silent for this long is closed.
-  static constexpr Span kMaxDeadTimeout{5000};
-  // Timeout as a multiple of the mean reply time. If reply times are exponential, one reply in three thousand
-  // takes longer.
+  // Longer than the scheduling pauses on a machine that is shared with other processes.
+  static constexpr Milliseconds kMinTimeout{150};
+  static constexpr Milliseconds kMaxTimeout{3000};
+  // A connection that new calls no longer use is closed after this time without a received byte at the
+  // latest.
+  static constexpr Milliseconds kMaxDeadTimeout{5000};
+  // The timeout as a multiple of the mean reply time. If reply times are exponentially distributed, one reply
+  // in three thousand takes longer.
   static constexpr double kTimeoutFactor = 8;
-  // A connection is closed after this multiple of the timeout.
+  // A connection is closed after this multiple of the timeout after which new calls stopped using it.
   static constexpr double kDeadTimeoutFactor = 10;
-  // More replies on other connections than calls in flight beside it can explain.
+  // Number of replies on other connections that proves a connection broken. It exceeds the number of calls in
+  // flight on other connections, so that some of the replies must belong to later calls.
   static constexpr std::uint64_t kMinOvertakingReplies = 20;
 
   enum class Verdict {
-    kWait,
-    kStopUsing,  // New calls go to another connection.
-    kClose,
+    kWait,       // No change.
+    kStopUsing,  // New calls use another connection from now on.
+    kClose,      // The connection is broken: its calls fail.
   };
 
-  // `unresponsive_for`: time since the last byte was received, or since the first call. `stopped_after`: the
-  // timeout after which new calls stopped to use the connection; 0: they still use it. `may_open`: whether
-  // another connection may be opened. `overtaking`: replies on other connections since this one was last
-  // heard, rejections excluded.
-  [[nodiscard]] Verdict Evaluate(Span unresponsive_for, Span stopped_after, bool may_open,
-                                 std::uint64_t overtaking);
+  // Returns what to do with a connection that has calls in flight. `unresponsive_for`: time since the last
+  // byte was received, or since the first call. `stopped_after`: the timeout after which new calls stopped
+  // using the connection, or 0 while they use it. `may_open`: whether another connection may be opened.
+  // `overtaking_replies`: replies on other connections since the last byte was received on this connection,
+  // rejections excluded.
+  [[nodiscard]] Verdict Evaluate(Milliseconds unresponsive_for, Milliseconds stopped_after, bool may_open,
+                                 std::uint64_t overtaking_replies);
 
-  // A reply was received `elapsed` after its call.
-  void OnReply(Span elapsed);
-  // The silence after which new calls stop to use a connection.
-  [[nodiscard]] Span timeout() const;
+  // To be called when a reply was received `elapsed` after its call.
+  void OnReply(Milliseconds elapsed);
+  // The time without a received byte after which new calls stop using a connection.
+  [[nodiscard]] Milliseconds timeout() const;
 
  private:
-  Span mean_reply_{0};
+  Milliseconds mean_reply_{0};
   bool has_reply_ = false;
-  int given_up_ = 0;  // Connections since the last reply.
+  int given_up_connections_ = 0;  // Since the last reply.
 };
 
 }  // namespace hingelink::decide
--- a/tests/decide/health/deep_health_checks_test.cpp
+++ b/tests/decide/health/deep_health_checks_test.cpp
@@ -23,13 +23,13 @@
   EXPECT_FALSE(checks.in_flight());
 }
 
-TEST(DeepHealthChecks, ACallerIsAnsweredUnhealthyAfterTheTimeout) {
+TEST(DeepHealthChecks, CallerIsAnsweredUnhealthyAfterTheTimeout) {
   Checks checks;
   ASSERT_TRUE(checks.OnCheck(1, Millis(0)).verify);
   EXPECT_EQ(checks.ExpireWaiting(Checks::kTimeout).answers, (Answers{{1, false}}));
 }
 
-TEST(DeepHealthChecks, AnOverdueVerificationStaysInFlight) {
+TEST(DeepHealthChecks, VerificationStaysInFlightAfterTheTimeout) {
   Checks checks;
   const auto first = checks.OnCheck(1, Millis(0));
   static_cast<void>(checks.ExpireWaiting(Checks::kTimeout));
@@ -37,7 +37,7 @@
   EXPECT_EQ(checks.OnVerified(*first.verify, true).answers, (Answers{{2, true}}));
 }
 
-TEST(DeepHealthChecks, ANewLinkRepeatsTheVerificationAndTheOldOutcomeIsIgnored) {
+TEST(DeepHealthChecks, ReconnectRepeatsTheVerificationAndIgnoresTheOldOutcome) {
   Checks checks;
   const auto first = checks.OnCheck(1, Millis(0));
   const auto repeated = checks.OnReconnected();
@@ -46,7 +46,7 @@
   EXPECT_EQ(checks.OnVerified(*repeated.verify, false).answers, (Answers{{1, false}}));
 }
 
-TEST(DeepHealthChecks, ANewLinkVerifiesNothingWhileNoCallerWaits) {
+TEST(DeepHealthChecks, ReconnectStartsNoVerificationWhileNoCallerWaits) {
   Checks checks;
   EXPECT_FALSE(checks.OnReconnected().verify);
   const auto first = checks.OnCheck(1, Millis(0));
@@ -54,10 +54,10 @@
   EXPECT_FALSE(checks.OnReconnected().verify);
 }
 
-// The host's side: callers that wait, and a pool that answers verifications.
-class HostModel {
+// A model of the owner of the checks: callers that wait for an answer, and a pool that answers verifications.
+class OwnerModel {
  public:
-  void PassTime(Millis span) {
+  void AdvanceTime(Millis span) {
     now_ += span;
     if (const auto next = checks_.next_deadline(); next && *next <= now_) {
       Execute(checks_.ExpireWaiting(now_));
@@ -99,30 +99,30 @@
 
   Checks checks_;
   Millis now_{0};
-  std::map<int, Millis> deadlines_;  // By waiting caller.
-  std::optional<std::uint64_t> at_pool_;
-  std::set<std::uint64_t> tags_;  // Of all verifications.
+  std::map<int, Millis> deadlines_;       // Keyed by waiting caller.
+  std::optional<std::uint64_t> at_pool_;  // Tag of the verification that the pool has not answered.
+  std::set<std::uint64_t> tags_;          // Tags of all verifications so far.
 };
 
-RC_GTEST_PROP(DeepHealthChecks, OneVerificationInFlightAndEachCallerAnsweredOnceInTime, ()) {
-  HostModel host;
+RC_GTEST_PROP(DeepHealthChecks, AtMostOneVerificationIsInFlightAndEachCallerIsAnsweredOnceInTime, ()) {
+  OwnerModel owner;
   for (int i = 0; i < 300; ++i) {
-    host.PassTime(Millis(*rc::gen::inRange(0, 200)));
+    owner.AdvanceTime(Millis(*rc::gen::inRange(0, 200)));
     switch (*rc::gen::inRange(0, 5)) {
       case 0:
       case 1:
-        host.Check(i);
+        owner.Check(i);
         break;
       case 2:
-        host.AnswerVerification(*rc::gen::arbitrary<bool>());
+        owner.AnswerVerification(*rc::gen::arbitrary<bool>());
         break;
       case 3:
-        host.Reconnect();
+        owner.Reconnect();
         break;
       default:
-        host.DisconnectCaller();
+        owner.DisconnectCaller();
     }
-    host.CheckWaiting();
+    owner.CheckWaiting();
   }
 }
 
--- a/tests/decide/load_balancing/balanced_node.h
+++ b/tests/decide/load_balancing/balanced_node.h
@@ -1,4 +1,4 @@
-// A node with a load balancer, on simulated time, for tests.
+// A node with a load balancer and simulated time, for tests.
 #ifndef HINGELINK_TESTS_DECIDE_LOAD_BALANCING_BALANCED_NODE_H_
 #define HINGELINK_TESTS_DECIDE_LOAD_BALANCING_BALANCED_NODE_H_
 
@@ -12,7 +12,7 @@
 
 namespace hingelink::decide {
 
-// Named n0, n1, ..., in turn in each zone.
+// Returns nodes named n0, n1, ..., which are assigned to the zones in turn.
 inline std::vector<SubsetNode> MakeNodes(std::size_t count, std::size_t zones = 1) {
   std::vector<SubsetNode> nodes;
   for (std::size_t i = 0; i < count; ++i) {
@@ -21,7 +21,7 @@
   return nodes;
 }
 
-// Named s0, s1, ..., in turn in each zone.
+// Returns endpoints named s0, s1, ..., which are assigned to the zones in turn.
 inline std::vector<SubsetEndpoint> MakeEndpoints(std::size_t count, std::size_t zones = 1,
                                                  double capacity = 1) {
   std::vector<SubsetEndpoint> endpoints;
@@ -31,7 +31,7 @@
   return endpoints;
 }
 
-// All endpoints are connected, and no longer new.
+// A node n0 whose endpoints are all connected and past the random delay of their slow start.
 class BalancedNode {
  public:
   static constexpr Milliseconds kLatency{10};
@@ -41,10 +41,10 @@
       : random_state_(seed), balancer_(options, "n0", "", [this] { return Random(); }) {
     balancer_.SetEndpoints(now, MakeEndpoints(endpoints));
     for (const EndpointId id : balancer_.endpoints()) balancer_.SetConnected(now, id, true);
-    Pass(Milliseconds(5'000));
+    AdvanceTime(Milliseconds(5'000));
   }
 
-  // SplitMix64.
+  // Returns the next random number, by SplitMix64.
   std::uint64_t Random() {
     random_state_ += 0x9e3779b97f4a7c15ULL;
     std::uint64_t mixed = random_state_;
@@ -53,33 +53,33 @@
     return mixed ^ (mixed >> 31);
   }
 
-  void Pass(Milliseconds span) {
+  void AdvanceTime(Milliseconds span) {
     now += span;
     balancer_.Tick(now);
   }
-  // Starts a request and ends it after `elapsed`.
+  // Starts a request and finishes it after `elapsed`.
   Choice RunRequest(Milliseconds elapsed = kLatency, RequestOutcome outcome = RequestOutcome::kSuccess) {
-    const Choice choice = Start();
+    const Choice choice = StartRequest();
     now += elapsed;
-    Finish(choice.endpoint, elapsed, outcome);
+    FinishRequest(choice.endpoint, elapsed, outcome);
     balancer_.Tick(now);
     return choice;
   }
   void RunRequests(std::size_t count) {
     for (std::size_t i = 0; i < count; ++i) RunRequest();
   }
-  // An endpoint must be connected.
-  Choice Start(const RequestTraits& request = {}, EndpointId excluded = kNoEndpoint) {
+  // Requires that an endpoint is connected.
+  Choice StartRequest(const RequestTraits& request = {}, EndpointId excluded = kNoEndpoint) {
     return balancer_.ChooseEndpoint(now, request, excluded).value();
   }
-  void Finish(EndpointId id, Milliseconds elapsed = kLatency,
-              RequestOutcome outcome = RequestOutcome::kSuccess, const RequestTraits& request = {}) {
+  void FinishRequest(EndpointId id, Milliseconds elapsed = kLatency,
+                     RequestOutcome outcome = RequestOutcome::kSuccess, const RequestTraits& request = {}) {
     balancer_.OnRequestFinished(now, id, request, outcome, elapsed);
   }
-  void Report(EndpointId id, double in_flight) { balancer_.OnLoadReport(now, id, in_flight, now); }
-  // All active endpoints report the same load.
-  void ReportAll(double in_flight) {
-    for (const EndpointId id : active()) Report(id, in_flight);
+  void ReportLoad(EndpointId id, double in_flight) { balancer_.OnLoadReport(now, id, in_flight, now); }
+  // Reports the same load for all active endpoints.
+  void ReportLoadOfAll(double in_flight) {
+    for (const EndpointId id : active()) ReportLoad(id, in_flight);
   }
   void Reconnect(EndpointId id) {
     balancer_.SetConnected(now, id, false);
--- a/tests/decide/load_balancing/load_balancer_test.cpp
+++ b/tests/decide/load_balancing/load_balancer_test.cpp
@@ -19,7 +19,7 @@
   return options;
 }
 
-// Random events, and what must hold after each.
+// Applies random events to a load balancer and checks its invariants after each event.
 class RandomEvents {
  public:
   RandomEvents()
@@ -71,7 +71,7 @@
     const auto [id, request] = open_.back();
     open_.pop_back();
     const auto outcome = static_cast<RequestOutcome>(node_.Random() % 3);
-    node_.Finish(id, Milliseconds(static_cast<double>(node_.Random() % 200)), outcome, request);
+    node_.FinishRequest(id, Milliseconds(static_cast<double>(node_.Random() % 200)), outcome, request);
   }
   void StartRequest() {
     const RequestTraits request{.request_kind = static_cast<std::uint32_t>(node_.Random() % 3),
@@ -98,7 +98,8 @@
     const auto connected = std::count_if(node_.active().begin(), node_.active().end(),
                                          [this](EndpointId id) { return IsConnected(id); });
     const std::size_t ejected = node_.EjectedCount();
-    // Endpoints may stay ejected while other ones leave; further ones are ejected below the limit only.
+    // Ejected endpoints stay ejected when other endpoints are removed, so the limit is checked only when
+    // another endpoint is ejected.
     if (ejected > ejected_before_) {
       RC_ASSERT(static_cast<double>(ejected) <=
                 options_.max_ejected_fraction * static_cast<double>(connected));
@@ -116,21 +117,21 @@
   std::size_t ejected_before_ = 0;
 };
 
-RC_GTEST_PROP(LoadBalancer, ChoosesConnectedEndpointsAndKeepsItsLimitsByEveryPolicy, ()) {
+RC_GTEST_PROP(LoadBalancer, EveryPolicyChoosesConnectedEndpointsWithinEjectionAndRetryLimits, ()) {
   RandomEvents events;
   for (int step = 0; step < 300; ++step) events.Step();
 }
 
-TEST(LoadBalancer, UsesAllEndpointsIfAllAreEjected) {
+TEST(LoadBalancer, ChoosesAmongAllConnectedEndpointsIfAllAreEjected) {
   LoadBalancerOptions options;
   options.max_ejected_fraction = 1;
   BalancedNode node(3, options);
   node.RunRequests(200);
-  // No endpoint responds.
+  // The requests are never finished, so no endpoint responds.
   for (int i = 0; i < 60; ++i) {
     const RequestTraits write{.request_kind = 0, .is_idempotent = false};
     ASSERT_TRUE(node.balancer().ChooseEndpoint(node.now, write).has_value());
-    node.Pass(Milliseconds(100));
+    node.AdvanceTime(Milliseconds(100));
   }
   EXPECT_GT(node.balancer().counters().all_ejected_choices, 10u);
 }
@@ -139,7 +140,7 @@
 
 INSTANTIATE_TEST_SUITE_P(Policies, EachPolicy, testing::Range<std::size_t>(0, kPolicies));
 
-TEST_P(EachPolicy, LeavesNoActiveEndpointWithoutRequestOrPollForLong) {
+TEST_P(EachPolicy, SendsARequestOrPollToEachActiveEndpointWithinMaxUnprobedTime) {
   LoadBalancerOptions options;
   options.policy = static_cast<Policy>(GetParam());
   BalancedNode node(8, options);
@@ -152,28 +153,28 @@
     used_at[node.RunRequest(Milliseconds(5)).endpoint] = node.now;
     for (const EndpointId id : node.balancer().EndpointsToPoll(node.now)) {
       used_at[id] = node.now;
-      node.Report(id, id == node.active()[0] ? 50 : 0);
+      node.ReportLoad(id, id == node.active()[0] ? 50 : 0);
     }
     for (const auto& [id, at] : used_at) longest = std::max(longest, node.now - at);
   }
   EXPECT_LE(longest.count(), options.max_unprobed_time.count() * 1.5) << PolicyName(options.policy);
 }
 
-TEST(LoadBalancer, ARetryAvoidsTheEndpointThatDidNotExecuteTheRequest) {
+TEST(LoadBalancer, RetryIsNotSentToTheEndpointThatDidNotExecuteTheRequest) {
   BalancedNode node(3);
   node.RunRequests(100);
   const EndpointId excluded = node.active()[0];
   for (int i = 0; i < 60; ++i) {
-    const Choice choice = node.Start({}, excluded);
+    const Choice choice = node.StartRequest({}, excluded);
     EXPECT_NE(choice.endpoint, excluded);
-    node.Finish(choice.endpoint);
+    node.FinishRequest(choice.endpoint);
   }
 }
 
-TEST(LoadBalancer, AnEndpointThatIsListedAgainKeepsItsIdAndRequestsInFlight) {
+TEST(LoadBalancer, RelistedEndpointKeepsItsIdAndRequestsInFlight) {
   BalancedNode node(3);
   node.RunRequests(100);
-  const EndpointId id = node.Start().endpoint;
+  const EndpointId id = node.StartRequest().endpoint;
   const std::string name = node.Snapshot(id).name;
   auto remaining = MakeEndpoints(3);
   std::erase_if(remaining, [&](const SubsetEndpoint& endpoint) { return endpoint.name == name; });
@@ -183,7 +184,7 @@
   EXPECT_EQ(node.Snapshot(id).local_in_flight, 1u);
 }
 
-TEST(Policy, IsParsedByItsName) {
+TEST(Policy, NameIsParsedToThePolicyAndUnknownNameIsRejected) {
   for (std::size_t i = 0; i < kPolicies; ++i) {
     const auto policy = static_cast<Policy>(i);
     EXPECT_EQ(ParsePolicy(PolicyName(policy)), policy);
--- a/tests/decide/load_balancing/load_estimator_test.cpp
+++ b/tests/decide/load_balancing/load_estimator_test.cpp
@@ -15,12 +15,12 @@
   return options;
 }
 
-// Of four endpoints the first reports no load, the others 8 requests in flight.
+// The first of four endpoints reports no load, and the others report 8 requests in flight.
 class AgingReport : public testing::Test {
  protected:
   AgingReport() {
     node_.RunRequests(100);
-    for (const EndpointId id : node_.active()) node_.Report(id, id == node_.active()[0] ? 0 : 8);
+    for (const EndpointId id : node_.active()) node_.ReportLoad(id, id == node_.active()[0] ? 0 : 8);
   }
   double EstimateOfFirst() const { return node_.Snapshot(node_.active()[0]).estimated_load; }
 
@@ -28,21 +28,21 @@
   BalancedNode node_{4, options_};
 };
 
-TEST_F(AgingReport, IsTheEstimateWhileNew) { EXPECT_NEAR(EstimateOfFirst(), 0, 0.01); }
+TEST_F(AgingReport, NewReportIsTheEstimatedLoad) { EXPECT_NEAR(EstimateOfFirst(), 0, 0.01); }
 
-TEST_F(AgingReport, HasHalfTheWeightAfterItsHalfLife) {
+TEST_F(AgingReport, ReportHasHalfTheWeightAfterItsHalfLife) {
   node_.now += options_.load_report_half_life;
   EXPECT_NEAR(EstimateOfFirst(), 3, 0.01);
 }
 
-TEST_F(AgingReport, IsReplacedByTheMeanOfAllEndpoints) {
+TEST_F(AgingReport, MeanOfAllEndpointsReplacesAnOldReport) {
   node_.now += options_.load_report_half_life * 6;
   EXPECT_NEAR(EstimateOfFirst(), 6, 0.3);
 }
 
-TEST_F(AgingReport, RequestsStartedSinceAreAdded) {
+TEST_F(AgingReport, RequestsStartedSinceTheReportAreAdded) {
   node_.now += options_.load_report_half_life * 6;
-  node_.Start();
+  node_.StartRequest();
   double highest = 0;
   for (const EndpointId id : node_.active()) {
     highest = std::max(highest, node_.Snapshot(id).estimated_load);
@@ -50,7 +50,7 @@
   EXPECT_GT(highest, 6.5);
 }
 
-// Two endpoints that were polled, and requests that were started before they reported.
+// Two endpoints were polled, and requests were started before the reports arrived.
 class PolledEndpoints : public testing::Test {
  protected:
   PolledEndpoints() {
@@ -60,7 +60,7 @@
     polled_at_ = node_.now;
     first_ = node_.active()[0];
     second_ = node_.active()[1];
-    for (int i = 0; i < 6; ++i) started_at_first_ += node_.Start().endpoint == first_ ? 1 : 0;
+    for (int i = 0; i < 6; ++i) started_at_first_ += node_.StartRequest().endpoint == first_ ? 1 : 0;
     node_.balancer().OnLoadReport(node_.now, first_, 10, polled_at_);
     node_.balancer().OnLoadReport(node_.now, second_, 10, polled_at_);
   }
@@ -78,19 +78,19 @@
   EXPECT_NEAR(EstimateOfFirst(), 10 + started_at_first_, 0.1);
 }
 
-TEST_F(PolledEndpoints, AnOlderReportThatArrivesLaterIsIgnored) {
+TEST_F(PolledEndpoints, ReportOfAnEarlierPollIsIgnored) {
   node_.balancer().OnLoadReport(node_.now, first_, 0, polled_at_ - Milliseconds(50));
   EXPECT_NEAR(EstimateOfFirst(), 10 + started_at_first_, 0.1);
 }
 
-TEST_F(PolledEndpoints, TheMeanFollowsNewReportsWithinTheSameMoment) {
+TEST_F(PolledEndpoints, MeanIncludesANewReportOfTheSameTime) {
   node_.now += Milliseconds(600);
-  node_.Report(second_, 20);
+  node_.ReportLoad(second_, 20);
   const double high = EstimateOfFirst();
   node_.now += Milliseconds(0.001);
-  node_.Report(second_, 20);
+  node_.ReportLoad(second_, 20);
   static_cast<void>(EstimateOfFirst());
-  node_.Report(second_, 0);
+  node_.ReportLoad(second_, 0);
   EXPECT_LT(EstimateOfFirst(), high - 5);
 }
 
--- a/tests/decide/load_balancing/request_budget_test.cpp
+++ b/tests/decide/load_balancing/request_budget_test.cpp
@@ -5,7 +5,7 @@
 namespace hingelink::decide {
 namespace {
 
-TEST(RequestBudget, GrantsAFractionOfTheRequests) {
+TEST(RequestBudget, GrantsTheConfiguredFractionOfRequests) {
   RequestBudget budget(0.25, 10, 0);
   int granted = 0;
   for (int i = 0; i < 100; ++i) {
@@ -17,7 +17,7 @@
   EXPECT_EQ(granted, 25);
 }
 
-TEST(RequestBudget, AccumulatesUpToItsMaximum) {
+TEST(RequestBudget, AccumulatesTokensUpToTheMaximum) {
   RequestBudget budget(1, 3, 0);
   for (int i = 0; i < 100; ++i) budget.OnRequest();
   for (int i = 0; i < 3; ++i) {
--- a/tests/decide/load_balancing/slow_start_test.cpp
+++ b/tests/decide/load_balancing/slow_start_test.cpp
@@ -9,7 +9,7 @@
 namespace hingelink::decide {
 namespace {
 
-// Two endpoints, of which the second was disconnected for a while.
+// Two endpoints. The second is disconnected until Connect() is called.
 class ReconnectedEndpoint : public testing::Test {
  protected:
   ReconnectedEndpoint() {
@@ -18,17 +18,18 @@
     node_.balancer().SetConnected(node_.now, reconnected_, false);
   }
   void Connect() { node_.balancer().SetConnected(node_.now, reconnected_, true); }
-  // Starts requests, and ends those at the other endpoint, while the reconnected one reports no load and the
-  // other a high one. Returns the requests in flight at the reconnected one.
+  // Starts requests while the reconnected endpoint reports no load and the other endpoint reports a high
+  // load. Finishes only the requests at the other endpoint. Returns the number of requests in flight at the
+  // reconnected endpoint.
   std::size_t StartRequests() {
     std::size_t in_flight = 0;
     for (int i = 0; i < 40; ++i) {
-      for (const EndpointId id : node_.active()) node_.Report(id, id == reconnected_ ? 0 : 6);
-      const Choice choice = node_.Start();
+      for (const EndpointId id : node_.active()) node_.ReportLoad(id, id == reconnected_ ? 0 : 6);
+      const Choice choice = node_.StartRequest();
       if (choice.endpoint == reconnected_) {
         ++in_flight;
       } else {
-        node_.Finish(choice.endpoint);
+        node_.FinishRequest(choice.endpoint);
       }
       node_.now += Milliseconds(1);
     }
@@ -43,7 +44,7 @@
   for (int i = 0; i < 50; ++i) EXPECT_NE(node_.RunRequest().endpoint, reconnected_);
 }
 
-TEST_F(ReconnectedEndpoint, ReceivesOneRequestAtATimeUntilItResponds) {
+TEST_F(ReconnectedEndpoint, HasAtMostOneRequestInFlightUntilItResponds) {
   for (int i = 0; i < 50; ++i) node_.RunRequest();
   Connect();
   EXPECT_LE(StartRequests(), 1u);
@@ -52,12 +53,12 @@
 TEST_F(ReconnectedEndpoint, IsHealthyAfterSuccessfulResponses) {
   Connect();
   const std::size_t in_flight = StartRequests();
-  for (std::size_t i = 0; i < in_flight; ++i) node_.Finish(reconnected_);
+  for (std::size_t i = 0; i < in_flight; ++i) node_.FinishRequest(reconnected_);
   node_.RunRequests(200);
   EXPECT_EQ(node_.StateOf(reconnected_), EndpointState::kHealthy);
 }
 
-TEST(SlowStart, NodesThatShareAnEndpointDoNotUseItAllAtOnceWhenItReconnects) {
+TEST(SlowStart, FewNodesUseASharedEndpointImmediatelyAfterItReconnects) {
   LoadBalancerOptions options;
   options.subset_size = 2;
   std::size_t at_once = 0;
@@ -67,12 +68,12 @@
     node.RunRequests(200);
     const EndpointId reconnected = node.active()[1];
     node.Reconnect(reconnected);
-    for (int i = 0; i < 3; ++i) at_once += node.Start().endpoint == reconnected ? 1 : 0;
+    for (int i = 0; i < 3; ++i) at_once += node.StartRequest().endpoint == reconnected ? 1 : 0;
   }
   EXPECT_LT(at_once, 20u);
 }
 
-TEST(SlowStart, ARecoveringEndpointIsChosenRarelyAtFirst) {
+TEST(SlowStart, RecoveringEndpointInitiallyReceivesASmallShare) {
   LoadBalancerOptions options;
   options.reaction_delay_factor = 0;
   std::size_t chosen = 0;
@@ -81,9 +82,9 @@
     node.RunRequests(100);
     const EndpointId reconnected = node.active()[3];
     node.Reconnect(reconnected);
-    chosen += node.Start().endpoint == reconnected ? 1 : 0;
+    chosen += node.StartRequest().endpoint == reconnected ? 1 : 0;
   }
-  // An equal share would be 12; the less loaded of two random ones would have 25.
+  // An equal share would be 12 requests. Choosing the less loaded of two random endpoints would give 25.
   EXPECT_LT(chosen, 6u);
 }
 
--- a/tests/decide/load_balancing/subsetting_test.cpp
+++ b/tests/decide/load_balancing/subsetting_test.cpp
@@ -41,7 +41,7 @@
   return fleet;
 }
 
-RC_GTEST_PROP(Subsetting, EachNodeUsesAsManyDistinctEndpointsAsTheSubsetSize, ()) {
+RC_GTEST_PROP(Subsetting, EachNodeHasSubsetSizeDistinctEndpoints, ()) {
   const RandomFleet fleet = DrawFleet();
   const std::size_t expected = std::min(fleet.subset_size, fleet.endpoints.size());
   for (const auto& subset : AssignSubsets(fleet.nodes, fleet.endpoints, fleet.subset_size)) {
@@ -50,18 +50,18 @@
   }
 }
 
-RC_GTEST_PROP(Subsetting, EachEndpointIsUsedByAsManyNodesAsItHasSlots, ()) {
+RC_GTEST_PROP(Subsetting, NumberOfNodesOfEachEndpointEqualsItsSlots, ()) {
   const RandomFleet fleet = DrawFleet();
   const auto subsets = AssignSubsets(fleet.nodes, fleet.endpoints, fleet.subset_size);
   RC_ASSERT(CountUses(subsets, fleet.endpoints.size()) ==
             SlotsPerEndpoint(fleet.nodes.size(), fleet.endpoints, fleet.subset_size));
 }
 
-RC_GTEST_PROP(Subsetting, SlotsFollowTheCapacityWithinOne, ()) {
+RC_GTEST_PROP(Subsetting, SlotsAreProportionalToCapacityWithinOne, ()) {
   const RandomFleet fleet = DrawFleet();
   const std::size_t nodes = fleet.nodes.size();
   const auto slots = SlotsPerEndpoint(nodes, fleet.endpoints, fleet.subset_size);
-  // Endpoints that all nodes use have fewer slots than their share; the others divide the rest.
+  // Endpoints that all nodes use have fewer slots than their share by capacity. The others share the rest.
   double capacity = 0;
   std::size_t shared = 0;
   for (std::size_t i = 0; i < slots.size(); ++i) {
@@ -90,10 +90,11 @@
   return pairs;
 }
 
-// A fleet of several sizes that changes by one node or endpoint.
+// A fleet to which one node or endpoint is added, or from which one is removed. The parameter is its number
+// of nodes.
 class SubsettingChange : public testing::TestWithParam<std::size_t> {
  protected:
-  // Pairs of the unchanged fleet that are none of the changed one.
+  // Returns the number of pairs of the unchanged fleet that the changed fleet does not have.
   std::size_t CountMoved(const std::vector<SubsetNode>& nodes,
                          const std::vector<SubsetEndpoint>& endpoints) const {
     const NamePairs after = PairsOf(nodes, endpoints);
@@ -109,34 +110,34 @@
 
 INSTANTIATE_TEST_SUITE_P(FleetSizes, SubsettingChange, testing::Values(10, 50, 300));
 
-TEST_P(SubsettingChange, ANodeThatJoinsMovesFewPairs) {
+TEST_P(SubsettingChange, AddingANodeMovesFewPairs) {
   auto nodes = nodes_;
   nodes.push_back({"new", "z0"});
-  // Only slots that shift by one move.
+  // Pairs move only where the number of slots of an endpoint changes, by one.
   EXPECT_LE(CountMoved(nodes, endpoints_), 4 * kSubsetSize);
 }
 
-TEST_P(SubsettingChange, ANodeThatLeavesMovesFewPairsBesidesItsOwn) {
+TEST_P(SubsettingChange, RemovingANodeMovesFewPairsOfOtherNodes) {
   auto nodes = nodes_;
   nodes.erase(nodes.begin() + 3);
   EXPECT_LE(CountMoved(nodes, endpoints_), kSubsetSize + 4 * kSubsetSize);
 }
 
-// The least possible is the endpoint's own slots; up to twice as many may move.
-TEST_P(SubsettingChange, AnEndpointThatLeavesMovesFewPairsBesidesItsOwn) {
+// At least the slots of the removed endpoint have to move. Up to twice as many may move.
+TEST_P(SubsettingChange, RemovingAnEndpointMovesFewPairsOfOtherEndpoints) {
   auto endpoints = endpoints_;
   endpoints.erase(endpoints.begin() + 7);
   EXPECT_LE(CountMoved(nodes_, endpoints), node_count_ * kSubsetSize / kEndpoints * 2 + kSubsetSize);
 }
 
-TEST_P(SubsettingChange, AnEndpointThatJoinsMovesFewPairsBesidesItsOwn) {
+TEST_P(SubsettingChange, AddingAnEndpointMovesFewPairsOfOtherEndpoints) {
   auto endpoints = endpoints_;
   endpoints.push_back({"new", "z0", 1});
   EXPECT_LE(CountMoved(nodes_, endpoints), node_count_ * kSubsetSize / (kEndpoints + 1) * 2 + kSubsetSize);
 }
 
-TEST(Subsetting, NodesUseTheirOwnZoneFirstAndOtherZonesForTheRest) {
-  // Half of the nodes are in each zone, but a quarter of the endpoints in the first.
+TEST(Subsetting, NodesPreferEndpointsOfTheirOwnZone) {
+  // Each zone has half of the nodes, but the first zone has only a quarter of the endpoints.
   const auto nodes = MakeNodes(40, 2);
   std::vector<SubsetEndpoint> endpoints;
   for (std::size_t i = 0; i < 20; ++i) endpoints.push_back({"s" + std::to_string(i), i < 5 ? "z0" : "z1", 1});
--- a/tests/decide/upstream/connection_selection_test.cpp
+++ b/tests/decide/upstream/connection_selection_test.cpp
@@ -11,7 +11,7 @@
 
 constexpr std::size_t kCalls = 100;
 
-// The connections after so many calls, of which none was answered.
+// Returns the connections after `calls` calls were started and none was answered.
 std::vector<ConnectionCandidate> StartCalls(std::size_t calls) {
   std::vector<ConnectionCandidate> connections;
   for (std::size_t i = 0; i < calls; ++i) {
@@ -26,25 +26,25 @@
   EXPECT_EQ(StartCalls(kCalls).size(), kMaxUpstreamConnections);
 }
 
-TEST(ConnectionSelection, CallsAreDistributedEvenly) {
+TEST(ConnectionSelection, DistributesCallsEvenlyOverConnections) {
   for (const ConnectionCandidate& connection : StartCalls(kCalls)) {
     EXPECT_LE(connection.in_flight, kCalls / kMaxUpstreamConnections + 1);
   }
 }
 
-TEST(ConnectionSelection, SelectsTheFirstOfTheIdleConnections) {
+TEST(ConnectionSelection, SelectsTheFirstIdleConnection) {
   std::vector<ConnectionCandidate> connections = StartCalls(kCalls);
   connections[5].in_flight = connections[9].in_flight = 0;
   EXPECT_EQ(SelectConnection(connections, true), 5u);
 }
 
-TEST(ConnectionSelection, AFailedUpstreamIsMetByOneConnectionUntilItReplies) {
+TEST(ConnectionSelection, OpensOnlyOneConnectionToAFailedUpstreamUntilItReplies) {
   const std::vector<ConnectionCandidate> connections(1, {.in_flight = 30, .excluded = false});
   EXPECT_EQ(SelectConnection(connections, false), 0u);
   EXPECT_EQ(SelectConnection({}, false), kNewConnection);
 }
 
-RC_GTEST_PROP(ConnectionSelection, SelectsALeastLoadedConnectionThatIsNotExcludedOrOpensBelowTheLimit, ()) {
+RC_GTEST_PROP(ConnectionSelection, SelectsLeastLoadedNonExcludedConnectionOrOpensOneBelowTheLimit, ()) {
   std::vector<ConnectionCandidate> connections(
       *rc::gen::inRange<std::size_t>(0, kMaxUpstreamConnections + 1));
   for (ConnectionCandidate& connection : connections) {
