--- a/src/decide/membership/anti_entropy.cpp
+++ b/src/decide/membership/anti_entropy.cpp
@@ -6,13 +6,13 @@
 namespace hingelink::decide::membership {
 namespace {
 
-// A starting node that knows more alive members than this syncs with any of them: if a whole fleet starts,
-// the seeds alone could not answer all.
-constexpr std::size_t kMinMembersToSpread = 8;
-// A joining node syncs after this fraction of the probe timeout.
+// During the bootstrap period, a node that knows more alive members than this sends its sync requests to
+// random members. When a whole fleet starts, the seeds alone could not answer the requests of all nodes.
+constexpr std::size_t kMinMembersForRandomSync = 8;
+// A joining node delays its sync request by this fraction of the probe timeout.
 constexpr double kJoiningDelayFraction = 0.25;
-// Up to this many live members a node takes itself for a joining one.
-constexpr std::size_t kJoiningMembers = 2;
+// A node that knows at most this many live members, itself included, uses the delay of a joining node.
+constexpr std::size_t kMaxLiveMembersOfJoiningNode = 2;
 
 bool IsAlive(const Member& member) { return member.record.state == MemberState::kAlive; }
 
@@ -27,7 +27,7 @@
   if (!differing_peer_ || now < next_request_) return;
   next_request_ = now + options_.sync_interval;
   PeerAddress peer = *std::exchange(differing_peer_, std::nullopt);
-  if (now - began_at_ < options_.bootstrap_period && table_.alive() > kMinMembersToSpread) {
+  if (now - began_at_ < options_.bootstrap_period && table_.alive() > kMinMembersForRandomSync) {
     const Member* member = table_.PickRandom(IsAlive);
     if (member != nullptr) peer = member->record.address;
   }
@@ -99,7 +99,7 @@
 
 Milliseconds AntiEntropy::RequestDelay() const {
   const bool is_joining =
-      self_.record().phase == MemberPhase::kJoining || table_.live_members() <= kJoiningMembers;
+      self_.record().phase == MemberPhase::kJoining || table_.live_members() <= kMaxLiveMembersOfJoiningNode;
   return is_joining ? options_.probe_timeout * kJoiningDelayFraction : options_.sync_interval;
 }
 
--- a/src/decide/membership/broadcast_queue.cpp
+++ b/src/decide/membership/broadcast_queue.cpp
@@ -7,9 +7,10 @@
 namespace hingelink::decide::membership {
 namespace {
 
-// A queue of up to this many entries sends each in full number, of twice as many half as often ...
-constexpr double kFullRateQueueSize = 64;
-// ... but never less often than this.
+// In a queue of up to this many entries, each entry gets the full number of transmissions. In a longer queue
+// the number is divided by the ratio of the queue's size to this one.
+constexpr double kFullTransmitQueueSize = 64;
+// Lower bound of the transmissions of each entry, however long the queue is.
 constexpr double kMinTransmissions = 3;
 
 }  // namespace
@@ -54,7 +55,7 @@
 
 unsigned BroadcastQueue::TransmitLimit(std::size_t live_members) const {
   const double full = std::ceil(retransmit_factor_ * std::log(static_cast<double>(live_members) + 1));
-  const double overload = std::max(1.0, static_cast<double>(queue_.size()) / kFullRateQueueSize);
+  const double overload = std::max(1.0, static_cast<double>(queue_.size()) / kFullTransmitQueueSize);
   return static_cast<unsigned>(std::max(kMinTransmissions, full / overload));
 }
 
--- a/src/decide/membership/broadcast_queue.h
+++ b/src/decide/membership/broadcast_queue.h
@@ -1,7 +1,9 @@
-// Changes of members that are still to be disseminated, piggybacked on other messages (SWIM, section 4.1).
+// Member records that changed and are still to be disseminated. They are piggybacked on other messages (SWIM,
+// section 4.1).
 //
-// At most one entry a member; those that were sent least often go first, the oldest before younger ones. An
-// entry leaves the queue after a number of transmissions that grows with the logarithm of the fleet.
+// The queue has at most one entry per member. Entries with fewer transmissions are sent first, and among
+// these the entry that was queued first. An entry leaves the queue after a number of transmissions that grows
+// with the logarithm of the number of live members.
 #ifndef HINGELINK_DECIDE_MEMBERSHIP_BROADCAST_QUEUE_H_
 #define HINGELINK_DECIDE_MEMBERSHIP_BROADCAST_QUEUE_H_
 
@@ -21,17 +23,17 @@
   // `retransmit_factor`: MembershipOptions::retransmit_factor.
   explicit BroadcastQueue(double retransmit_factor) : retransmit_factor_(retransmit_factor) {}
 
-  // Puts the member's record into the queue; if it is there, it begins anew.
+  // Queues the member's record. If it is queued already, its count of transmissions restarts at 0.
   void Enqueue(Member& member);
   void Remove(Member& member);
 
-  // Appends records to the message while its encoded size stays within `max_bytes`. The record of
-  // `receiver` counts as sent, but is left out.
+  // Appends queued records to the message as long as its encoded size stays within `max_bytes`. The record of
+  // the member named `receiver` is not appended, but counts as transmitted.
   void AppendRecords(GossipMessage& message, std::size_t max_bytes, const std::string& receiver,
                      std::size_t live_members);
 
-  // How often each entry is sent in a fleet of so many members. In a long queue each is sent less often, as
-  // many nodes disseminate the same changes and anti-entropy repairs what is missed.
+  // The number of transmissions of each entry in a fleet of `live_members`. It is lower while the queue is
+  // long: many nodes then disseminate the same changes, and anti-entropy repairs records that were missed.
   [[nodiscard]] unsigned TransmitLimit(std::size_t live_members) const;
 
   [[nodiscard]] bool empty() const { return queue_.empty(); }
--- a/src/decide/membership/failure_detector.cpp
+++ b/src/decide/membership/failure_detector.cpp
@@ -6,14 +6,15 @@
 namespace hingelink::decide::membership {
 namespace {
 
-// For this many probe intervals after a pause no member is suspected.
+// For this many probe intervals after a pause of this process, failed probes cause no suspicion.
 constexpr double kGraceIntervalsAfterPause = 3;
-// Helpers are asked at this fraction of the interval at the latest.
+// Upper bound of the timeout of a direct probe, as a fraction of the time until the probe ends. It leaves
+// time for the indirect probes.
 constexpr double kMaxTimeoutFraction = 0.6;
-// From this many suspects on, probes are sent faster: whether they or this node are at fault must be known
-// before the suspicions time out.
-constexpr std::size_t kManySuspects = 2;
-constexpr double kManySuspectsIntervalFraction = 0.5;
+// With at least this many suspects, the probe interval is multiplied by the fraction below. Before the
+// suspicions time out, probes must show whether the suspects or this node are at fault.
+constexpr std::size_t kMinSuspectsForFastProbes = 2;
+constexpr double kFastProbeIntervalFraction = 0.5;
 
 bool IsAlive(const Member& member) { return member.record.state == MemberState::kAlive; }
 
@@ -26,21 +27,22 @@
 }
 
 void FailureDetector::Tick(Milliseconds now) {
-  if (IsOpen() && !probe_->is_indirect && now >= probe_->timeout_at) AskHelpers();
+  if (IsProbePending() && !probe_->is_indirect && now >= probe_->timeout_at) SendIndirectPings();
   if (now < next_probe_) return;
-  if (IsOpen()) Fail(now);
+  if (IsProbePending()) OnProbeFailed(now);
   probe_.reset();
   ScheduleNext(now);
   BeginProbe(now);
 }
 
 Milliseconds FailureDetector::NextDeadline() const {
-  if (!IsOpen()) return next_probe_;
+  if (!IsProbePending()) return next_probe_;
   return std::min(next_probe_, probe_->is_indirect ? probe_->end_at : probe_->timeout_at);
 }
 
 void FailureDetector::OnAck(const GossipMessage& ack) {
-  if (!IsOpen() || ack.sequence_number != probe_->sequence_number || ack.target != probe_->target) return;
+  if (!IsProbePending() || ack.sequence_number != probe_->sequence_number || ack.target != probe_->target)
+    return;
   probe_->is_answered = true;
   health_.Adjust(-1);
 }
@@ -49,7 +51,7 @@
   if (probe_ && nack.sequence_number == probe_->sequence_number) ++probe_->nacks;
 }
 
-void FailureDetector::AskHelpers() {
+void FailureDetector::SendIndirectPings() {
   probe_->is_indirect = true;
   const Member* target = table_.Find(probe_->target);
   if (target == nullptr) return;
@@ -64,7 +66,7 @@
   }
 }
 
-void FailureDetector::Fail(Milliseconds now) {
+void FailureDetector::OnProbeFailed(Milliseconds now) {
   health_.Adjust(HealthPenalty());
   Member* target = table_.Find(probe_->target);
   if (target == nullptr || !IsLive(target->record.state)) return;
@@ -77,8 +79,8 @@
 }
 
 void FailureDetector::ScheduleNext(Milliseconds now) {
-  const double urgency = table_.suspects() >= kManySuspects ? kManySuspectsIntervalFraction : 1;
-  next_probe_ = now + options_.probe_interval * (1 + health_.fraction()) * urgency;
+  const double factor = table_.suspects() >= kMinSuspectsForFastProbes ? kFastProbeIntervalFraction : 1;
+  next_probe_ = now + options_.probe_interval * (1 + health_.fraction()) * factor;
 }
 
 void FailureDetector::BeginProbe(Milliseconds now) {
--- a/src/decide/membership/failure_detector.h
+++ b/src/decide/membership/failure_detector.h
@@ -1,9 +1,9 @@
-// Probes the other members, one in each interval (SWIM, section 3.1).
+// Probes the other members, one per probe interval (SWIM, section 3.1).
 //
-// A member that does not answer a ping in time is probed through helpers, too. If no answer
-// arrives by the end of the interval, it becomes a suspect. LHA-Probe of Lifeguard: timeouts and intervals
-// grow with the local health score, and a helper that does not even answer with a nack counts against this
-// node's own health.
+// If a member does not answer a ping before the probe timeout, this node asks other members, the helpers, to
+// ping it too (indirect probes). If no ack arrives by the end of the interval, this node suspects the member.
+// LHA-Probe of Lifeguard: timeouts and intervals grow with the local health score. A helper that sends
+// neither an ack nor a nack worsens the score, as this node itself may be at fault.
 #ifndef HINGELINK_DECIDE_MEMBERSHIP_FAILURE_DETECTOR_H_
 #define HINGELINK_DECIDE_MEMBERSHIP_FAILURE_DETECTOR_H_
 
@@ -23,7 +23,7 @@
 
 namespace hingelink::decide::membership {
 
-// Not thread-safe. All references must outlive the object.
+// Holds at most one probe at a time. Not thread-safe. All references must outlive the object.
 class FailureDetector {
  public:
   FailureDetector(const MembershipOptions& options, const LocalMember& self, MemberTable& table,
@@ -35,13 +35,13 @@
         sender_(sender),
         health_(health) {}
 
-  // The first probe is due at this time.
+  // Schedules the first probe.
   void Begin(Milliseconds first_probe) { next_probe_ = first_probe; }
-  // This process was paused: drops the open probe, and suspects no member for a short time, as the answers
-  // that arrived meanwhile are still to be read.
+  // To be called after a pause of this process. Drops the pending probe, and suspects no member for a few
+  // probe intervals, as acks that arrived during the pause have not been read yet.
   void OnPaused(Milliseconds now);
 
-  // Asks helpers, ends the probe and begins the next one, as far as they are due.
+  // Sends the indirect probes, ends the pending probe and begins the next one, each if it is due.
   void Tick(Milliseconds now);
   [[nodiscard]] Milliseconds NextDeadline() const;
 
@@ -52,19 +52,19 @@
   struct Probe {
     std::string target;
     std::uint32_t sequence_number = 0;
-    Milliseconds timeout_at{0};  // Then helpers are asked.
-    Milliseconds end_at{0};
-    bool is_indirect = false;  // Helpers were asked.
+    Milliseconds timeout_at{0};  // When the indirect probes are sent.
+    Milliseconds end_at{0};      // When the probe fails unless it is answered.
+    bool is_indirect = false;    // Whether the indirect probes were sent.
     bool is_answered = false;
-    std::size_t helpers = 0;
+    std::size_t helpers = 0;  // Members that were asked for an indirect probe.
     std::size_t nacks = 0;
   };
 
-  [[nodiscard]] bool IsOpen() const { return probe_ && !probe_->is_answered; }
-  void AskHelpers();
-  // The probe got no answer.
-  void Fail(Milliseconds now);
-  // By how much an unanswered probe worsens the local health.
+  [[nodiscard]] bool IsProbePending() const { return probe_ && !probe_->is_answered; }
+  void SendIndirectPings();
+  // Handles the end of a probe without an ack: worsens the local health score and suspects the target.
+  void OnProbeFailed(Milliseconds now);
+  // The number of steps by which an unanswered probe worsens the local health score.
   [[nodiscard]] int HealthPenalty() const;
   void ScheduleNext(Milliseconds now);
   void BeginProbe(Milliseconds now);
@@ -77,7 +77,7 @@
   LocalHealth& health_;
   std::optional<Probe> probe_;
   Milliseconds next_probe_{0};
-  Milliseconds may_suspect_from_{-1};
+  Milliseconds may_suspect_from_{-1};  // Probes that fail earlier cause no suspicion.
 };
 
 }  // namespace hingelink::decide::membership
--- a/src/decide/membership/gossip_message.cpp
+++ b/src/decide/membership/gossip_message.cpp
@@ -3,7 +3,7 @@
 namespace hingelink::decide {
 namespace {
 
-// Encoded sizes of the fixed parts, rounded up.
+// Upper bounds of the encoded sizes of the parts of fixed size.
 constexpr std::size_t kMessageBytes = 40;
 constexpr std::size_t kBucketDigestBytes = 5;
 constexpr std::size_t kPayloadBytes = 5;
--- a/src/decide/membership/gossip_rounds.cpp
+++ b/src/decide/membership/gossip_rounds.cpp
@@ -3,16 +3,16 @@
 namespace hingelink::decide::membership {
 namespace {
 
-// With more broadcasts than fit into a message, rounds are sent more often.
-constexpr std::size_t kLongQueue = 20;
-// The interval then, as a fraction of MembershipOptions::gossip_interval.
+// With more queued broadcasts than this, which do not fit into one message, rounds are sent more often.
+constexpr std::size_t kMaxBroadcastsPerMessage = 20;
+// The interval of these rounds, as a fraction of MembershipOptions::gossip_interval.
 constexpr double kLongQueueIntervalFraction = 0.5;
 
 }  // namespace
 
 void GossipRounds::Tick(Milliseconds now) {
   if (now < timer_.deadline()) return;
-  const bool is_queue_long = broadcasts_.size() > kLongQueue;
+  const bool is_queue_long = broadcasts_.size() > kMaxBroadcastsPerMessage;
   timer_.Set(now + options_.gossip_interval * (is_queue_long ? kLongQueueIntervalFraction : 1));
   if (!is_pending()) return;
   self_.OnGossipRound();
--- a/src/decide/membership/gossip_rounds.h
+++ b/src/decide/membership/gossip_rounds.h
@@ -1,4 +1,5 @@
-// Periodic rounds of gossip that disseminate changes when no other message carries them (SWIM, section 4.1).
+// Periodic rounds of gossip, which disseminate changes sooner than probes and their answers alone would
+// (SWIM, section 4.1).
 #ifndef HINGELINK_DECIDE_MEMBERSHIP_GOSSIP_ROUNDS_H_
 #define HINGELINK_DECIDE_MEMBERSHIP_GOSSIP_ROUNDS_H_
 
@@ -24,9 +25,11 @@
         timer_(timer),
         sender_(sender) {}
 
-  // Sends a round to random live members, if it is due and there is something to send.
+  // Sends a gossip message to each of MembershipOptions::gossip_fanout random live members, if the round is
+  // due and is_pending().
   void Tick(Milliseconds now);
-  // Whether there is something to send; the round is due by the GossipTimer.
+  // Whether there are queued broadcasts or changes of this node's own record to send. The GossipTimer
+  // determines when the round is due.
   [[nodiscard]] bool is_pending() const { return !broadcasts_.empty() || self_.has_pending_rounds(); }
 
  private:
--- a/src/decide/membership/gossip_sender.h
+++ b/src/decide/membership/gossip_sender.h
@@ -1,4 +1,4 @@
-// Composes the messages of this node and piggybacks records on them.
+// Composes the messages of this node and piggybacks queued broadcasts on them.
 #ifndef HINGELINK_DECIDE_MEMBERSHIP_GOSSIP_SENDER_H_
 #define HINGELINK_DECIDE_MEMBERSHIP_GOSSIP_SENDER_H_
 
@@ -28,15 +28,16 @@
         broadcasts_(broadcasts),
         actions_(actions) {}
 
-  // A message with this node's own record and view digest.
+  // Returns a message with this node's own record and view digest.
   [[nodiscard]] GossipMessage Compose(GossipMessageKind kind, std::uint32_t sequence_number) const;
-  // Fills the message with records and sends it. `receiver`: the member at that address, if known; if it is
-  // not alive in this node's view, its own record goes first, so that it can refute that.
+  // Appends queued broadcasts to the message and sends it. `receiver`: the name of the member at `to`; empty
+  // if unknown. If this node's view lists the receiver as suspect or dead, that record is appended before the
+  // broadcasts, so that the receiver can refute it.
   void Send(const PeerAddress& to, GossipMessage message, const std::string& receiver = {});
-  // Sends a ping that this member answers. Returns the ping's sequence number.
+  // Pings the member named `target`. Returns the sequence number of the ping.
   std::uint32_t SendPing(const PeerAddress& to, const std::string& target);
 
-  // For a request of this node.
+  // Returns a new sequence number for a request of this node.
   [[nodiscard]] std::uint32_t NextSequenceNumber() { return ++last_sequence_number_; }
 
  private:
--- a/src/decide/membership/gossip_timer.h
+++ b/src/decide/membership/gossip_timer.h
@@ -1,4 +1,4 @@
-// When the next round of gossip is due.
+// The time at which the next round of gossip is due.
 #ifndef HINGELINK_DECIDE_MEMBERSHIP_GOSSIP_TIMER_H_
 #define HINGELINK_DECIDE_MEMBERSHIP_GOSSIP_TIMER_H_
 
@@ -8,12 +8,12 @@
 
 namespace hingelink::decide::membership {
 
-// Not thread-safe.
+// Shared by GossipRounds and the components that request a round. Not thread-safe.
 class GossipTimer {
  public:
   [[nodiscard]] Milliseconds deadline() const { return deadline_; }
   void Set(Milliseconds deadline) { deadline_ = deadline; }
-  // There is something that others should learn at once.
+  // Makes the next round due now at the latest, for a change that other nodes should receive at once.
   void RequestRound(Milliseconds now) { deadline_ = std::min(deadline_, now); }
 
  private:
--- a/src/decide/membership/gossip_topic.h
+++ b/src/decide/membership/gossip_topic.h
@@ -1,8 +1,9 @@
-// Application state that travels with the membership messages: budgets, counts, versions.
+// Application state that is piggybacked on the membership messages, such as budgets, counts and versions.
 //
-// A topic is a decision module of its own. It is asked for a delta whenever a message is sent and has room,
-// and for a part of its full state whenever two nodes compare their views. Payloads may be lost, repeated and
-// reordered, so that receiving one twice, or late, must do no harm.
+// Each gossip topic is implemented by a separate decision module. GossipTopics asks the topic for a delta for
+// every message with space left, and also for a part of its full state for every sync request and sync
+// response. Payloads may be lost, duplicated and reordered, so a topic must tolerate a payload that arrives
+// twice or late.
 #ifndef HINGELINK_DECIDE_MEMBERSHIP_GOSSIP_TOPIC_H_
 #define HINGELINK_DECIDE_MEMBERSHIP_GOSSIP_TOPIC_H_
 
@@ -18,25 +19,27 @@
 
 namespace hingelink::decide {
 
-// Called on the thread of the owner of GossipTopics.
+// The interface of a gossip topic. Its methods are called on the thread that uses GossipTopics.
 class GossipTopic {
  public:
   virtual ~GossipTopic() = default;
-  // Names the topic on the wire. Never used for another topic.
+  // Identifies the topic on the wire. The id of a former topic must not be reused.
   [[nodiscard]] virtual std::uint8_t id() const = 0;
-  // Changes for the node at `to`, in at most `max_bytes`. Empty if there are none.
+  // Returns the changes to send to the node at `to`, encoded in at most `max_bytes`; empty if there are none.
   [[nodiscard]] virtual std::string EncodeDelta(Milliseconds now, const PeerAddress& to,
                                                 std::size_t max_bytes) = 0;
-  // A part of the full state in at most `max_bytes`; successive calls cycle through all parts.
+  // Returns a part of the full state, encoded in at most `max_bytes`. Successive calls cycle through all
+  // parts.
   [[nodiscard]] virtual std::string EncodeFullState(Milliseconds now, const PeerAddress& to,
                                                     std::size_t max_bytes) = 0;
-  // A payload of this topic has arrived.
+  // Handles a received payload of this topic. `from` is the record of the sender in the message.
   virtual void OnMessage(Milliseconds now, const MemberRecord& from, std::string_view body) = 0;
 };
 
-// Upper bound of the payloads of one message, all topics together. Records of members take precedence.
+// Upper bound of the total size of the payloads of one message. Payloads get only the space that member
+// records leave.
 inline constexpr std::size_t kMaxPayloadBytes = 600;
-// Upper bound of what the encoding of a payload adds to its body.
+// Upper bound of the bytes that the encoding of a payload adds to its body.
 inline constexpr std::size_t kPayloadOverheadBytes = 8;
 
 // The topics of a node. Not thread-safe.
@@ -44,16 +47,17 @@
  public:
   // `topic` must outlive the object, and no two topics may have the same id.
   void Register(GossipTopic& topic) { topics_.push_back(&topic); }
-  // Adds payloads to a message as long as its encoded size stays within `max_message_bytes`. The topics take
-  // turns at being the first.
+  // Appends payloads to a message as long as its encoded size stays within `max_message_bytes`. Each call
+  // begins with the next topic in turn, so that every topic gets its share of the space.
   void AppendPayloads(Milliseconds now, const PeerAddress& to, GossipMessage& message,
                       std::size_t max_message_bytes);
-  // Passes the payloads of a message to their topics. Unknown topics, of a later version, are ignored.
+  // Passes the payloads of a message to their topics. Ignores unknown topics, which a node of a later version
+  // may send.
   void Dispatch(Milliseconds now, const GossipMessage& message);
 
  private:
   std::vector<GossipTopic*> topics_;
-  std::size_t first_ = 0;
+  std::size_t first_topic_ = 0;  // The index of the topic with which the latest call began.
 };
 
 }  // namespace hingelink::decide
--- a/src/decide/membership/indirect_probes.cpp
+++ b/src/decide/membership/indirect_probes.cpp
@@ -6,7 +6,8 @@
 namespace hingelink::decide::membership {
 namespace {
 
-// The nack is sent at this fraction of the probe timeout, so that it arrives before the requester gives up.
+// The nack is sent after this fraction of the probe timeout, so that it arrives before the requester's probe
+// ends.
 constexpr double kNackTimeoutFraction = 0.8;
 
 }  // namespace
@@ -26,8 +27,8 @@
 void IndirectProbes::OnAck(const GossipMessage& ack) {
   const MemberRecord& sender = ack.records.front();
   if (ack.target != sender.name) return;
-  const auto probe = std::find_if(probes_.begin(), probes_.end(), [&](const IndirectProbe& open) {
-    return open.sequence_number == ack.sequence_number && open.target == ack.target;
+  const auto probe = std::find_if(probes_.begin(), probes_.end(), [&](const IndirectProbe& pending) {
+    return pending.sequence_number == ack.sequence_number && pending.target == ack.target;
   });
   if (probe == probes_.end()) return;
   GossipMessage answer = sender_.Compose(GossipMessageKind::kAck, probe->request_sequence_number);
@@ -47,12 +48,12 @@
 }
 
 std::optional<Milliseconds> IndirectProbes::NextDeadline() const {
-  std::optional<Milliseconds> due;
+  std::optional<Milliseconds> deadline;
   for (const IndirectProbe& probe : probes_) {
-    const Milliseconds probe_due = probe.is_nacked ? probe.end_at : probe.nack_at;
-    due = due ? std::min(*due, probe_due) : probe_due;
+    const Milliseconds probe_deadline = probe.is_nacked ? probe.end_at : probe.nack_at;
+    deadline = deadline ? std::min(*deadline, probe_deadline) : probe_deadline;
   }
-  return due;
+  return deadline;
 }
 
 }  // namespace hingelink::decide::membership
--- a/src/decide/membership/local_health.h
+++ b/src/decide/membership/local_health.h
@@ -1,6 +1,6 @@
-// How far this node trusts its own observations: Lifeguard's local health multiplier (Dadgar, Phillips,
-// Currey 2017). A node that misses answers, or that others suspect, may itself be the slow one: it then waits
-// longer for answers before it suspects others.
+// Lifeguard's local health multiplier (Dadgar, Phillips, Currey 2017). A node that misses acks or is
+// suspected by other members may itself be slow. Its score then rises, and it waits longer for acks before it
+// suspects other members.
 #ifndef HINGELINK_DECIDE_MEMBERSHIP_LOCAL_HEALTH_H_
 #define HINGELINK_DECIDE_MEMBERSHIP_LOCAL_HEALTH_H_
 
@@ -13,12 +13,12 @@
  public:
   explicit LocalHealth(int max_score) : max_score_(max_score) {}
 
-  // 0: healthy.
+  // 0 is healthy; greater scores are worse.
   [[nodiscard]] int score() const { return score_; }
-  // The score as a fraction of the worst one.
+  // The score as a fraction of the maximum.
   [[nodiscard]] double fraction() const { return static_cast<double>(score_) / max_score_; }
 
-  // Positive steps are for the worse. The score stays between 0 and its maximum.
+  // Adds `step` to the score: a positive step worsens it. The score stays between 0 and its maximum.
   void Adjust(int step) { score_ = std::clamp(score_ + step, 0, max_score_); }
   void SetWorst() { score_ = max_score_; }
 
