--- a/src/decide/membership/local_member.cpp
+++ b/src/decide/membership/local_member.cpp
@@ -6,12 +6,14 @@
 namespace hingelink::decide::membership {
 namespace {
 
-// At most one raise in this time: two processes of one name must not outbid each other without end.
+// Minimum time between two raises of the process epoch. Without it, two processes with the same name would
+// raise their epochs in turn without limit.
 constexpr Milliseconds kMinEpochRaiseInterval{1'000};
-// After this many raises two processes of one name are reported.
-constexpr int kNameConflictRaises = 3;
-// The epoch is raised by a random number up to this.
-constexpr std::uint64_t kMaxEpochRaise = 1024;
+// The number of raises at which a name conflict is reported: one raise may be due to an earlier process of
+// this name, repeated raises mean that another process uses the name now.
+constexpr int kEpochRaisesForNameConflict = 3;
+// A new epoch exceeds the other process's epoch by a random number from 1 to this.
+constexpr std::uint64_t kMaxEpochIncrement = 1024;
 
 }  // namespace
 
@@ -35,13 +37,13 @@
   MemberRecord changed = record_;
   changed.phase = phase;
   ++changed.version.incarnation;
-  Set(changed);
+  ReplaceRecord(changed);
 }
 
-void LocalMember::Refute(Milliseconds now, const MemberVersion& seen) {
+void LocalMember::Refute(Milliseconds now, const MemberVersion& refuted) {
   MemberRecord changed = record_;
-  changed.version.incarnation = std::max(seen.incarnation, record_.version.incarnation) + 1;
-  Set(changed);
+  changed.version.incarnation = std::max(refuted.incarnation, record_.version.incarnation) + 1;
+  ReplaceRecord(changed);
   gossip_timer_.RequestRound(now);
 }
 
@@ -62,20 +64,20 @@
   Refute(now, record.version);
 }
 
-void LocalMember::RaiseProcessEpoch(Milliseconds now, std::uint64_t seen) {
+void LocalMember::RaiseProcessEpoch(Milliseconds now, std::uint64_t peer_epoch) {
   if (now - epoch_raised_at_ < kMinEpochRaiseInterval) return;
   epoch_raised_at_ = now;
   ++epoch_raises_;
-  if (epoch_raises_ == kNameConflictRaises) {
+  if (epoch_raises_ == kEpochRaisesForNameConflict) {
     actions_.Report(MembershipEventKind::kNameConflict, record_.name);
   }
   MemberRecord changed = record_;
-  changed.version = {seen + 1 + UniformRandom(random_, kMaxEpochRaise), 0};
-  Set(changed);
+  changed.version = {peer_epoch + 1 + UniformRandom(random_, kMaxEpochIncrement), 0};
+  ReplaceRecord(changed);
   actions_.Report(MembershipEventKind::kProcessEpochRaised, record_.name);
 }
 
-void LocalMember::Set(const MemberRecord& record) {
+void LocalMember::ReplaceRecord(const MemberRecord& record) {
   digest_.Toggle(record_);
   record_ = record;
   digest_.Toggle(record_);
--- a/src/decide/membership/local_member.h
+++ b/src/decide/membership/local_member.h
@@ -1,7 +1,9 @@
-// This node's own record: what it announces, and how it answers statements of others about it.
+// This node's own record, which it announces to the other members, and its response to records about it that
+// other nodes send.
 //
-// Only the node itself raises its incarnation; it does so to refute a suspicion (SWIM, section 4.2) and to
-// announce a new phase. If others know a greater process epoch under its name, its own becomes greater still.
+// Only the node itself raises its incarnation, to refute a suspicion (SWIM, section 4.2) or to announce a new
+// phase. If another node sends a record of this node's name with a greater process epoch, this node raises
+// its own epoch above that one.
 #ifndef HINGELINK_DECIDE_MEMBERSHIP_LOCAL_MEMBER_H_
 #define HINGELINK_DECIDE_MEMBERSHIP_LOCAL_MEMBER_H_
 
@@ -17,7 +19,7 @@
 
 namespace hingelink::decide::membership {
 
-// Not thread-safe. All references must outlive the object; `digest` includes the record.
+// Not thread-safe. All references must outlive the object. Keeps `digest` up to date with the record.
 class LocalMember {
  public:
   LocalMember(MemberRecord self, const RandomSource& random, ViewDigest& digest, const MemberTable& table,
@@ -27,21 +29,23 @@
   [[nodiscard]] const MemberRecord& record() const { return record_; }
   [[nodiscard]] const std::string& name() const { return record_.name; }
 
-  // Announces another phase, as a new incarnation.
+  // Announces a new phase with a new incarnation.
   void SetPhase(MemberPhase phase);
-  // Announces a greater incarnation than its own and `seen`.
-  void Refute(Milliseconds now, const MemberVersion& seen);
-  // Another node has sent this record, which has this node's name.
+  // Announces an incarnation that is greater than this node's current one and the one in `refuted`, and
+  // requests a round of gossip.
+  void Refute(Milliseconds now, const MemberVersion& refuted);
+  // Handles a received record that has this node's name: refutes it or raises the process epoch, if needed.
   void OnRecord(Milliseconds now, const MemberRecord& record);
 
-  // Whether rounds of gossip are still owed to the record itself.
+  // Whether the last change of the record is still to be sent in rounds of gossip.
   [[nodiscard]] bool has_pending_rounds() const { return pending_rounds_ > 0; }
+  // Counts a round of gossip, which carries the record.
   void OnGossipRound() { pending_rounds_ -= pending_rounds_ > 0 ? 1 : 0; }
 
  private:
-  void Set(const MemberRecord& record);
-  // Another process of this name has a greater epoch.
-  void RaiseProcessEpoch(Milliseconds now, std::uint64_t seen);
+  void ReplaceRecord(const MemberRecord& record);
+  // Raises the process epoch above `peer_epoch`, the greater epoch of another process of this node's name.
+  void RaiseProcessEpoch(Milliseconds now, std::uint64_t peer_epoch);
 
   MemberRecord record_;
   const RandomSource& random_;
@@ -51,7 +55,7 @@
   GossipTimer& gossip_timer_;
   LocalHealth& health_;
   ActionSink& actions_;
-  unsigned pending_rounds_ = 0;
+  unsigned pending_rounds_ = 0;  // Rounds of gossip in which the record is still to be sent.
   Milliseconds epoch_raised_at_{-1e9};
   int epoch_raises_ = 0;
 };
--- a/src/decide/membership/mass_failure_guard.cpp
+++ b/src/decide/membership/mass_failure_guard.cpp
@@ -6,21 +6,22 @@
 namespace hingelink::decide::membership {
 namespace {
 
-// A single silent member says nothing about this node's link, however small the fleet is.
-constexpr std::size_t kMinSilentMembers = 2;
+// Fewer failed members than this are no mass failure, however small the fleet is: the failure of a single
+// member does not indicate a fault of this node's own link.
+constexpr std::size_t kMinFailedMembers = 2;
 
 }  // namespace
 
 void MassFailureGuard::OnMessage(Milliseconds now, const std::string& name) {
   std::erase_if(recent_senders_, [&](const RecentSender& sender) { return sender.name == name; });
   recent_senders_.insert(recent_senders_.begin(), {now, name});
-  // One more than is asked for: the suspect itself does not count.
+  // Keeps one sender more than required, as MayRemove() does not count the suspect itself.
   if (recent_senders_.size() > options_.min_recent_senders + 1) recent_senders_.pop_back();
 }
 
-std::optional<Milliseconds> MassFailureGuard::SinceLastMessage(Milliseconds now) const {
+std::optional<Milliseconds> MassFailureGuard::TimeSinceLastMessage(Milliseconds now) const {
   if (recent_senders_.empty()) return std::nullopt;
-  return now - recent_senders_.front().at;
+  return now - recent_senders_.front().last_message_at;
 }
 
 void MassFailureGuard::ExpireRemovals(Milliseconds now) {
@@ -30,7 +31,8 @@
 MassFailureGuard::Verdict MassFailureGuard::Decide(Milliseconds now, const Member& suspect) const {
   if (!MayRemove(now, suspect)) return Verdict::kDefer;
   const bool is_grace_period = now - last_deferral_ < options_.min_suspicion_timeout;
-  if (is_grace_period && DeferringFor(now) <= options_.max_removal_deferral) return Verdict::kGracePeriod;
+  if (is_grace_period && TimeSinceDeferralStart(now) <= options_.max_removal_deferral)
+    return Verdict::kGracePeriod;
   return Verdict::kRemove;
 }
 
@@ -46,28 +48,29 @@
   return is_first;
 }
 
-bool MassFailureGuard::Release(Member& member) {
+bool MassFailureGuard::EndDeferral(Member& member) {
   if (!std::exchange(member.is_removal_deferred, false)) return false;
   --deferred_;
   return deferred_ == 0;
 }
 
 bool MassFailureGuard::MayRemove(Milliseconds now, const Member& suspect) const {
-  const std::size_t others = table_.live_members() - 2;
-  const std::size_t wanted = std::min(options_.min_recent_senders, others);
-  if (CountRecentSenders(suspect.state_since, suspect.record.name) < wanted) return false;
-  const std::size_t silent = table_.suspects() + removals_.size();
-  const auto known = static_cast<double>(table_.live_members() + removals_.size());
+  // The live members other than this node and the suspect.
+  const std::size_t possible_senders = table_.live_members() - 2;
+  const std::size_t required_senders = std::min(options_.min_recent_senders, possible_senders);
+  if (CountRecentSenders(suspect.state_since, suspect.record.name) < required_senders) return false;
+  const std::size_t failed = table_.suspects() + removals_.size();
+  const auto members = static_cast<double>(table_.live_members() + removals_.size());
   const bool is_mass_failure =
-      silent >= kMinSilentMembers && static_cast<double>(silent) > options_.mass_failure_fraction * known;
+      failed >= kMinFailedMembers && static_cast<double>(failed) > options_.mass_failure_fraction * members;
   if (!is_mass_failure) return true;
-  return is_deferring() && DeferringFor(now) > options_.max_removal_deferral;
+  return is_deferring() && TimeSinceDeferralStart(now) > options_.max_removal_deferral;
 }
 
-std::size_t MassFailureGuard::CountRecentSenders(Milliseconds since, const std::string& name) const {
-  return static_cast<std::size_t>(
-      std::count_if(recent_senders_.begin(), recent_senders_.end(),
-                    [&](const RecentSender& sender) { return sender.at > since && sender.name != name; }));
+std::size_t MassFailureGuard::CountRecentSenders(Milliseconds since, const std::string& excluded) const {
+  return static_cast<std::size_t>(std::count_if(
+      recent_senders_.begin(), recent_senders_.end(),
+      [&](const RecentSender& sender) { return sender.last_message_at > since && sender.name != excluded; }));
 }
 
 }  // namespace hingelink::decide::membership
--- a/src/decide/membership/mass_failure_guard.h
+++ b/src/decide/membership/mass_failure_guard.h
@@ -1,10 +1,17 @@
-// Defers the removal of members while many are silent at once: a partition, or a fault of this node's own
-// link, appears as the failure of many others.
+// Defers the removal of members while many members fail at once: a network partition, or a fault of this
+// node's own link, appears to this node as the failure of many other members.
 //
-// A member is removed only if messages of enough others were received since it fell silent, and if no more
-// than a fraction of the members is silent. Removals that are deferred resume when messages of the others
-// arrive again, or after MembershipOptions::max_removal_deferral; then a grace period follows in which no
-// member is removed.
+// A suspect is removed only if both conditions hold:
+// - Since its suspicion began, messages of at least MembershipOptions::min_recent_senders other members
+// arrived.
+// - At most MembershipOptions::mass_failure_fraction of the members failed, that is, are suspects or were
+// removed
+//   within MembershipOptions::mass_failure_window. This condition is waived once removals have been deferred
+//   for longer than MembershipOptions::max_removal_deferral.
+//
+// After the last deferral no member is removed during a grace period of
+// MembershipOptions::min_suspicion_timeout, unless removals have been deferred for longer than
+// max_removal_deferral.
 #ifndef HINGELINK_DECIDE_MEMBERSHIP_MASS_FAILURE_GUARD_H_
 #define HINGELINK_DECIDE_MEMBERSHIP_MASS_FAILURE_GUARD_H_
 
@@ -26,47 +33,51 @@
   MassFailureGuard(const MembershipOptions& options, const MemberTable& table)
       : options_(options), table_(table) {}
 
-  // A message of this member has arrived.
+  // To be called for each message of a live member. `name`: the member's name.
   void OnMessage(Milliseconds now, const std::string& name);
-  // Since the last message of any member; none if there was no message.
-  [[nodiscard]] std::optional<Milliseconds> SinceLastMessage(Milliseconds now) const;
+  // The time since the last message of any member, or none if no message has arrived yet.
+  [[nodiscard]] std::optional<Milliseconds> TimeSinceLastMessage(Milliseconds now) const;
 
   enum class Verdict {
     kRemove,
-    kDefer,        // Too many are silent.
-    kGracePeriod,  // Removals were deferred until a short time ago: decide again at GracePeriodEnd().
+    kDefer,        // Too many members failed, or too few others sent messages: defer the removal.
+    kGracePeriod,  // The last deferral was a short time ago: decide again at GracePeriodEnd().
   };
-  // Forgets the removals that are older than the window. To be called before a suspect is decided on.
+  // Drops the removals that are older than MembershipOptions::mass_failure_window. To be called before
+  // Decide().
   void ExpireRemovals(Milliseconds now);
-  // What to do with a suspect that has timed out.
+  // Decides whether to remove a suspect whose suspicion has timed out.
   [[nodiscard]] Verdict Decide(Milliseconds now, const Member& suspect) const;
   [[nodiscard]] Milliseconds GracePeriodEnd() const;
 
-  // Defers the removal of a member. Returns whether it is the only one that is deferred.
+  // Defers the removal of a member. Returns whether no removal was deferred before.
   bool Defer(Milliseconds now, Member& member);
-  // Defers it no longer, if it was deferred. Returns whether that was the last one.
-  bool Release(Member& member);
-  // The member was removed.
+  // Ends the deferral of the member's removal, if there is one. Returns whether this ended the last deferral.
+  bool EndDeferral(Member& member);
+  // To be called when a member was removed.
   void OnRemoved(Milliseconds now) { removals_.push_back(now); }
 
   [[nodiscard]] bool is_deferring() const { return deferred_ > 0; }
-  // Since removals began to be deferred; of the last time, if none is deferred now.
-  [[nodiscard]] Milliseconds DeferringFor(Milliseconds now) const { return now - deferring_since_; }
+  // The time since removals began to be deferred. If none is deferred now, the time since the start of the
+  // latest period in which removals were deferred.
+  [[nodiscard]] Milliseconds TimeSinceDeferralStart(Milliseconds now) const { return now - deferring_since_; }
 
  private:
   struct RecentSender {
-    Milliseconds at{0};
+    Milliseconds last_message_at{0};
     std::string name;
   };
 
+  // Whether the conditions for a removal hold, apart from the grace period.
   [[nodiscard]] bool MayRemove(Milliseconds now, const Member& suspect) const;
-  [[nodiscard]] std::size_t CountRecentSenders(Milliseconds since, const std::string& name) const;
+  // The number of members other than `excluded` that sent a message after `since`.
+  [[nodiscard]] std::size_t CountRecentSenders(Milliseconds since, const std::string& excluded) const;
 
   const MembershipOptions& options_;
   const MemberTable& table_;
-  std::vector<RecentSender> recent_senders_;  // The latest first; each member once.
-  std::deque<Milliseconds> removals_;         // Within the window.
-  std::size_t deferred_ = 0;
+  std::vector<RecentSender> recent_senders_;  // The latest sender first, each member at most once.
+  std::deque<Milliseconds> removals_;         // Times of the removals within the window, the oldest first.
+  std::size_t deferred_ = 0;                  // Members whose removal is deferred.
   Milliseconds deferring_since_{0};
   Milliseconds last_deferral_{-1e9};
 };
--- a/src/decide/membership/member.h
+++ b/src/decide/membership/member.h
@@ -1,4 +1,4 @@
-// A member of the fleet, as nodes describe it to each other.
+// The description of a member of the fleet that nodes exchange.
 #ifndef HINGELINK_DECIDE_MEMBERSHIP_MEMBER_H_
 #define HINGELINK_DECIDE_MEMBERSHIP_MEMBER_H_
 
@@ -16,32 +16,33 @@
   auto operator<=>(const PeerAddress&) const = default;
 };
 
-// What a node says of itself. The values are those on the wire.
+// The phase that a node announces in its own record. The phases have these values on the wire.
 enum class MemberPhase : std::uint8_t { kJoining, kWarmingUp, kServing, kDraining, kLeft };
-// The state of a member in the view of another node. The values are those on the wire.
+// The state of a member in the view of another node. The states have these values on the wire.
 enum class MemberState : std::uint8_t { kAlive, kSuspect, kDead };
 
-// Names in the control protocol and on terminals.
+// The names in the control protocol and in output on terminals.
 [[nodiscard]] const char* MemberPhaseName(MemberPhase phase);
 [[nodiscard]] const char* MemberStateName(MemberState state);
 
-// Whether the member takes part in the protocol as far as is known.
+// Whether a member in this state still counts as part of the fleet: alive or suspect, but not dead.
 [[nodiscard]] constexpr bool IsLive(MemberState state) { return state != MemberState::kDead; }
 
-// Orders the statements about one member: greater versions replace lesser ones.
+// The version of a member's record. A record of a greater version replaces one of a lesser version.
 struct MemberVersion {
-  // One start of the process; later processes of the same name have greater epochs.
+  // Identifies a start of the process. Later processes with the same name have greater epochs.
   std::uint64_t process_epoch = 0;
-  // Within an epoch; only the member itself raises it, to refute a suspicion or to announce a change.
+  // Counts the versions within an epoch. Only the member itself raises it, to refute a suspicion or to
+  // announce a new phase.
   std::uint32_t incarnation = 0;
   auto operator<=>(const MemberVersion&) const = default;
 };
 
-// Longer names and zones are not accepted from other nodes.
+// Upper bounds for names and zones. Records of other nodes that exceed them are ignored.
 inline constexpr std::size_t kMaxNameBytes = 64;
 inline constexpr std::size_t kMaxZoneBytes = 32;
 
-// What is known of a member. It is replicated to all nodes.
+// The description of a member, which is replicated to all nodes.
 struct MemberRecord {
   std::string name;
   PeerAddress address;
@@ -50,7 +51,7 @@
   MemberState state = MemberState::kAlive;
   std::string zone;
   std::uint16_t weight = 1;
-  std::string accuser;  // The node that suspects it; empty unless the state is kSuspect.
+  std::string accuser;  // The name of a node that suspects the member; empty unless the state is kSuspect.
   bool operator==(const MemberRecord&) const = default;
 };
 
--- a/src/decide/membership/member_lifecycle.cpp
+++ b/src/decide/membership/member_lifecycle.cpp
@@ -5,10 +5,11 @@
 namespace hingelink::decide::membership {
 namespace {
 
-// Between two checks of a deferred removal.
+// Interval at which the guard decides again on a deferred removal.
 constexpr Milliseconds kDeferredRemovalCheckInterval{500};
-// A deadline that is due at once, perhaps by rounding, would be handled again in the same tick.
-constexpr Milliseconds kMinReschedule{50};
+// Minimum delay of a rescheduled timer. A timer that is due at once, for example because of rounding, would
+// be handled again in the same tick.
+constexpr Milliseconds kMinRescheduleDelay{50};
 
 }  // namespace
 
@@ -31,8 +32,8 @@
       member.record.state == MemberState::kSuspect && record.state != MemberState::kSuspect;
   if (ends_suspicion) {
     timers_.Cancel(member);
-    if (guard_.Release(member)) {
-      actions_.Report(MembershipEventKind::kRemovalsResumed, {}, guard_.DeferringFor(now).count());
+    if (guard_.EndDeferral(member)) {
+      actions_.Report(MembershipEventKind::kRemovalsResumed, {}, guard_.TimeSinceDeferralStart(now).count());
     }
   }
   table_.Update(now, member, record);
@@ -59,7 +60,8 @@
   member.suspicion.accusers = {accuser};
   broadcasts_.Enqueue(member);
   if (accuser != self_.name()) return;
-  // The suspect is notified first, so that it can refute (Lifeguard: buddy system).
+  // Notifies the suspect before any other member, so that it can refute the suspicion (Lifeguard's buddy
+  // system).
   gossip_timer_.RequestRound(now);
   sender_.Send(member.record.address, sender_.Compose(GossipMessageKind::kGossip, 0), member.record.name);
 }
@@ -76,7 +78,8 @@
 
 void MemberLifecycle::DeclareDead(Milliseconds now, Member& member) {
   guard_.ExpireRemovals(now);
-  // Declared dead by another node: the guard decides on it as on a suspect.
+  // Another node declared this alive member dead. The guard decides on suspects only, so suspects the member
+  // first.
   if (member.record.state == MemberState::kAlive) Suspect(now, member, self_.name());
   switch (guard_.Decide(now, member)) {
     case MassFailureGuard::Verdict::kDefer:
@@ -100,8 +103,8 @@
 }
 
 void MemberLifecycle::AwaitGracePeriodEnd(Milliseconds now, Member& member) {
-  if (guard_.Release(member)) {
-    actions_.Report(MembershipEventKind::kRemovalsResumed, {}, guard_.DeferringFor(now).count());
+  if (guard_.EndDeferral(member)) {
+    actions_.Report(MembershipEventKind::kRemovalsResumed, {}, guard_.TimeSinceDeferralStart(now).count());
   }
   Reschedule(now, member, guard_.GracePeriodEnd(), true);
 }
@@ -119,7 +122,7 @@
 
 void MemberLifecycle::Reschedule(Milliseconds now, Member& member, Milliseconds deadline,
                                  bool with_final_probe) {
-  timers_.Schedule(member, std::max(deadline, now + kMinReschedule), with_final_probe);
+  timers_.Schedule(member, std::max(deadline, now + kMinRescheduleDelay), with_final_probe);
 }
 
 void MemberLifecycle::Tick(Milliseconds now) {
--- a/src/decide/membership/member_lifecycle.h
+++ b/src/decide/membership/member_lifecycle.h
@@ -1,8 +1,8 @@
 // The transitions of other members between alive, suspect and dead.
 //
-// Any node may suspect a member; the member itself ends the suspicion by a greater incarnation (SWIM, section
-// 4.2), or else the suspicion times out (suspicion_timers.h) and the member is declared dead, unless the mass
-// failure guard defers its removal.
+// Any node may suspect a member. The member refutes the suspicion by announcing a greater incarnation (SWIM,
+// section 4.2). If it does not, the suspicion times out (suspicion_timers.h) and the member is declared dead,
+// unless the mass failure guard defers its removal.
 #ifndef HINGELINK_DECIDE_MEMBERSHIP_MEMBER_LIFECYCLE_H_
 #define HINGELINK_DECIDE_MEMBERSHIP_MEMBER_LIFECYCLE_H_
 
@@ -28,24 +28,28 @@
                   BroadcastQueue& broadcasts, SuspicionTimers& timers, MassFailureGuard& guard,
                   GossipTimer& gossip_timer, GossipSender& sender, ActionSink& actions);
 
-  // Replaces the record of a member. If it is a suspect no longer, its suspicion ends.
+  // Replaces the record of a member. Ends its suspicion if the new record is not in state kSuspect.
   void Update(Milliseconds now, Member& member, const MemberRecord& record);
-  // A node, perhaps this one, suspects the member: begins a suspicion or confirms the one that there is.
+  // Begins a suspicion of the member or, if it is a suspect already, confirms the suspicion. `accuser`: the
+  // name of the node that suspects the member; it may be this node.
   void Suspect(Milliseconds now, Member& member, const std::string& accuser);
-  // The suspicion has timed out, here or elsewhere. Removes the member, or defers that.
+  // Handles a suspicion that has timed out at this node or at another one: removes the member, that is, sets
+  // its state to kDead, unless the mass failure guard defers the removal.
   void DeclareDead(Milliseconds now, Member& member);
 
-  // Probes suspects once more, and declares those dead that have timed out.
+  // Sends the final probes of suspects that are due, and calls DeclareDead() for suspects whose suspicion has
+  // timed out.
   void Tick(Milliseconds now);
 
  private:
   void BeginSuspicion(Milliseconds now, Member& member, const std::string& accuser);
-  // Returns whether the accuser is a new one that counts.
+  // Returns whether the confirmation counts: it is the accuser's first one, and more confirmations are
+  // needed.
   bool ConfirmSuspicion(Member& member, const std::string& accuser);
   void DeferRemoval(Milliseconds now, Member& member);
   void AwaitGracePeriodEnd(Milliseconds now, Member& member);
   void Remove(Milliseconds now, Member& member);
-  // Has the suspicion time out again, soon but not at once.
+  // Schedules the suspicion to time out at `deadline`, but not in the current tick.
   void Reschedule(Milliseconds now, Member& member, Milliseconds deadline, bool with_final_probe);
 
   const MembershipOptions& options_;
--- a/src/decide/membership/member_retention.cpp
+++ b/src/decide/membership/member_retention.cpp
@@ -4,7 +4,7 @@
 namespace {
 
 constexpr Milliseconds kExpiryInterval{5'000};
-// Tombstones kept, as a multiple of the capacity of the member table.
+// Capacity for tombstones, as a multiple of MembershipOptions::max_members.
 constexpr std::size_t kTombstonesPerMember = 2;
 
 }  // namespace
--- a/src/decide/membership/member_retention.h
+++ b/src/decide/membership/member_retention.h
@@ -1,4 +1,5 @@
-// Who is in the member table: bounds its size, and forgets dead members after some time.
+// Bounds the size of the member table, and evicts dead members after a retention time. A tombstone remains of
+// each evicted member.
 #ifndef HINGELINK_DECIDE_MEMBERSHIP_MEMBER_RETENTION_H_
 #define HINGELINK_DECIDE_MEMBERSHIP_MEMBER_RETENTION_H_
 
@@ -19,21 +20,23 @@
   MemberRetention(const MembershipOptions& options, MemberTable& table, BroadcastQueue& broadcasts,
                   ActionSink& actions);
 
-  // Starts the timer.
+  // Starts the timer for the periodic eviction.
   void Begin(Milliseconds now);
-  // Adds a member that is not in the table; if the table is full, a dead one gives way. Returns null if there
-  // is no room.
+  // Adds a member that is not in the table. If the table is full, evicts dead members first. Returns null if
+  // the table is full of live members.
   Member* Add(Milliseconds now, const MemberRecord& record);
-  // Whether the record is about a member that was forgotten, and no newer than what was known then.
-  [[nodiscard]] bool IsForgotten(const MemberRecord& record) const { return tombstones_.Covers(record); }
+  // Whether the record's member was evicted, and the record is no newer than the evicted one.
+  [[nodiscard]] bool IsEvicted(const MemberRecord& record) const { return tombstones_.Covers(record); }
 
-  // Forgets members that have been dead for longer than MembershipOptions::dead_member_retention.
+  // Evicts, at regular intervals, members that have been dead for longer than
+  // MembershipOptions::dead_member_retention.
   void Tick(Milliseconds now);
   [[nodiscard]] Milliseconds next_deadline() const { return next_deadline_; }
 
  private:
   [[nodiscard]] bool IsFull() const { return table_.size() >= options_.max_members; }
-  // Forgets the expired members; if there are none and the table is full, the one dead for longest.
+  // Evicts the expired members. If there are none and the table is full, evicts the member that has been dead
+  // for the longest time.
   void Expire(Milliseconds now);
   [[nodiscard]] std::vector<Member*> ExpiredMembers(Milliseconds now) const;
   [[nodiscard]] Member* LongestDeadMember() const;
--- a/src/decide/membership/member_table.cpp
+++ b/src/decide/membership/member_table.cpp
@@ -3,7 +3,7 @@
 namespace hingelink::decide::membership {
 namespace {
 
-// Draws of a random member before none is returned.
+// Upper bound of the random draws in PickRandom().
 constexpr int kMaxDraws = 8;
 
 }  // namespace
@@ -22,24 +22,24 @@
   by_name_.emplace(record.name, std::move(owned));
   probe_order_.push_back(&member);
   Swap(member.probe_index, UniformRandom(random_, probe_order_.size()));
-  CountIn(record);
+  AddToTotals(record);
   return member;
 }
 
 void MemberTable::Remove(const Member& member) {
-  CountOut(member.record);
+  RemoveFromTotals(member.record);
   Swap(member.probe_index, probe_order_.size() - 1);
   probe_order_.pop_back();
-  // A copy: the key must outlive the member.
+  // A copy, as erase() destroys the member while it still uses the key.
   const std::string name = member.record.name;
   by_name_.erase(name);
 }
 
 void MemberTable::Update(Milliseconds now, Member& member, const MemberRecord& record) {
   if (member.record.state != record.state) member.state_since = now;
-  CountOut(member.record);
+  RemoveFromTotals(member.record);
   member.record = record;
-  CountIn(member.record);
+  AddToTotals(member.record);
 }
 
 Member* MemberTable::NextProbeTarget() {
@@ -70,13 +70,13 @@
   }
 }
 
-void MemberTable::CountIn(const MemberRecord& record) {
+void MemberTable::AddToTotals(const MemberRecord& record) {
   if (record.state == MemberState::kAlive) ++alive_;
   if (record.state == MemberState::kSuspect) ++suspects_;
   digest_.Toggle(record);
 }
 
-void MemberTable::CountOut(const MemberRecord& record) {
+void MemberTable::RemoveFromTotals(const MemberRecord& record) {
   if (record.state == MemberState::kAlive) --alive_;
   if (record.state == MemberState::kSuspect) --suspects_;
   digest_.Toggle(record);
--- a/src/decide/membership/member_table.h
+++ b/src/decide/membership/member_table.h
@@ -19,64 +19,70 @@
 
 namespace hingelink::decide::membership {
 
-// The suspicion of a member. Owned by SuspicionTimers, except for the accusers.
+// The suspicion of a member. MemberLifecycle resets it and adds the accusers; SuspicionTimers sets the other
+// fields.
 struct Suspicion {
   Milliseconds deadline{0};
-  Milliseconds earliest_deadline{0};  // Confirmations do not shorten the timeout below this.
-  Milliseconds timer{0};              // When the timer fires: for the final probe, then at the deadline.
+  Milliseconds earliest_deadline{0};  // Confirmations do not move the deadline before this time.
+  Milliseconds timer{0};  // When the timer fires: first for the final probe, then at the deadline.
   bool is_final_probe_done = false;
-  std::vector<std::string> accusers;
+  std::vector<std::string> accusers;  // Names of the nodes that suspect the member, the first one first.
 };
 
-// The position in a BroadcastQueue: transmissions so far, then the order of enqueuing.
+// The position in a BroadcastQueue: the number of transmissions so far, then a number that grows with each
+// insertion.
 using BroadcastPosition = std::pair<unsigned, std::uint64_t>;
 
+// A member other than this node, with the data that the components of Membership keep for it.
 struct Member {
   MemberRecord record;
-  Milliseconds state_since{0};
-  Milliseconds last_message_at{-1};  // Its own last message; negative: there was none.
+  Milliseconds state_since{0};       // When the state in the record last changed.
+  Milliseconds last_message_at{-1};  // When its last message arrived; negative if none has arrived.
   Suspicion suspicion;
-  bool is_removal_deferred = false;            // Owned by MassFailureGuard.
-  std::optional<BroadcastPosition> broadcast;  // Owned by BroadcastQueue.
-  std::size_t probe_index = 0;                 // Owned by MemberTable.
+  bool is_removal_deferred = false;            // Written by MassFailureGuard only.
+  std::optional<BroadcastPosition> broadcast;  // Written by BroadcastQueue only.
+  std::size_t probe_index = 0;                 // The index in the probe order. Written by MemberTable only.
 };
 
-// Not thread-safe. All references must outlive the object; `digest` includes all records of the table.
+// Owns the members. Not thread-safe. All references must outlive the object. Keeps `digest` up to date with
+// the records of the table.
 class MemberTable {
  public:
   MemberTable(const RandomSource& random, ViewDigest& digest) : random_(random), digest_(digest) {}
 
-  // Null if there is no such member.
+  // Returns null if there is no member of this name.
   [[nodiscard]] Member* Find(const std::string& name) const;
-  // Adds a member whose name is not in the table, at a random place of the current probe round.
+  // Adds a member whose name is not in the table, at a random position of the probe order.
   Member& Add(Milliseconds now, const MemberRecord& record);
   void Remove(const Member& member);
   // Replaces the record of a member.
   void Update(Milliseconds now, Member& member, const MemberRecord& record);
 
-  // The next live member of the probe round, or null. Each round probes all members once in random order
-  // (SWIM, section 4.3: round-robin probe target selection).
+  // Returns the next live member in the probe order, or null if there is none. Each round visits all members
+  // once and in a new random order (SWIM, section 4.3: round-robin probe target selection).
   [[nodiscard]] Member* NextProbeTarget();
 
   using Predicate = std::function<bool(const Member&)>;
-  // A random member that matches, other than `excluded`; null if a few draws find none.
+  // Returns a random member that matches and is not named `excluded`. Returns null if a fixed number of draws
+  // finds none, even if there is such a member.
   [[nodiscard]] const Member* PickRandom(const Predicate& matches, const std::string& excluded = {}) const;
 
-  // All members, dead ones included, in the order of the probe round.
+  // All members, dead ones included, in probe order.
   [[nodiscard]] const std::vector<Member*>& members() const { return probe_order_; }
-  // Calls `visit` for all members, beginning at a random one, until it returns false.
+  // Calls `visit` for all members, beginning at a random member, until `visit` returns false.
   void VisitFromRandom(const std::function<bool(const Member&)>& visit) const;
 
   [[nodiscard]] std::size_t size() const { return probe_order_.size(); }
   [[nodiscard]] std::size_t alive() const { return alive_; }
   [[nodiscard]] std::size_t suspects() const { return suspects_; }
-  // Alive ones, suspects and this node.
+  // The number of alive members and suspects, plus one for this node.
   [[nodiscard]] std::size_t live_members() const { return 1 + alive_ + suspects_; }
 
  private:
-  void CountIn(const MemberRecord& record);
-  void CountOut(const MemberRecord& record);
-  // Swaps two members of the probe order.
+  // Add the record to the counts and the digest, or remove it from them.
+  void AddToTotals(const MemberRecord& record);
+  void RemoveFromTotals(const MemberRecord& record);
+  // Swaps two members of the probe order, given by their indices.
   void Swap(std::size_t left, std::size_t right);
   void ShuffleProbeOrder();
 
@@ -84,7 +90,7 @@
   ViewDigest& digest_;
   std::unordered_map<std::string, std::unique_ptr<Member>> by_name_;
   std::vector<Member*> probe_order_;
-  std::size_t next_probe_ = 0;
+  std::size_t next_probe_ = 0;  // The index in the probe order of the next member to probe.
   std::size_t alive_ = 0;
   std::size_t suspects_ = 0;
 };
--- a/src/decide/membership/membership.cpp
+++ b/src/decide/membership/membership.cpp
@@ -160,7 +160,7 @@
 }
 
 void Membership::OnMemberMessage(Milliseconds now, membership::Member& member) {
-  const auto since_last_message = guard_.SinceLastMessage(now);
+  const auto since_last_message = guard_.TimeSinceLastMessage(now);
   if (since_last_message && *since_last_message > options_.isolation_threshold) {
     // This node was isolated: its suspects get the time to refute.
     actions_.Report(MembershipEventKind::kIsolated, self_.name(), since_last_message->count());
--- a/src/decide/membership/record_merger.cpp
+++ b/src/decide/membership/record_merger.cpp
@@ -36,7 +36,7 @@
 }
 
 void RecordMerger::MergeUnknown(Milliseconds now, const MemberRecord& record) {
-  if (retention_.IsForgotten(record)) {
+  if (retention_.IsEvicted(record)) {
     ++actions_.counters().stale_records;
     return;
   }
--- a/tests/decide/membership/mass_failure_guard_test.cpp
+++ b/tests/decide/membership/mass_failure_guard_test.cpp
@@ -81,7 +81,7 @@
   EXPECT_TRUE(guard_.Defer(kNow, *members_[0]));
   EXPECT_TRUE(guard_.is_deferring());
   EXPECT_EQ(guard_.Decide(kNow + Milliseconds(1), *members_[0]), Verdict::kGracePeriod);
-  EXPECT_TRUE(guard_.Release(*members_[0]));
+  EXPECT_TRUE(guard_.EndDeferral(*members_[0]));
   EXPECT_EQ(guard_.Decide(guard_.GracePeriodEnd(), *members_[0]), Verdict::kRemove);
 }
 
@@ -95,9 +95,9 @@
 }
 
 TEST_F(MassFailureGuardTest, TellsHowLongNoMessageArrived) {
-  EXPECT_EQ(guard_.SinceLastMessage(kNow), std::nullopt);
+  EXPECT_EQ(guard_.TimeSinceLastMessage(kNow), std::nullopt);
   ReceiveFrom(2, Milliseconds(2'000));
-  EXPECT_EQ(guard_.SinceLastMessage(kNow), Milliseconds(3'000));
+  EXPECT_EQ(guard_.TimeSinceLastMessage(kNow), Milliseconds(3'000));
 }
 
 }  // namespace
