--- a/src/decide/membership/membership.cpp
+++ b/src/decide/membership/membership.cpp
@@ -5,9 +5,10 @@
 namespace hingelink::decide {
 namespace {
 
-// The first interval of each timer is cut by a random fraction, in so many steps.
+// The number of distinct random fractions by which the first interval of a timer is multiplied.
 constexpr std::uint64_t kInitialDelaySteps = 1024;
-// Without work, the clock is read in this fraction of MembershipOptions::pause_threshold.
+// Upper bound of the time between two ticks, as a fraction of MembershipOptions::pause_threshold: an idle
+// node must not be taken for a paused one.
 constexpr double kMaxTickFraction = 0.5;
 
 }  // namespace
@@ -50,7 +51,7 @@
   if (message.records.empty()) return actions_.ReleaseActions();
   const MemberRecord& sender_record = message.records.front();
   if (sender_record.name == self_.name()) {
-    // A reflected message, or another process of this node's name.
+    // The message is this node's own, sent back to it, or comes from another process with this node's name.
     merger_.Merge(now, sender_record);
     return actions_.ReleaseActions();
   }
@@ -58,13 +59,13 @@
   membership::Member* sender = table_.Find(sender_record.name);
   const bool is_current = sender != nullptr && sender_record.version == sender->record.version;
   if (is_current && IsLive(sender->record.state)) OnMemberMessage(now, *sender);
-  HandleKind(now, from, message, sender != nullptr ? sender_record.name : std::string());
+  DispatchByKind(now, from, message, sender != nullptr ? sender_record.name : std::string());
   anti_entropy_.OnMessage(now, from, message, sender != nullptr);
   return actions_.ReleaseActions();
 }
 
-void Membership::HandleKind(Milliseconds now, const PeerAddress& from, const GossipMessage& message,
-                            const std::string& sender) {
+void Membership::DispatchByKind(Milliseconds now, const PeerAddress& from, const GossipMessage& message,
+                                const std::string& sender) {
   switch (message.kind) {
     case GossipMessageKind::kPing: {
       GossipMessage ack = sender_.Compose(GossipMessageKind::kAck, message.sequence_number);
@@ -135,7 +136,7 @@
 
 void Membership::Begin(Milliseconds now) {
   has_begun_ = true;
-  // Nodes that start together are not to act together.
+  // Random initial delays keep nodes that start together from sending their messages at the same times.
   const auto random_fraction = [this] {
     return static_cast<double>(UniformRandom(random_, kInitialDelaySteps)) / kInitialDelaySteps;
   };
@@ -155,14 +156,14 @@
   failure_detector_.OnPaused(now);
   gossip_timer_.Set(now);
   anti_entropy_.RequestSync(now);
-  // Others suspect this node by now, most likely; the refutation must be newer than that.
+  // Other members probably suspect this node by now. The greater incarnation ends their suspicions.
   self_.Refute(now, self_.record().version);
 }
 
 void Membership::OnMemberMessage(Milliseconds now, membership::Member& member) {
   const auto since_last_message = guard_.TimeSinceLastMessage(now);
   if (since_last_message && *since_last_message > options_.isolation_threshold) {
-    // This node was isolated: its suspects get the time to refute.
+    // This node was isolated, so its suspects get time to refute the suspicions.
     actions_.Report(MembershipEventKind::kIsolated, self_.name(), since_last_message->count());
     PostponeSuspicions(now);
     self_.Refute(now, self_.record().version);
--- a/src/decide/membership/membership.h
+++ b/src/decide/membership/membership.h
@@ -1,18 +1,23 @@
-// Group membership: which nodes there are, and which of them are alive.
+// Group membership: the nodes of the fleet, and which of them are alive.
 //
-// SWIM (Das, Gupta, Motivala 2002) with Lifeguard's extensions (Dadgar, Phillips, Currey 2017): nodes probe
-// each other, disseminate changes by gossip, and repair what gossip missed by anti-entropy. Messages, times
-// and random numbers come in, messages and events for the log go out; no I/O, no clock, no threads.
-// docs/design/membership.md draws the states and names what each failure does.
+// Implements SWIM (Das, Gupta, Motivala 2002) with Lifeguard's extensions (Dadgar, Phillips, Currey 2017).
+// Nodes probe each other, disseminate changes by gossip, and repair missed changes by anti-entropy. The
+// protocol performs no I/O, reads no clock and starts no threads: the caller passes in messages, times and
+// random numbers, and gets back messages to send and events to log. docs/design/membership.md shows the
+// states and the effect of each failure.
 //
-// While links work: a node that fails is known as dead to all within seconds; one that joins or returns,
-// within a second or two; views agree once nothing changes. While they don't: versions never decrease, a
-// record of an older version changes nothing, and of many members that fall silent together none is removed
-// at once (defers_removals()). A node that receives nothing keeps its view.
+// While the network works:
+// - A failed node is known as dead to all other nodes within seconds.
+// - A node that joins or returns is known to all other nodes within one or two seconds.
+// - The views of all nodes agree once no member changes.
+// While the network does not work:
+// - Versions never decrease, and a record of an older version has no effect.
+// - If many members fail at the same time, their removal is deferred (defers_removals()).
+// - A node that receives no messages removes no member.
 //
-// Bounds: `max_members` members, twice as many tombstones, one queued broadcast a member,
-// `max_indirect_probes` probes for others; a message holds at most `max_message_bytes`, and an interval sends
-// a fixed number of messages, whatever the size of the fleet.
+// Bounds (MembershipOptions): `max_members` members, twice as many tombstones, one queued broadcast per
+// member, `max_indirect_probes` probes for other nodes, and `max_message_bytes` per message. A node sends a
+// fixed number of messages per interval, whatever the size of the fleet.
 #ifndef HINGELINK_DECIDE_MEMBERSHIP_MEMBERSHIP_H_
 #define HINGELINK_DECIDE_MEMBERSHIP_MEMBERSHIP_H_
 
@@ -48,65 +53,71 @@
 
 namespace hingelink::decide {
 
-// What is known of another member.
+// Another member as this node's view lists it.
 struct MemberView {
   MemberRecord record;
-  Milliseconds since_last_message{0};  // Since its last message; negative: there was none.
-  bool is_removal_deferred = false;    // It would be dead, but for the mass failure guard.
+  Milliseconds since_last_message{0};  // The time since its last message; negative if none has arrived.
+  bool is_removal_deferred =
+      false;  // Its suspicion timed out, but the mass failure guard defers its removal.
 };
 
-// One node's membership protocol; composes the parts in this directory. Not thread-safe. Times are those of
-// the node's monotonic clock.
+// The membership protocol of one node. Composes the components in this directory. Not thread-safe. All times
+// are those of the node's monotonic clock.
 class Membership {
  public:
-  // `self`: this node. Its process epoch is to be greater than those of earlier processes of its name, as far
-  // as the caller can tell; a wall clock will do, as an epoch that is too low is raised once a peer tells of
-  // a greater one. `seeds`: addresses of nodes to join by, without this node's own.
+  // `self`: the record of this node. Its process epoch should be greater than those of earlier processes with
+  // this name. The time of a wall clock is good enough: an epoch that is too low is raised when a peer sends
+  // a record of this name with a greater epoch. `seeds`: addresses of nodes that this node contacts to join
+  // the fleet, without its own address.
   Membership(const MembershipOptions& options, MemberRecord self, std::vector<PeerAddress> seeds,
              const RandomSource& random);
   Membership(const Membership&) = delete;
   Membership& operator=(const Membership&) = delete;
 
-  // Does what is due. To be called at NextDeadline() at the latest: after a gap of more than
-  // MembershipOptions::pause_threshold this process is taken to have been paused.
+  // Performs the operations that are due. To be called at NextDeadline() at the latest: if the time between
+  // two calls exceeds MembershipOptions::pause_threshold, this process is considered to have been paused.
   [[nodiscard]] MembershipActions Tick(Milliseconds now);
-  // A message has come from this address.
+  // Handles a message received from the address `from`.
   [[nodiscard]] MembershipActions OnMessage(Milliseconds now, PeerAddress from, const GossipMessage& message);
-  // What this node announces of itself from now on. Some members are notified at once.
+  // Changes the phase that this node announces, and sends it to MembershipOptions::gossip_fanout members at
+  // once.
   [[nodiscard]] MembershipActions SetPhase(Milliseconds now, MemberPhase phase);
-  // Replaces the seeds.
   void SetSeeds(std::vector<PeerAddress> seeds) { reconnector_.SetSeeds(std::move(seeds)); }
 
-  // The time of the next Tick().
+  // The time by which Tick() must be called again. It may change with each call of a method above.
   [[nodiscard]] Milliseconds NextDeadline() const;
 
   [[nodiscard]] const MemberRecord& self() const { return self_.record(); }
-  // All other members in no particular order, dead ones too until they are forgotten.
+  // All other members in no particular order, including dead members that have not been evicted yet.
   [[nodiscard]] std::vector<MemberView> Members(Milliseconds now) const;
   // Members that are not dead, this node included.
   [[nodiscard]] std::size_t live_members() const { return table_.live_members(); }
   [[nodiscard]] std::size_t suspects() const { return table_.suspects(); }
-  // Whether removals are deferred, as more members are silent than may be removed at once.
+  // Whether the mass failure guard defers the removal of any member (mass_failure_guard.h).
   [[nodiscard]] bool defers_removals() const { return guard_.is_deferring(); }
-  // Lifeguard's local health score: 0 is healthy, greater ones are slower to suspect others.
+  // Lifeguard's local health score: 0 is healthy; the greater the score, the longer this node waits before it
+  // suspects a member.
   [[nodiscard]] int local_health() const { return health_.score(); }
-  // Equal on nodes whose views agree.
+  // The digest of this node's view. Nodes with equal views have equal digests.
   [[nodiscard]] std::uint64_t view_digest() const { return digest_.value(); }
   [[nodiscard]] const MembershipCounters& counters() const { return actions_.counters(); }
   [[nodiscard]] std::size_t queued_broadcasts() const { return broadcasts_.size(); }
 
  private:
-  // Before anything else in each step: starts the timers, or notices that the process was paused.
+  // Called first by Tick(), OnMessage() and SetPhase(): starts the timers in the first call, and detects in
+  // later calls that the process was paused.
   void AdvanceTo(Milliseconds now);
   void Begin(Milliseconds now);
-  // Answers that are missing because of the pause must not count against other members.
+  // Handles a pause of this process that lasted `gap`. Probes that failed because of the pause must not make
+  // other members suspects.
   void OnPaused(Milliseconds now, Milliseconds gap);
-  // This member itself has sent a message.
+  // Handles the arrival of a message from this member.
   void OnMemberMessage(Milliseconds now, membership::Member& member);
   void PostponeSuspicions(Milliseconds now);
-  // `sender`: the member's name; empty if it is unknown here.
-  void HandleKind(Milliseconds now, const PeerAddress& from, const GossipMessage& message,
-                  const std::string& sender);
+  // Passes the message to the component for its kind. `sender`: the name of the sender; empty if the sender
+  // is not in the member table.
+  void DispatchByKind(Milliseconds now, const PeerAddress& from, const GossipMessage& message,
+                      const std::string& sender);
 
   const MembershipOptions options_;
   const RandomSource random_;
@@ -130,7 +141,7 @@
   membership::Reconnector reconnector_;
 
   bool has_begun_ = false;
-  Milliseconds last_step_{0};
+  Milliseconds last_step_{0};  // The time of the last call of Tick(), OnMessage() or SetPhase().
 };
 
 }  // namespace hingelink::decide
--- a/src/decide/membership/membership_event.h
+++ b/src/decide/membership/membership_event.h
@@ -1,4 +1,4 @@
-// What the membership protocol reports to the log.
+// The events that the membership protocol reports for the log.
 #ifndef HINGELINK_DECIDE_MEMBERSHIP_MEMBERSHIP_EVENT_H_
 #define HINGELINK_DECIDE_MEMBERSHIP_MEMBERSHIP_EVENT_H_
 
@@ -9,27 +9,27 @@
 
 enum class MembershipEventKind : std::uint8_t {
   kMemberJoined,
-  kMemberRestarted,     // The same name with a greater process epoch.
-  kMemberReturned,      // A dead member is alive. Value: ms since it was declared dead.
-  kMemberLeft,          // It announced its end.
-  kMemberDead,          // Its suspicion timed out.
-  kSuspicionWithdrawn,  // It refuted the suspicion. Value: ms of suspicion.
-  kAccused,             // `member` suspects this node. Value: this node's MemberState in its view.
-  kRemovalsDeferred,    // The mass failure guard defers removals. Value: suspects.
-  kRemovalsResumed,     // It defers none any more. Value: ms that it did.
-  kIsolated,            // This node received no message. Value: ms.
-  kPaused,              // This process was paused. Value: ms.
+  kMemberRestarted,     // A member announced a greater process epoch.
+  kMemberReturned,      // A dead member is alive again. Value: milliseconds since it was declared dead.
+  kMemberLeft,          // A member announced that it left the fleet.
+  kMemberDead,          // The suspicion of a member timed out.
+  kSuspicionWithdrawn,  // A member refuted its suspicion. Value: milliseconds since the suspicion began.
+  kAccused,             // `member` considers this node suspect or dead. Value: that MemberState.
+  kRemovalsDeferred,    // The mass failure guard began to defer removals. Value: number of suspects.
+  kRemovalsResumed,     // The guard defers no removal any more. Value: milliseconds since it began to defer.
+  kIsolated,            // This node received no messages for a time. Value: its length in milliseconds.
+  kPaused,              // This process was paused. Value: milliseconds.
   kNameConflict,        // Another process uses this node's name.
-  kProcessEpochRaised,  // An earlier process of this name had a greater epoch.
+  kProcessEpochRaised,  // This node raised its process epoch above that of another process of its name.
 };
 
-// The code in the log, without the prefix of the component.
+// The name of the event in the log, without the prefix for the component.
 [[nodiscard]] const char* MembershipEventName(MembershipEventKind kind);
 
 struct MembershipEvent {
   MembershipEventKind kind = MembershipEventKind::kMemberJoined;
-  std::string member;  // The name of the member that it is about; may be empty.
-  double value = 0;    // Its meaning depends on the kind; 0 if there is none.
+  std::string member;  // The name of the member that the event is about; may be empty.
+  double value = 0;    // The meaning depends on the kind; 0 for kinds without a value.
   bool operator==(const MembershipEvent&) const = default;
 };
 
--- a/src/decide/membership/membership_options.h
+++ b/src/decide/membership/membership_options.h
@@ -8,72 +8,78 @@
 
 namespace hingelink::decide {
 
-// All nodes of a fleet use the same.
+// All nodes of a fleet must use the same values.
 struct MembershipOptions {
   // ---- Failure detection (SWIM) ----
-  // Between two probes.
+  // Time between two probes of a healthy node.
   Milliseconds probe_interval{500};
-  // How long a direct probe waits for its answer before helpers are asked.
+  // How long a healthy node waits for the answer to a ping before it asks helpers for indirect probes.
   Milliseconds probe_timeout{120};
-  // Helpers of an indirect probe.
+  // Number of helpers that are asked to probe an unresponsive member.
   std::size_t indirect_probes = 3;
-  // Probes for other nodes that may be open at once.
+  // Upper bound of the probes that a node performs for other nodes at the same time.
   std::size_t max_indirect_probes = 64;
 
   // ---- Local health (Lifeguard) ----
-  // Upper bound of the local health score: probe timeouts grow up to 1 + this times, probe intervals up to 2.
+  // Upper bound of the local health score. At the maximum, probe timeouts are multiplied by 1 +
+  // max_local_health and probe intervals by 2.
   int max_local_health = 8;
 
   // ---- Suspicion (Lifeguard) ----
-  // The timeout of a suspicion that `suspicion_confirmations` others have confirmed.
+  // The timeout of a suspicion that `suspicion_confirmations` members have confirmed.
   Milliseconds min_suspicion_timeout{2'500};
   // The timeout of a suspicion without confirmations, as a multiple of min_suspicion_timeout.
   double max_suspicion_factor = 2.4;
+  // Number of confirmations, apart from the first accuser, that shorten the timeout to its minimum.
   std::size_t suspicion_confirmations = 3;
-  // The suspect is probed once more this long before its suspicion times out.
+  // The final probe of a suspect is sent this long before its suspicion times out.
   Milliseconds final_probe_lead{500};
 
   // ---- Dissemination ----
-  // Between two rounds of gossip, while there is something to send.
+  // Time between two rounds of gossip while there are changes to send.
   Milliseconds gossip_interval{200};
-  // Members that receive a round of gossip.
+  // Number of members to which a round of gossip is sent.
   std::size_t gossip_fanout = 3;
-  // A record is sent this many times the natural logarithm of the number of members.
+  // The number of transmissions of a changed record is this factor times ln(number of live members + 1).
   double retransmit_factor = 4;
-  // Upper bound of an encoded message.
+  // Upper bound of the encoded size of a message.
   std::size_t max_message_bytes = 1200;
 
   // ---- Anti-entropy ----
-  // Between two sync requests, while the view of a peer differs.
+  // Time between two sync requests while the view of a peer differs.
   Milliseconds sync_interval{1'000};
-  // For this long after its start a node syncs with any member, rather than with the seeds alone.
+  // For this long after its start, a node that knows enough members sends sync requests to random members
+  // instead of the peer whose view differs, which is often a seed.
   Milliseconds bootstrap_period{10'000};
 
   // ---- Joining and reconnecting ----
-  // Between two sync requests to a seed, while no member is known to be alive.
+  // Time between two sync requests to a seed while no other member is alive.
   Milliseconds join_interval{400};
-  // Between two probes of a dead member ...
+  // Time between two attempts to reach a dead member.
   Milliseconds reconnect_interval{2'000};
-  // ... and of one whose removal is deferred.
+  // Time between two attempts to reach a member whose removal is deferred.
   Milliseconds deferred_reconnect_interval{300};
 
   // ---- Faults of this node itself ----
-  // Without a tick for this long, the process was paused.
+  // If the time between two ticks or messages exceeds this, the process was paused.
   Milliseconds pause_threshold{1'000};
-  // Without a message for this long, the node was isolated.
+  // If no message of a member arrives for longer than this, the node was isolated.
   Milliseconds isolation_threshold{2'000};
 
   // ---- Mass failure guard ----
-  // If more than this fraction of the members is silent within the window, removals are deferred.
+  // Removals are deferred if more than this fraction of the members are suspects or were removed within
+  // mass_failure_window.
   double mass_failure_fraction = 0.4;
   Milliseconds mass_failure_window{10'000};
-  // A member is removed only if messages of this many others (or all) were received since it fell silent.
+  // A member is removed only if messages of this many other members, or of all others in a smaller fleet,
+  // arrived since its suspicion began.
   std::size_t min_recent_senders = 3;
-  // After this long removals are deferred no more, if messages of other members are received.
+  // Upper bound of the time for which a mass failure defers removals. It does not apply while messages of
+  // fewer than min_recent_senders members arrive.
   Milliseconds max_removal_deferral{60'000};
 
   // ---- Bounds of the member table ----
-  // How long a dead member is listed.
+  // How long a dead member stays in the table.
   Milliseconds dead_member_retention{600'000};
   std::size_t max_members = 4096;
 };
--- a/src/decide/membership/reconnector.cpp
+++ b/src/decide/membership/reconnector.cpp
@@ -3,11 +3,11 @@
 namespace hingelink::decide::membership {
 namespace {
 
-// Intervals are multiplied by a random number between the first and the sum of both.
+// Intervals are multiplied by a random factor from kMinJitter to kMinJitter + kJitterRange.
 constexpr double kMinJitter = 0.75;
 constexpr double kJitterRange = 0.5;
 constexpr std::uint64_t kJitterSteps = 512;
-// With live members, a seed is contacted in one of so many intervals.
+// While other members are alive, a seed is contacted in one of this many intervals on average.
 constexpr std::uint64_t kIntervalsPerSeedContact = 8;
 
 }  // namespace
--- a/src/decide/membership/reconnector.h
+++ b/src/decide/membership/reconnector.h
@@ -1,5 +1,5 @@
-// Contacts seeds while no other member is alive, and members that were lost, so that two parts of a fleet
-// that declared each other dead, or never met, find each other again.
+// Contacts seeds and lost members at regular intervals. This reconnects two parts of a fleet that declared
+// each other dead or never knew of each other. Seeds are contacted less often while other members are alive.
 #ifndef HINGELINK_DECIDE_MEMBERSHIP_RECONNECTOR_H_
 #define HINGELINK_DECIDE_MEMBERSHIP_RECONNECTOR_H_
 
@@ -33,16 +33,19 @@
 
   void SetSeeds(std::vector<PeerAddress> seeds) { seeds_ = std::move(seeds); }
 
+  // The first contact is due now.
   void Begin(Milliseconds now) { next_deadline_ = now; }
   void Tick(Milliseconds now);
   [[nodiscard]] Milliseconds next_deadline() const { return next_deadline_; }
 
  private:
-  // Randomized, so that the nodes of a fleet that starts together do not act together.
+  // Randomized, so that the nodes of a fleet that starts together do not send their messages at the same
+  // times.
   [[nodiscard]] Milliseconds NextInterval() const;
   void ContactSeed();
   void ProbeLostMember();
-  // One whose removal is deferred, if there is any, else one that was declared dead.
+  // While any removal is deferred, a member is lost if its removal is deferred. Otherwise, a member is lost
+  // if it was declared dead and did not announce that it left.
   [[nodiscard]] bool IsLost(const Member& member) const;
 
   const MembershipOptions& options_;
--- a/src/decide/membership/record_merger.cpp
+++ b/src/decide/membership/record_merger.cpp
@@ -8,7 +8,7 @@
   return record.zone.size() <= kMaxZoneBytes && record.accuser.size() <= kMaxNameBytes;
 }
 
-// The record as the member itself would send it.
+// Returns the record in state kAlive and without an accuser, as the member itself announces it.
 MemberRecord WithoutSuspicion(MemberRecord record) {
   record.state = MemberState::kAlive;
   record.accuser.clear();
@@ -53,7 +53,8 @@
   const MemberState state_before = member.record.state;
   const bool has_left = record.phase == MemberPhase::kLeft;
   if (!IsLive(record.state) && IsLive(state_before) && !has_left) {
-    // It was alive in this version and then declared dead: this node's guard decides on that.
+    // Another node declared this newer version dead. Merges the version as alive, and lets this node's mass
+    // failure guard decide on the removal.
     MemberRecord alive = record;
     alive.state = MemberState::kAlive;
     lifecycle_.Update(now, member, alive);
--- a/src/decide/membership/record_merger.h
+++ b/src/decide/membership/record_merger.h
@@ -1,7 +1,7 @@
 // Merges the records that other nodes send into this node's view.
 //
-// Records are ordered by version; a greater version always replaces a lesser one. Within a version a
-// suspicion or a death replaces what is better (SWIM, section 4.2). Messages may be lost, repeated and
+// A record of a greater version replaces one of a lesser version. Within a version, a suspect record replaces
+// an alive one, and a dead record replaces both (SWIM, section 4.2). Messages may be lost, duplicated and
 // reordered.
 #ifndef HINGELINK_DECIDE_MEMBERSHIP_RECORD_MERGER_H_
 #define HINGELINK_DECIDE_MEMBERSHIP_RECORD_MERGER_H_
@@ -28,14 +28,14 @@
         broadcasts_(broadcasts),
         actions_(actions) {}
 
-  // Records with fields out of bounds are ignored.
+  // Merges a received record. Ignores a record whose name, zone or accuser is out of bounds.
   void Merge(Milliseconds now, const MemberRecord& record);
 
  private:
   void MergeUnknown(Milliseconds now, const MemberRecord& record);
   void MergeNewer(Milliseconds now, Member& member, const MemberRecord& record);
   void MergeSameVersion(Milliseconds now, Member& member, const MemberRecord& record);
-  // Reports what a newer record of a live member or of one that returns means.
+  // Reports the event that a newer record implies: the member returned, restarted or refuted its suspicion.
   void ReportReplacement(Milliseconds now, const Member& member, const MemberRecord& record);
 
   LocalMember& self_;
--- a/src/decide/membership/suspicion_timers.cpp
+++ b/src/decide/membership/suspicion_timers.cpp
@@ -7,12 +7,12 @@
 namespace hingelink::decide::membership {
 namespace {
 
-// This node, the suspect and its first accuser confirm nothing.
+// Members that cannot confirm a suspicion: this node, the suspect and the first accuser.
 constexpr std::size_t kNonConfirmingMembers = 3;
 
 }  // namespace
 
-bool SuspicionTimers::Earlier::operator()(const Timer& left, const Timer& right) const {
+bool SuspicionTimers::TimerOrder::operator()(const Timer& left, const Timer& right) const {
   if (left.first != right.first) return left.first < right.first;
   return left.second->record.name < right.second->record.name;
 }
@@ -20,9 +20,10 @@
 Milliseconds SuspicionTimers::Timeout(const Member& member, std::size_t live_members) const {
   const std::size_t possible =
       live_members > kNonConfirmingMembers ? live_members - kNonConfirmingMembers : 0;
-  const auto wanted = static_cast<double>(std::min(options_.suspicion_confirmations, possible));
+  const auto required = static_cast<double>(std::min(options_.suspicion_confirmations, possible));
   const double confirmations = static_cast<double>(member.suspicion.accusers.size()) - 1;
-  const double progress = wanted <= 0 ? 1 : std::min(1.0, std::log(confirmations + 1) / std::log(wanted + 1));
+  const double progress =
+      required <= 0 ? 1 : std::min(1.0, std::log(confirmations + 1) / std::log(required + 1));
   const double longest = options_.max_suspicion_factor;
   return options_.min_suspicion_timeout * (longest - (longest - 1) * progress);
 }
--- a/src/decide/membership/suspicion_timers.h
+++ b/src/decide/membership/suspicion_timers.h
@@ -1,8 +1,8 @@
-// When suspicions time out.
+// The timers of suspicions.
 //
-// LHA-Suspicion of Lifeguard (Dadgar, Phillips, Currey 2017): a suspicion begins with the longest timeout,
-// and each independent confirmation by another accuser shortens it towards the shortest one. Some time before
-// the deadline a member is probed once more.
+// Implements LHA-Suspicion of Lifeguard (Dadgar, Phillips, Currey 2017): a suspicion begins with the maximum
+// timeout, and each confirmation by another accuser shortens it towards the minimum. Some time before the
+// deadline, the timer fires for a final probe of the suspect.
 #ifndef HINGELINK_DECIDE_MEMBERSHIP_SUSPICION_TIMERS_H_
 #define HINGELINK_DECIDE_MEMBERSHIP_SUSPICION_TIMERS_H_
 
@@ -22,30 +22,32 @@
  public:
   explicit SuspicionTimers(const MembershipOptions& options) : options_(options) {}
 
-  // The timeout of a suspicion, by the number of its accusers.
+  // The timeout of the member's suspicion, counted from its beginning. It depends on the number of accusers.
   [[nodiscard]] Milliseconds Timeout(const Member& member, std::size_t live_members) const;
 
-  // Sets the deadline, but not before Suspicion::earliest_deadline. The timer fires at the deadline or, if a
-  // final probe is wanted, MembershipOptions::final_probe_lead earlier.
+  // Sets the suspicion's deadline to `deadline` or Suspicion::earliest_deadline, whichever is later. The
+  // timer fires at the deadline or, if `with_final_probe` is set, MembershipOptions::final_probe_lead
+  // earlier.
   void Schedule(Member& member, Milliseconds deadline, bool with_final_probe);
   void Cancel(Member& member);
-  // Lets no suspicion time out before `earliest`, and has all suspects probed once more.
+  // Moves the deadlines of all suspicions to `earliest` or later, and schedules a final probe of every
+  // suspect.
   void PostponeAll(Milliseconds earliest);
 
   [[nodiscard]] bool empty() const { return timers_.empty(); }
-  // The timer that fires first; there must be one.
+  // The time at which the next timer fires, and its member. There must be a timer.
   [[nodiscard]] Milliseconds next_deadline() const { return timers_.begin()->first; }
   [[nodiscard]] Member& next_member() const { return *timers_.begin()->second; }
 
  private:
   using Timer = std::pair<Milliseconds, Member*>;
-  // By time, then by name.
-  struct Earlier {
+  // Orders by time, then by the member's name.
+  struct TimerOrder {
     bool operator()(const Timer& left, const Timer& right) const;
   };
 
   const MembershipOptions& options_;
-  std::set<Timer, Earlier> timers_;
+  std::set<Timer, TimerOrder> timers_;
 };
 
 }  // namespace hingelink::decide::membership
--- a/src/decide/membership/tombstones.h
+++ b/src/decide/membership/tombstones.h
@@ -1,4 +1,5 @@
-// Versions of members that were removed from the table, so that a late message does not bring them back.
+// The last versions of members that were evicted from the member table. A late message with a record of such
+// a version must not add the member again.
 #ifndef HINGELINK_DECIDE_MEMBERSHIP_TOMBSTONES_H_
 #define HINGELINK_DECIDE_MEMBERSHIP_TOMBSTONES_H_
 
@@ -16,11 +17,11 @@
  public:
   explicit Tombstones(std::size_t capacity) : capacity_(capacity) {}
 
-  // Remembers the last version of a member that is removed.
+  // Stores the last version of an evicted member.
   void Add(const MemberRecord& record) {
     if (versions_.insert_or_assign(record.name, record.version).second) order_.push_back(record.name);
   }
-  // Forgets the oldest ones beyond the capacity.
+  // Drops the oldest tombstones until the capacity is kept.
   void EnforceCapacity() {
     while (order_.size() > capacity_) {
       versions_.erase(order_.front());
@@ -28,7 +29,7 @@
     }
   }
 
-  // Whether the record is no newer than the member was when it was removed.
+  // Whether there is a tombstone for the record's member whose version is not less than the record's.
   [[nodiscard]] bool Covers(const MemberRecord& record) const {
     const auto found = versions_.find(record.name);
     return found != versions_.end() && record.version <= found->second;
@@ -37,7 +38,7 @@
  private:
   std::size_t capacity_;
   std::unordered_map<std::string, MemberVersion> versions_;
-  std::deque<std::string> order_;  // The oldest first.
+  std::deque<std::string> order_;  // Names of the members, the oldest tombstone first.
 };
 
 }  // namespace hingelink::decide::membership
--- a/src/decide/membership/view_digest.h
+++ b/src/decide/membership/view_digest.h
@@ -1,9 +1,10 @@
-// Digests of a view of the fleet, by which two nodes find out whether and where their views differ.
+// Digests of a node's view of the fleet. Two nodes compare them to find out whether and where their views
+// differ.
 //
-// Members are hashed by name into buckets; the digest of a bucket is the exclusive or of the digests of its
-// members. It covers what the views must agree on: which members are live, in which process epoch and phase.
-// Suspicions and incarnations are left out, as they come and go without anti-entropy; dead members are left
-// out, as a node that has just joined knows none.
+// Members are hashed by name into buckets. The digest of a bucket is the exclusive or of the digests of its
+// members. A member's digest covers the facts on which the views must agree: that the member is live, its
+// process epoch and its phase. Suspicions and incarnations are excluded, as they change without anti-entropy.
+// Dead members are excluded, as a node that has just joined does not know them.
 #ifndef HINGELINK_DECIDE_MEMBERSHIP_VIEW_DIGEST_H_
 #define HINGELINK_DECIDE_MEMBERSHIP_VIEW_DIGEST_H_
 
@@ -22,13 +23,13 @@
  public:
   using Buckets = std::array<std::uint32_t, kDigestBuckets>;
 
-  // The index of the bucket of a member.
+  // Returns the index of the bucket of the member with this name.
   [[nodiscard]] static std::size_t BucketOf(const std::string& name);
 
-  // Adds the record to the view or, the second time, removes it.
+  // Adds a record to the view, or removes a record that was added before: both are the same exclusive or.
   void Toggle(const MemberRecord& record);
 
-  // Of the whole view; equal views have equal digests.
+  // The digest of the whole view. Equal views have equal digests.
   [[nodiscard]] std::uint64_t value() const { return value_; }
   [[nodiscard]] const Buckets& buckets() const { return buckets_; }
 
