--- a/tests/decide/membership/broadcast_queue_test.cpp
+++ b/tests/decide/membership/broadcast_queue_test.cpp
@@ -22,7 +22,7 @@
     queue_.Enqueue(member);
     return member;
   }
-  // The names of the records of one message.
+  // Appends queued records to a message, and returns the names of these records.
   std::vector<std::string> Send(std::size_t max_bytes = kMaxBytes, const std::string& receiver = {}) {
     GossipMessage message;
     queue_.AppendRecords(message, max_bytes, receiver, kLiveMembers);
@@ -36,14 +36,14 @@
   BroadcastQueue queue_{4};
 };
 
-TEST_F(BroadcastQueueTest, SendsTheLeastTransmittedFirst) {
+TEST_F(BroadcastQueueTest, SendsLeastTransmittedRecordFirst) {
   Enqueue("a");
   Send();
   Enqueue("b");
   EXPECT_EQ(Send(), (std::vector<std::string>{"b", "a"}));
 }
 
-TEST_F(BroadcastQueueTest, DropsAnEntryAfterItsTransmissions) {
+TEST_F(BroadcastQueueTest, DropsEntryAtTransmitLimit) {
   Enqueue("a");
   const unsigned limit = queue_.TransmitLimit(kLiveMembers);
   for (unsigned i = 0; i < limit; ++i) EXPECT_EQ(Send().size(), 1U);
@@ -51,25 +51,25 @@
   EXPECT_TRUE(queue_.empty());
 }
 
-TEST_F(BroadcastQueueTest, HoldsOneEntryAMember) {
+TEST_F(BroadcastQueueTest, KeepsOneEntryPerMember) {
   Member& member = Enqueue("a");
   Send();
   queue_.Enqueue(member);
   EXPECT_EQ(queue_.size(), 1U);
 }
 
-TEST_F(BroadcastQueueTest, KeepsMessagesWithinTheirBound) {
+TEST_F(BroadcastQueueTest, KeepsMessageWithinMaxBytes) {
   for (int i = 0; i < 30; ++i) Enqueue("n" + std::to_string(i));
   EXPECT_EQ(Send(200).size(), 3U);
 }
 
-TEST_F(BroadcastQueueTest, DoesNotSendTheReceiverItsOwnRecord) {
+TEST_F(BroadcastQueueTest, OmitsRecordOfTheReceiver) {
   Enqueue("a");
   Enqueue("b");
   EXPECT_EQ(Send(kMaxBytes, "a"), std::vector<std::string>{"b"});
 }
 
-TEST_F(BroadcastQueueTest, SendsTheEntriesOfALongQueueLessOften) {
+TEST_F(BroadcastQueueTest, LowersTransmitLimitOfALongQueue) {
   const unsigned limit = queue_.TransmitLimit(1'000);
   for (int i = 0; i < 128; ++i) Enqueue("n" + std::to_string(i));
   EXPECT_EQ(queue_.TransmitLimit(1'000), limit / 2);
--- a/tests/decide/membership/gossip_topic_test.cpp
+++ b/tests/decide/membership/gossip_topic_test.cpp
@@ -13,10 +13,10 @@
 
 constexpr std::size_t kMaxMessageBytes = 1200;
 
-// Answers with bodies of a given size, and remembers what it receives.
-class FixedTopic : public GossipTopic {
+// Returns bodies of fixed sizes, and records the payloads that it receives.
+class FixedSizeTopic : public GossipTopic {
  public:
-  FixedTopic(std::uint8_t id, std::size_t delta_bytes, std::size_t state_bytes)
+  FixedSizeTopic(std::uint8_t id, std::size_t delta_bytes, std::size_t state_bytes)
       : id_(id), delta_(delta_bytes, 'd'), state_(state_bytes, 's') {}
 
   std::uint8_t id() const override { return id_; }
@@ -42,8 +42,8 @@
   return message.payloads;
 }
 
-TEST(GossipTopics, AddDeltasToAnyMessageAndFullStateToSyncsOnly) {
-  FixedTopic topic(3, 10, 20);
+TEST(GossipTopics, AppendsDeltasToAnyMessageAndFullStateToSyncMessagesOnly) {
+  FixedSizeTopic topic(3, 10, 20);
   GossipTopics topics;
   topics.Register(topic);
   const Payload delta{3, std::string(10, 'd')};
@@ -53,17 +53,17 @@
   EXPECT_EQ(PayloadsOf(topics, GossipMessageKind::kSyncResponse), (std::vector<Payload>{delta, state}));
 }
 
-TEST(GossipTopics, DropABodyThatIsTooLong) {
-  FixedTopic too_long(1, kMaxPayloadBytes, 5);
+TEST(GossipTopics, DropsBodyThatIsTooLong) {
+  FixedSizeTopic too_long(1, kMaxPayloadBytes, 5);
   GossipTopics topics;
   topics.Register(too_long);
   EXPECT_EQ(PayloadsOf(topics, GossipMessageKind::kSyncRequest),
             (std::vector<Payload>{{1, std::string(5, 's')}}));
 }
 
-TEST(GossipTopics, TakeTurnsAtBeingTheFirst) {
-  FixedTopic left(1, 400, 0);
-  FixedTopic right(2, 400, 0);
+TEST(GossipTopics, AlternatesWhichTopicIsFirst) {
+  FixedSizeTopic left(1, 400, 0);
+  FixedSizeTopic right(2, 400, 0);
   GossipTopics topics;
   topics.Register(left);
   topics.Register(right);
@@ -72,8 +72,8 @@
   EXPECT_NE(first, second);
 }
 
-TEST(GossipTopics, DispatchPayloadsByTopicAndIgnoreUnknownOnes) {
-  FixedTopic topic(3, 0, 0);
+TEST(GossipTopics, DispatchesPayloadsByTopicAndIgnoresUnknownTopics) {
+  FixedSizeTopic topic(3, 0, 0);
   GossipTopics topics;
   topics.Register(topic);
   GossipMessage message = MakeGossip({MakeRecord("a", 5)});
--- a/tests/decide/membership/mass_failure_guard_test.cpp
+++ b/tests/decide/membership/mass_failure_guard_test.cpp
@@ -12,7 +12,7 @@
 
 using Verdict = MassFailureGuard::Verdict;
 
-// Ten other members_; those that are suspected are so since 1 s.
+// A table of ten other members. Suspicions begin at kSuspectedAt.
 class MassFailureGuardTest : public testing::Test {
  protected:
   static constexpr Milliseconds kSuspectedAt{1'000};
@@ -23,14 +23,14 @@
       members_.push_back(&table_.Add(Milliseconds(0), MakeRecord("n" + std::to_string(i), 5)));
     }
   }
-  // Suspects the first members_.
+  // Makes the first `count` members suspects.
   void Suspect(std::size_t count) {
     for (std::size_t i = 0; i < count; ++i) {
       table_.Update(kSuspectedAt, *members_[i],
                     MakeRecord(members_[i]->record.name, 5, 0, MemberState::kSuspect));
     }
   }
-  // A message of each of the last members_ arrives.
+  // Reports the arrival of a message of each of the last `count` members.
   void ReceiveFrom(std::size_t count, Milliseconds now) {
     for (std::size_t i = 0; i < count; ++i) guard_.OnMessage(now, members_[9 - i]->record.name);
   }
@@ -43,21 +43,21 @@
   MassFailureGuard guard_{options_, table_};
 };
 
-TEST_F(MassFailureGuardTest, RemovesASingleSilentMember) {
+TEST_F(MassFailureGuardTest, RemovesASingleSuspect) {
   Suspect(1);
   ReceiveFrom(3, Milliseconds(2'000));
   EXPECT_EQ(guard_.Decide(kNow, *members_[0]), Verdict::kRemove);
 }
 
-TEST_F(MassFailureGuardTest, DefersWhileTooFewOthersHaveSentMessages) {
+TEST_F(MassFailureGuardTest, DefersWhileTooFewOtherMembersSentMessages) {
   Suspect(1);
-  ReceiveFrom(5, kSuspectedAt);  // Not since the suspicion began.
+  ReceiveFrom(5, kSuspectedAt);  // Does not count: not after the suspicion began.
   EXPECT_EQ(guard_.Decide(kNow, *members_[0]), Verdict::kDefer);
   ReceiveFrom(2, Milliseconds(2'000));
   EXPECT_EQ(guard_.Decide(kNow, *members_[0]), Verdict::kDefer);
 }
 
-TEST_F(MassFailureGuardTest, DefersWhileMoreThanTheFractionIsSilent) {
+TEST_F(MassFailureGuardTest, DefersWhileMoreThanMassFailureFractionIsSuspect) {
   ReceiveFrom(3, Milliseconds(2'000));
   Suspect(4);
   EXPECT_EQ(guard_.Decide(kNow, *members_[0]), Verdict::kRemove);
@@ -65,7 +65,7 @@
   EXPECT_EQ(guard_.Decide(kNow, *members_[0]), Verdict::kDefer);
 }
 
-TEST_F(MassFailureGuardTest, CountsRecentRemovalsAsSilent) {
+TEST_F(MassFailureGuardTest, CountsRecentRemovalsAsFailed) {
   ReceiveFrom(3, Milliseconds(2'000));
   Suspect(4);
   for (int i = 0; i < 4; ++i) guard_.OnRemoved(Milliseconds(3'000));
@@ -85,7 +85,7 @@
   EXPECT_EQ(guard_.Decide(guard_.GracePeriodEnd(), *members_[0]), Verdict::kRemove);
 }
 
-TEST_F(MassFailureGuardTest, RemovesAfterTheLongestDeferral) {
+TEST_F(MassFailureGuardTest, RemovesAfterMaxRemovalDeferral) {
   Suspect(6);
   EXPECT_TRUE(guard_.Defer(kNow, *members_[0]));
   EXPECT_FALSE(guard_.Defer(kNow, *members_[1]));
@@ -94,7 +94,7 @@
   EXPECT_EQ(guard_.Decide(later, *members_[0]), Verdict::kRemove);
 }
 
-TEST_F(MassFailureGuardTest, TellsHowLongNoMessageArrived) {
+TEST_F(MassFailureGuardTest, ReportsTimeSinceLastMessage) {
   EXPECT_EQ(guard_.TimeSinceLastMessage(kNow), std::nullopt);
   ReceiveFrom(2, Milliseconds(2'000));
   EXPECT_EQ(guard_.TimeSinceLastMessage(kNow), Milliseconds(3'000));
--- a/tests/decide/membership/member_records.h
+++ b/tests/decide/membership/member_records.h
@@ -1,4 +1,4 @@
-// Records of members for the tests of membership.
+// Member records, messages and random numbers for the membership tests.
 #ifndef HINGELINK_TESTS_DECIDE_MEMBERSHIP_MEMBER_RECORDS_H_
 #define HINGELINK_TESTS_DECIDE_MEMBERSHIP_MEMBER_RECORDS_H_
 
@@ -14,7 +14,7 @@
 
 namespace hingelink::decide {
 
-// A serving member with an address of its own.
+// Returns the record of a serving member with an address derived from its name.
 inline MemberRecord MakeRecord(const std::string& name, std::uint64_t process_epoch,
                                std::uint32_t incarnation = 0, MemberState state = MemberState::kAlive) {
   MemberRecord record;
@@ -26,14 +26,14 @@
   return record;
 }
 
-// A message that carries these records; the first one is its sender's.
+// Returns a message with these records. The first one is the record of the sender.
 inline GossipMessage MakeGossip(std::vector<MemberRecord> records) {
   GossipMessage message;
   message.records = std::move(records);
   return message;
 }
 
-// A linear congruential generator: the same numbers in each run.
+// Returns a linear congruential generator, which yields the same numbers in each run.
 inline RandomSource MakeRandomSource() {
   return [state = std::uint64_t{7}]() mutable {
     state = state * 6364136223846793005U + 1442695040888963407U;
--- a/tests/decide/membership/member_table_test.cpp
+++ b/tests/decide/membership/member_table_test.cpp
@@ -34,7 +34,7 @@
   EXPECT_EQ(suspect.state_since, Milliseconds(7));
 }
 
-TEST_F(MemberTableTest, ProbesEachLiveMemberOnceInARound) {
+TEST_F(MemberTableTest, ProbesEachLiveMemberOncePerRound) {
   std::set<std::string> expected;
   for (int i = 0; i < 20; ++i) {
     const std::string name = "n" + std::to_string(i);
@@ -42,7 +42,8 @@
     expected.insert(name);
   }
   Add("dead", MemberState::kDead);
-  // Members that are added meanwhile may be in the first round: it ends with a new one.
+  // The members were added in the middle of a round. Advances to its last member, so that complete rounds
+  // follow.
   while (table_.NextProbeTarget() != table_.members().back()) {
   }
   for (int round = 0; round < 3; ++round) {
@@ -63,13 +64,13 @@
   Add("b");
   for (int i = 0; i < 50; ++i) {
     const Member* picked = table_.PickRandom([](const Member&) { return true; }, "a");
-    // A few draws may all have been of the excluded one.
+    // All draws of this call may have been the excluded member.
     if (picked == nullptr) continue;
     EXPECT_EQ(picked->record.name, "b");
   }
 }
 
-TEST_F(MemberTableTest, RemovesAMemberFromViewAndProbeOrder) {
+TEST_F(MemberTableTest, RemovesMemberFromDigestAndProbeOrder) {
   Add("a");
   Add("b");
   const std::uint64_t with_both = digest_.value();
--- a/tests/decide/membership/membership_node.h
+++ b/tests/decide/membership/membership_node.h
@@ -1,4 +1,4 @@
-// A node under test, whose peers are played by the test.
+// A node under test. The test sends it the messages of its peers.
 #ifndef HINGELINK_TESTS_DECIDE_MEMBERSHIP_MEMBERSHIP_NODE_H_
 #define HINGELINK_TESTS_DECIDE_MEMBERSHIP_MEMBERSHIP_NODE_H_
 
@@ -15,24 +15,25 @@
 
 class MembershipNode {
  public:
-  // Named "self", with process epoch 100.
+  // The node is named "self" and has process epoch 100.
   explicit MembershipNode(const MembershipOptions& options = {})
       : membership(options, MakeRecord("self", 100), {}, MakeRandomSource()) {}
 
-  // Delivers a message with these records at this time.
+  // Delivers a message with these records. The first one is the record of the sender.
   MembershipActions Receive(double now_ms, std::vector<MemberRecord> records) {
     const PeerAddress from{2, 1};
     return CountEvents(membership.OnMessage(Milliseconds(now_ms), from, MakeGossip(std::move(records))));
   }
-  // Delivers a message of each of the members n0, n1, ... of process epoch 5, a millisecond apart.
+  // Delivers a message from each of the members n0, n1, ... with process epoch 5, one per millisecond from
+  // time 0.
   void ReceiveFromMembers(int count) {
     for (int i = 0; i < count; ++i) Receive(i, {MakeRecord("n" + std::to_string(i), 5)});
   }
-  // Calls Tick() whenever it is due up to this time.
+  // Calls Tick() at each deadline up to `end_ms`.
   void RunUntil(double end_ms) {
-    for (double due = membership.NextDeadline().count(); due <= end_ms;
-         due = std::max(due + 1, membership.NextDeadline().count()))
-      CountEvents(membership.Tick(Milliseconds(due)));
+    for (double now = membership.NextDeadline().count(); now <= end_ms;
+         now = std::max(now + 1, membership.NextDeadline().count()))
+      CountEvents(membership.Tick(Milliseconds(now)));
   }
 
   [[nodiscard]] std::optional<MemberRecord> Find(const std::string& name) const {
@@ -41,8 +42,8 @@
     }
     return std::nullopt;
   }
-  // How often an event was reported.
-  [[nodiscard]] int Reported(MembershipEventKind kind) const {
+  // The number of reported events of this kind.
+  [[nodiscard]] int CountReported(MembershipEventKind kind) const {
     const auto found = events_.find(kind);
     return found == events_.end() ? 0 : found->second;
   }
--- a/tests/decide/membership/membership_test.cpp
+++ b/tests/decide/membership/membership_test.cpp
@@ -1,4 +1,4 @@
-// One node's membership: what it concludes from the records that it receives and from silence.
+// Checks how one node's view changes when it receives records and when it receives no messages.
 #include "decide/membership/membership.h"
 
 #include <gtest/gtest.h>
@@ -21,7 +21,7 @@
   MembershipNode node;
   node.Receive(0, {MakeRecord("a", 5), MakeRecord("self", 100, 0, MemberState::kSuspect)});
   EXPECT_EQ(node.membership.self().version, (MemberVersion{100, 1}));
-  // About the incarnation before: refuted already.
+  // This record is about the previous incarnation, so it is refuted already.
   node.Receive(1, {MakeRecord("a", 5), MakeRecord("self", 100, 0, MemberState::kDead)});
   EXPECT_EQ(node.membership.self().version, (MemberVersion{100, 1}));
 }
@@ -30,17 +30,17 @@
   MembershipNode node;
   node.Receive(0, {MakeRecord("a", 5), MakeRecord("self", 900, 7)});
   EXPECT_GT(node.membership.self().version.process_epoch, 900U);
-  EXPECT_EQ(node.Reported(MembershipEventKind::kProcessEpochRaised), 1);
+  EXPECT_EQ(node.CountReported(MembershipEventKind::kProcessEpochRaised), 1);
 }
 
-TEST(Membership, ReportsANameConflictAndBoundsTheRaisesOfTheProcessEpoch) {
+TEST(Membership, ReportsNameConflictAndLimitsProcessEpochRaises) {
   MembershipNode node;
   for (int i = 1; i <= 50; ++i) {
     const std::uint64_t greater_epoch = node.membership.self().version.process_epoch + 1;
     node.Receive(i * 100, {MakeRecord("a", 5), MakeRecord("self", greater_epoch)});
   }
-  EXPECT_GE(node.Reported(MembershipEventKind::kNameConflict), 1);
-  EXPECT_LE(node.Reported(MembershipEventKind::kProcessEpochRaised), 5);
+  EXPECT_GE(node.CountReported(MembershipEventKind::kNameConflict), 1);
+  EXPECT_LE(node.CountReported(MembershipEventKind::kProcessEpochRaised), 5);
 }
 
 TEST(Membership, IgnoresARecordOfAnOlderProcessEpoch) {
@@ -52,7 +52,7 @@
   EXPECT_EQ(node.membership.counters().stale_records, 1U);
 }
 
-TEST(Membership, AddsAForgottenMemberOnlyByANewerVersion) {
+TEST(Membership, AddsEvictedMemberOnlyWithNewerVersion) {
   MembershipOptions options;
   options.dead_member_retention = Milliseconds(10'000);
   options.mass_failure_fraction = 1;
@@ -69,7 +69,7 @@
   EXPECT_NE(node.Find("b"), std::nullopt);
 }
 
-TEST(Membership, KeepsNoMoreThanTheMaximumOfMembers) {
+TEST(Membership, KeepsAtMostMaxMembers) {
   MembershipOptions options;
   options.max_members = 20;
   MembershipNode node(options);
@@ -79,29 +79,29 @@
   EXPECT_LE(node.membership.queued_broadcasts(), 20U);
 }
 
-TEST(Membership, AfterAPauseRaisesItsIncarnationAndSuspectsNoMember) {
+TEST(Membership, RaisesIncarnationAndSuspectsNoMemberAfterAPause) {
   MembershipNode node;
   node.Receive(0, {MakeRecord("a", 5)});
   node.Receive(0, {MakeRecord("b", 5)});
   node.RunUntil(900);
   const MemberVersion before = node.membership.self().version;
   node.Receive(15'000, {MakeRecord("a", 5)});
-  EXPECT_EQ(node.Reported(MembershipEventKind::kPaused), 1);
+  EXPECT_EQ(node.CountReported(MembershipEventKind::kPaused), 1);
   EXPECT_GT(node.membership.self().version, before);
   node.RunUntil(16'400);
   EXPECT_EQ(node.membership.suspects(), 0U);
 }
 
-TEST(Membership, KeepsItsViewWhenItReceivesNothing) {
+TEST(Membership, DefersRemovalsWhenItReceivesNoMessages) {
   MembershipNode node;
   node.ReceiveFromMembers(10);
   node.RunUntil(120'000);
   EXPECT_TRUE(node.membership.defers_removals());
   EXPECT_EQ(node.membership.live_members(), 11U);
-  EXPECT_EQ(node.Reported(MembershipEventKind::kMemberDead), 0);
+  EXPECT_EQ(node.CountReported(MembershipEventKind::kMemberDead), 0);
 }
 
-TEST(Membership, RemovesAllMembersAtOnceThatAnnounceTheirEnd) {
+TEST(Membership, RemovesAllMembersThatAnnounceTheirDeparture) {
   MembershipNode node;
   node.ReceiveFromMembers(10);
   for (int i = 0; i < 10; ++i) node.Receive(20, {LeftRecord("n" + std::to_string(i))});
@@ -109,8 +109,9 @@
   EXPECT_FALSE(node.membership.defers_removals());
 }
 
-// An announced end is no failure, whoever sends the record.
-TEST(Membership, RemovesMembersThatHaveLeftByTheRecordsOfOthers) {
+// A member that announced that it left has not failed, even if another member sends its record as dead. The
+// mass failure guard must not defer its removal.
+TEST(Membership, RemovesLeftMembersReportedDeadByAnotherMember) {
   MembershipNode node;
   node.ReceiveFromMembers(10);
   for (int i = 1; i < 10; ++i) {
--- a/tests/decide/membership/suspicion_timers_test.cpp
+++ b/tests/decide/membership/suspicion_timers_test.cpp
@@ -34,7 +34,7 @@
   EXPECT_EQ(TimeoutWith(10), options_.min_suspicion_timeout);
 }
 
-TEST_F(SuspicionTimersTest, UsesTheShortestTimeoutWhereNoOneCanConfirm) {
+TEST_F(SuspicionTimersTest, UsesMinTimeoutWhenNoMemberCanConfirm) {
   suspect_.suspicion.accusers = {"self"};
   EXPECT_EQ(timers_.Timeout(suspect_, 3), options_.min_suspicion_timeout);
 }
@@ -48,7 +48,7 @@
   EXPECT_TRUE(suspect_.suspicion.is_final_probe_done);
 }
 
-TEST_F(SuspicionTimersTest, FiresTheEarliestFirst) {
+TEST_F(SuspicionTimersTest, FiresEarliestTimerFirst) {
   timers_.Schedule(suspect_, Milliseconds(5'000), false);
   timers_.Schedule(other_, Milliseconds(4'000), false);
   EXPECT_EQ(&timers_.next_member(), &other_);
@@ -58,14 +58,14 @@
   EXPECT_TRUE(timers_.empty());
 }
 
-TEST_F(SuspicionTimersTest, PostponesAllDeadlinesAndProbesAgain) {
+TEST_F(SuspicionTimersTest, PostponesAllDeadlinesAndSchedulesFinalProbes) {
   timers_.Schedule(suspect_, Milliseconds(2'000), false);
   timers_.Schedule(other_, Milliseconds(9'000), false);
   timers_.PostponeAll(Milliseconds(6'000));
   EXPECT_EQ(suspect_.suspicion.deadline, Milliseconds(6'000));
   EXPECT_EQ(other_.suspicion.deadline, Milliseconds(9'000));
   EXPECT_FALSE(suspect_.suspicion.is_final_probe_done);
-  // A confirmation does not shorten it below that.
+  // An earlier deadline, as after a confirmation, has no effect.
   timers_.Schedule(suspect_, Milliseconds(3'000), false);
   EXPECT_EQ(suspect_.suspicion.deadline, Milliseconds(6'000));
 }
--- a/tests/decide/membership/tombstones_test.cpp
+++ b/tests/decide/membership/tombstones_test.cpp
@@ -7,7 +7,7 @@
 namespace hingelink::decide::membership {
 namespace {
 
-TEST(Tombstones, CoverVersionsUpToTheRemovedOne) {
+TEST(Tombstones, CoversVersionsUpToTheRemovedOne) {
   Tombstones tombstones(10);
   tombstones.Add(MakeRecord("a", 5, 2));
   EXPECT_TRUE(tombstones.Covers(MakeRecord("a", 5, 2)));
@@ -16,7 +16,7 @@
   EXPECT_FALSE(tombstones.Covers(MakeRecord("b", 1)));
 }
 
-TEST(Tombstones, ForgetTheOldestBeyondTheirCapacity) {
+TEST(Tombstones, DropsOldestTombstonesBeyondCapacity) {
   Tombstones tombstones(2);
   for (const char* name : {"a", "b", "c"}) tombstones.Add(MakeRecord(name, 5));
   tombstones.EnforceCapacity();
--- a/tests/decide/membership/view_digest_test.cpp
+++ b/tests/decide/membership/view_digest_test.cpp
@@ -41,7 +41,7 @@
   EXPECT_EQ(digest_of(MakeRecord("a", 5, 3, MemberState::kSuspect)), digest);
 }
 
-TEST(ViewDigest, LeavesOutDeadMembers) {
+TEST(ViewDigest, ExcludesDeadMembers) {
   ViewDigest digest;
   digest.Toggle(MakeRecord("a", 5, 0, MemberState::kDead));
   EXPECT_EQ(digest.value(), 0U);
