--- a/src/appliance/supervisor.cpp
+++ b/src/appliance/supervisor.cpp
@@ -81,7 +81,7 @@
     asked = true;
     net::Send(link.get(), R"({"v":1,"id":1,"op":"status"})"
                           "\n");
-    overdue.After(kLookWithin);
+    overdue.Start(kLookWithin);
   }
   bool Connect() {
     const std::string path = owner.SocketOf(generation);
@@ -101,7 +101,7 @@
     return true;
   }
   void Read() {
-    const std::string_view all = net::Arrived(link.get());
+    const std::string_view all = net::ReceivedBytes(link.get());
     const std::size_t eol = all.find('\n');
     if (eol == std::string_view::npos) {
       if (all.size() > control::kMostResponse) Lose();
@@ -275,7 +275,7 @@
 }
 
 void Supervisor::Run() {
-  look_.After(0ms);
+  look_.Start(0ms);
   while (!exit_) {
     event_base_loop(base_.get(), EVLOOP_ONCE);
     ended_.clear();
@@ -328,7 +328,7 @@
           Point(a.generation);
         } else if constexpr (std::is_same_v<A, decide::SetTimer>) {
           const double in = std::max(0.0, (a.at - Now()).count());
-          tick_.After(std::chrono::duration_cast<net::Steady::duration>(
+          tick_.Start(std::chrono::duration_cast<net::Steady::duration>(
               std::chrono::duration<double, std::milli>(in + 1)));
         } else if constexpr (std::is_same_v<A, decide::LogEvent>) {
           last_report_ = a.code;
@@ -456,7 +456,7 @@
 }
 
 void Supervisor::Look() {
-  look_.After(kLookEach);
+  look_.Start(kLookEach);
   for (const auto& [generation, held] : held_) held->Ask();
   if (!saved_) Save();
 }
--- a/src/background/job_runner.cpp
+++ b/src/background/job_runner.cpp
@@ -155,7 +155,7 @@
       poll_timer_(base, [this] { PollConditions(); }) {
   if (!finished_event_) throw std::runtime_error("libevent: no event");
   event_add(finished_event_.get(), nullptr);
-  poll_timer_.After(kPollInterval);
+  poll_timer_.Start(kPollInterval);
   ScheduleWakeup();
   // Signals are handled by the loop's thread only.
   sigset_t all;
@@ -220,7 +220,7 @@
 }
 
 void JobRunner::PollConditions() {
-  poll_timer_.After(kPollInterval);
+  poll_timer_.Start(kPollInterval);
   if (conditions_.draining()) {
     ExecuteActions(scheduler_.BeginDrain(Now()));
   } else {
@@ -231,7 +231,7 @@
 
 void JobRunner::ScheduleWakeup() {
   if (const auto wakeup = scheduler_.NextWakeup(Now())) {
-    wakeup_timer_.After(std::chrono::duration_cast<net::Steady::duration>(*wakeup - Now()));
+    wakeup_timer_.Start(std::chrono::duration_cast<net::Steady::duration>(*wakeup - Now()));
   } else {
     wakeup_timer_.Stop();
   }
--- a/src/cli/standin.cpp
+++ b/src/cli/standin.cpp
@@ -33,10 +33,10 @@
     if (done()) {
       event_base_loopbreak(base);
     } else {
-      look->After(20ms);
+      look->Start(20ms);
     }
   });
-  look->After(20ms);
+  look->Start(20ms);
   event_base_dispatch(base);
 }
 
--- a/src/control/server.cpp
+++ b/src/control/server.cpp
@@ -56,22 +56,22 @@
 
   void Read() {
     while (!stopped_) {
-      const std::string_view all = net::Arrived(bev_.get());
+      const std::string_view all = net::ReceivedBytes(bev_.get());
       const std::size_t end = all.find('\n');
       if (end == std::string_view::npos) {
         if (all.size() >= kMostRequest) {
           Send(FaultLine(0, Fault("line-too-long", "a request is one line of at most 4096 bytes")));
           server_.End(*this, "line-too-long");
         } else if (all.empty()) {
-          if (net::Unsent(bev_.get()) == 0) patience_.Stop();
+          if (net::UnsentBytes(bev_.get()) == 0) patience_.Stop();
         } else if (!std::exchange(in_line_, true)) {
-          patience_.After(kPatience);
+          patience_.Start(kPatience);
         }
         return;
       }
       // Who does not read its answers is not asked for more questions; and no client, nor all together, may
       // ask more than so often.
-      if (net::Unsent(bev_.get()) > 0 || !server_.TakeTurn()) {
+      if (net::UnsentBytes(bev_.get()) > 0 || !server_.TakeTurn()) {
         waits_ = true;
         // Guards against a loop that spins: libevent calls again and again for a buffer that stays full.
         bufferevent_disable(bev_.get(), EV_READ);
@@ -94,7 +94,7 @@
   }
   void Send(const std::string& line) {
     net::Send(bev_.get(), line);
-    patience_.After(kPatience);
+    patience_.Start(kPatience);
   }
   void Written() {
     if (!in_line_) patience_.Stop();
@@ -103,8 +103,8 @@
   // Whether it has read all that it was sent, also what the kernel keeps.
   bool HasReadAll() const {
     int unread = 0;
-    return net::Unsent(bev_.get()) == 0 && ioctl(bufferevent_getfd(bev_.get()), SIOCOUTQ, &unread) == 0 &&
-           unread == 0;
+    return net::UnsentBytes(bev_.get()) == 0 &&
+           ioctl(bufferevent_getfd(bev_.get()), SIOCOUTQ, &unread) == 0 && unread == 0;
   }
   void Stop() {
     stopped_ = true;
@@ -185,7 +185,7 @@
     if (errno == EAGAIN || errno == EINTR || errno == ECONNABORTED) return;
     log::Warn("control-accept-failed", {{"error", std::strerror(errno)}});
     event_del(accept_.get());
-    listen_again_.After(kListenAgain);
+    listen_again_.Start(kListenAgain);
     return;
   }
   ucred peer{};
@@ -214,16 +214,16 @@
   }
   client.Stop();
   ended_.push_back(std::move(node.mapped()));
-  sweep_.After(0ms);
+  sweep_.Start(0ms);
 }
 
 bool Server::TakeTurn() {
   if (turns_ == 0) {
-    tick_.After(kTick);
+    tick_.Start(kTick);
     return false;
   }
   // The first of a tick starts it.
-  if (turns_-- == kRequestsEachTick) tick_.After(kTick);
+  if (turns_-- == kRequestsEachTick) tick_.Start(kTick);
   return true;
 }
 
@@ -268,7 +268,7 @@
     client.every_ = std::chrono::milliseconds(request.args.value("every_ms", kUsualEvery.count()));
     client.next_ = Steady::now() + client.every_;
     client.Send(ResultText(request.id, SnapshotText()));
-    watch_.After(kWatchLook);
+    watch_.Start(kWatchLook);
     return;
   }
   const auto handler = handlers_.find(request.op);
@@ -294,7 +294,7 @@
     }
     net::Send(client->bev_.get(), ResultText(*client->watch_, SnapshotText()));
   }
-  if (any) watch_.After(kWatchLook);
+  if (any) watch_.Start(kWatchLook);
 }
 
 }  // namespace hingelink::control
--- a/src/fleet/fleet.cpp
+++ b/src/fleet/fleet.cpp
@@ -113,7 +113,7 @@
     // The process that this one takes over from has the address until it has handed over.
     if (!std::exchange(has_warned_of_address_, true))
       log::Warn("fleet-bind-failed", {{"what", error.what()}});
-    open_timer_.After(kOpenInterval);
+    open_timer_.Start(kOpenInterval);
     return;
   }
   if (!membership_) StartMembership();
@@ -157,7 +157,7 @@
 
 void Fleet::ScheduleTimer() {
   const Milliseconds delay = membership_->NextDeadline() - Now();
-  timer_.After(std::max(std::chrono::duration_cast<net::Steady::duration>(delay), kMinTimerInterval));
+  timer_.Start(std::max(std::chrono::duration_cast<net::Steady::duration>(delay), kMinTimerInterval));
 }
 
 void Fleet::UpdatePhase() {
--- a/src/lab/rig/relay.cpp
+++ b/src/lab/rig/relay.cpp
@@ -99,7 +99,7 @@
     late_.begin()->second();
     late_.erase(late_.begin());
   }
-  if (!late_.empty()) timer_.After(ToSteady(late_.begin()->first - host_.now()));
+  if (!late_.empty()) timer_.Start(ToSteady(late_.begin()->first - host_.now()));
 }
 
 // Both directions of one connection. What passes late is kept in order.
@@ -118,7 +118,8 @@
   void Go() {
     if (over_) return;
     for (int side : {0, 1}) Forward(side);
-    if (ended_ && held_[ended_side_].empty() && net::Unsent(ends_[1 - ended_side_].get()) == 0) over_ = true;
+    if (ended_ && held_[ended_side_].empty() && net::UnsentBytes(ends_[1 - ended_side_].get()) == 0)
+      over_ = true;
   }
   void Reset() {
     for (const net::BufferPtr& end : ends_) {
@@ -153,7 +154,7 @@
   void Read(int side) {
     if (over_) return;
     if (held_bytes_[side] > kMostHeld) return;  // Until some of it has gone on.
-    const std::string_view all = net::Arrived(ends_[side].get());
+    const std::string_view all = net::ReceivedBytes(ends_[side].get());
     if (all.empty()) return;
     const Millis now = owner_.host_.now();
     const Passage passage =
@@ -186,7 +187,7 @@
       }
       halved_[side] = false;
       if (held_[side].front().due > now) {
-        timer_.After(ToSteady(held_[side].front().due - now));
+        timer_.Start(ToSteady(held_[side].front().due - now));
         return;
       }
       net::Send(ends_[1 - side].get(), held_[side].front().bytes);
--- a/src/lab/rig/rig.cpp
+++ b/src/lab/rig/rig.cpp
@@ -239,7 +239,7 @@
       }
       beat_.emplace(relays_.base(), [this] { Beat(); });
       next_beat_ = Steady::now() + kBeat;
-      beat_->After(kBeat);
+      beat_->Start(kBeat);
     });
     for (std::size_t i = 0; i < count_; ++i) {
       WriteKeys(i, {kFirstKey});
@@ -321,7 +321,7 @@
     late_.push_back(static_cast<float>(std::max(0.0, late.count())));
     for (const auto& connection : connections_) connection->Sweep();
     next_beat_ = Steady::now() + kBeat;
-    beat_->After(kBeat);
+    beat_->Start(kBeat);
   }
 
   void Start(std::size_t i) {
--- a/src/net/connection_set.cpp
+++ b/src/net/connection_set.cpp
@@ -32,7 +32,7 @@
     case EndReason::kPeerClosed:
     case EndReason::kReset:
     case EndReason::kSlowReader:
-    case EndReason::kMadeRoom:
+    case EndReason::kEvicted:
     case EndReason::kAtLimit:
     case EndReason::kDrained:
       break;
@@ -47,15 +47,15 @@
       events_(std::move(events)),
       idle_sweep_(base, [this] { SweepIdle(); }),
       look_(base, [this] { LookForSlow(); }),
-      quiet_sweep_(base, [this] { CloseQuiet(); }),
-      lingering_(base, events_.ended) {
-  look_.After(kLook);
+      quiet_sweep_(base, [this] { CloseIdleForHandover(); }),
+      lingering_(base, events_.closed) {
+  look_.Start(kLook);
 }
 
 ConnectionSet::~ConnectionSet() { Shutdown({}); }
 
-std::vector<ConnectionSet::Look> ConnectionSet::LookAt(std::size_t most) const {
-  std::vector<Look> seen;
+std::vector<ConnectionSet::Snapshot> ConnectionSet::TakeSnapshots(std::size_t most) const {
+  std::vector<Snapshot> seen;
   for (const auto& [id, connection] : connections_) {
     if (seen.size() >= most) break;
     seen.push_back(connection->AsSeen());
@@ -67,7 +67,7 @@
   while (!connections_.empty()) End(connections_.begin()->first, EndReason::kShutdown);
   bool overdue = false;
   Timer limit(base_, [&overdue] { overdue = true; });
-  limit.After(until - Steady::now());
+  limit.Start(until - Steady::now());
   while (lingering_.size() > 0 && !overdue && Steady::now() < until) event_base_loop(base_, EVLOOP_ONCE);
   while (lingering_.CloseOldest()) {
   }
@@ -80,14 +80,14 @@
 
 // Guards against connections of clients that never close: they would hold descriptors that the successor
 // needs, and this process for as long as it may live.
-void ConnectionSet::CloseQuiet() {
+void ConnectionSet::CloseIdleForHandover() {
   const Steady::time_point limit = Steady::now() - kQuiet;
   std::vector<std::uint64_t> quiet;
   for (const auto& [id, connection] : connections_) {
     if (connection->last_used() < limit && connection->Spare()) quiet.push_back(id);
   }
   for (const std::uint64_t id : quiet) End(id, EndReason::kHandedOver);
-  quiet_sweep_.After(kQuietSweep);
+  quiet_sweep_.Start(kQuietSweep);
 }
 
 ConnectionSet::Connections::const_iterator ConnectionSet::FindLeastUseful() const {
@@ -103,7 +103,7 @@
   }
 }
 
-std::optional<decide::ConnectionValue> ConnectionSet::LeastUseful() const {
+std::optional<decide::ConnectionValue> ConnectionSet::EvictionCandidate() const {
   constexpr int kOfNoUse = -1;  // Less than any connection that stands.
   if (lingering_.size() > 0) return decide::ConnectionValue{kOfNoUse, std::chrono::nanoseconds(0)};
   const auto least = FindLeastUseful();
@@ -111,11 +111,11 @@
 }
 
 // Guards against peers that take up all connections and ask nothing, so that no gateway gets one.
-bool ConnectionSet::MakeRoom() {
+bool ConnectionSet::EvictOne() {
   if (lingering_.CloseOldest()) return true;
   const auto least = FindLeastUseful();
   if (least == connections_.end()) return false;
-  End(least->first, EndReason::kMadeRoom);
+  End(least->first, EndReason::kEvicted);
   return true;
 }
 
@@ -125,7 +125,7 @@
     if (const auto reason = connection->Look()) over.emplace_back(id, *reason);
   }
   for (const auto& [id, reason] : over) End(id, reason);
-  look_.After(kLook);
+  look_.Start(kLook);
 }
 
 void ConnectionSet::End(std::uint64_t id, EndReason reason) {
@@ -140,7 +140,7 @@
     return;
   }
   socket = Descriptor();
-  if (events_.ended) events_.ended(id);
+  if (events_.closed) events_.closed(id);
 }
 
 void ConnectionSet::Sweep() { ended_.clear(); }
@@ -172,30 +172,30 @@
     if (connection->last_used() < limit && connection->Resting()) idle.push_back(id);
   }
   for (const std::uint64_t id : idle) End(id, EndReason::kIdle);
-  idle_sweep_.After(std::clamp(idle_after_ / 4, 10ms, 1000ms));
+  idle_sweep_.Start(std::clamp(idle_after_ / 4, 10ms, 1000ms));
 }
 
-void ConnectionSet::AskForNoMore() {
+void ConnectionSet::StopNewRequests() {
   asked_for_no_more_ = true;
-  for (const auto& [id, connection] : connections_) connection->AskForNoMore();
+  for (const auto& [id, connection] : connections_) connection->StopNewRequests();
 }
 
-void ConnectionSet::TakeBack() {
+void ConnectionSet::CancelDrain() {
   asked_for_no_more_ = false;
   quiet_sweep_.Stop();
 }
 
 // Each that is still refused puts itself on the list again.
-void ConnectionSet::Continue() {
+void ConnectionSet::ResumeReading() {
   for (const std::uint64_t id : std::exchange(held_back_, {})) {
-    if (const auto it = connections_.find(id); it != connections_.end()) it->second->Continue();
+    if (const auto it = connections_.find(id); it != connections_.end()) it->second->ResumeReading();
   }
 }
 
-std::optional<ConnectionSet::Moving> ConnectionSet::Release(std::uint64_t id) {
+std::optional<ConnectionSet::TransferState> ConnectionSet::Release(std::uint64_t id) {
   const auto it = connections_.find(id);
   if (it == connections_.end()) return std::nullopt;
-  std::optional<Moving> moving = it->second->Release();
+  std::optional<TransferState> moving = it->second->Release();
   if (moving) {
     ended_.push_back(std::move(it->second));
     connections_.erase(it);
@@ -203,19 +203,19 @@
   return moving;
 }
 
-void ConnectionSet::Adopt(Moving moving) {
+void ConnectionSet::Adopt(TransferState moving) {
   const std::uint64_t id = moving.id;
   const evutil_socket_t fd = moving.socket.release();
   const auto it = connections_.emplace(id, std::make_unique<Connection>(*this, id, fd, Steady::now())).first;
   it->second->TakeOver(std::move(moving));
 }
 
-std::uint64_t ConnectionSet::TakeWork(
+std::uint64_t ConnectionSet::TakeFrameCounts(
     std::size_t most, const std::function<void(std::uint64_t id, std::uint64_t work)>& heaviest) {
   std::uint64_t sum = 0;
   std::vector<std::pair<std::uint64_t, std::uint64_t>> worked;  // Work and id.
   for (const auto& [id, connection] : connections_) {
-    const std::uint64_t work = connection->TakeWork();
+    const std::uint64_t work = connection->TakeFrameCounts();
     sum += work;
     if (work > 0) worked.emplace_back(work, id);
   }
--- a/src/net/connection_set.h
+++ b/src/net/connection_set.h
@@ -28,7 +28,7 @@
   kUnfinished,
   kSlowReader,
   kIdle,
-  kMadeRoom,
+  kEvicted,
   kAtLimit,
   kDrained,
   kHandedOver,
@@ -41,16 +41,16 @@
   struct Events {
     std::function<void(const core::IncomingRequest&)> request;
     std::function<void(core::StreamAddress)>
-        gone;  // Nobody waits for this answer any more, or that of a check.
-    std::function<void(core::StreamAddress)> check;  // A deep check. Empty: none is told.
+        disconnected;  // Nobody waits for this answer any more, or that of a check.
+    std::function<void(core::StreamAddress)> deep_check;  // A deep check. Empty: none is told.
     // The counts of a class by its name, or null. Each answer is counted there as it is written.
-    std::function<core::ClassCountsPtr(std::string_view kind)> counts;
+    std::function<core::ClassCountsPtr(std::string_view class_name)> class_counts;
     // Its descriptor is free; after its last `gone`. May be empty.
-    std::function<void(std::uint64_t id)> ended;
-    // Whether one more frame may be read. Where it says no, all is left unread until Continue(). May be
+    std::function<void(std::uint64_t id)> closed;
+    // Whether one more frame may be read. Where it says no, all is left unread until ResumeReading(). May be
     // empty.
-    std::function<bool()> may_read;
-    std::function<void(std::uint64_t id)> reading;  // Before it reads a connection. May be empty.
+    std::function<bool()> may_read_frame;
+    std::function<void(std::uint64_t id)> before_read;  // Before it reads a connection. May be empty.
   };
 
   ConnectionSet(event_base* base, Events events);
@@ -68,38 +68,38 @@
   void SetLoadSignal(std::optional<double> value) { signal_ = value; }
   void CloseIdle(std::chrono::milliseconds after);
   // Asks for no new request on any connection that stands and has not been asked.
-  void AskForNoMore();
-  // Connections are wanted again, behind AskForNoMore() and CloseQuiet().
-  void TakeBack();
-  // From now on, until TakeBack(): ends connections that have been asked for no more and are quiet.
-  void CloseQuiet();
+  void StopNewRequests();
+  // Connections are wanted again, behind StopNewRequests() and CloseIdleForHandover().
+  void CancelDrain();
+  // From now on, until CancelDrain(): ends connections that have been asked for no more and are quiet.
+  void CloseIdleForHandover();
   // The least useful connection with which nothing is lost, if there is one.
-  std::optional<decide::ConnectionValue> LeastUseful() const;
+  std::optional<decide::ConnectionValue> EvictionCandidate() const;
   // Ends it. False where there is none.
-  bool MakeRoom();
+  bool EvictOne();
   // Reads on where `may_read` said no.
-  void Continue();
+  void ResumeReading();
 
   // A connection on its way to another loop: between whole frames, with what it owes and is owed.
-  struct Moving {
-    struct Open {
+  struct TransferState {
+    struct OpenRequest {
       std::uint32_t stream = 0;
-      std::string kind;  // The name of its class; empty where it was none.
+      std::string class_name;  // The name of its class; empty where it was none.
       core::ClassCountsPtr counts;
     };
     std::uint64_t id = 0;
     Descriptor socket;
-    std::vector<Open> open;
-    std::string unsent;
-    std::uint64_t requests = 0;
-    int malformed = 0;
-    bool useful = false;  // It has been served.
-    bool asked_for_no_more = false;
+    std::vector<OpenRequest> open_requests;
+    std::string unsent_output;
+    std::uint64_t request_count = 0;
+    int malformed_count = 0;
+    bool has_served = false;  // It has been served.
+    bool stop_sent = false;
   };
   // Takes it out, without a word to `gone` or `ended`. Nothing where it does not stand, is ending, or has
   // read a part of a frame.
-  std::optional<Moving> Release(std::uint64_t id);
-  void Adopt(Moving moving);
+  std::optional<TransferState> Release(std::uint64_t id);
+  void Adopt(TransferState moving);
 
   // Frees the connections that ended since the last call. Not to be called from within a callback.
   void Sweep();
@@ -110,20 +110,20 @@
   // Those that hold a descriptor: connections that stand, and those that wait for the peer to close.
   std::size_t size() const { return connections_.size() + lingering_.size(); }
   // One connection as it stands.
-  struct Look {
+  struct Snapshot {
     std::uint64_t id = 0;
     std::uint64_t requests = 0;
-    std::size_t open = 0;
+    std::size_t open_requests = 0;
     std::size_t unsent_bytes = 0;
-    Steady::duration quiet{};
+    Steady::duration idle_time{};
   };
   // At most so many of those that stand.
-  std::vector<Look> LookAt(std::size_t most) const;
+  std::vector<Snapshot> TakeSnapshots(std::size_t most) const;
   bool AllSent() const;
   // Frames read and answers written since the last call, in all; and of those connections that had most, most
   // first, at most so many.
-  std::uint64_t TakeWork(std::size_t most,
-                         const std::function<void(std::uint64_t id, std::uint64_t work)>& heaviest);
+  std::uint64_t TakeFrameCounts(std::size_t most,
+                                const std::function<void(std::uint64_t id, std::uint64_t work)>& heaviest);
 
  private:
   class Connection;
--- a/src/net/event.cpp
+++ b/src/net/event.cpp
@@ -28,11 +28,11 @@
   event_config_set_flag(config.get(), EVENT_BASE_FLAG_NO_CACHE_TIME);
   event_config_set_flag(config.get(), EVENT_BASE_FLAG_PRECISE_TIMER);
   // Guards what is urgent against a flood: after so many ordinary callbacks it is looked for again.
-  event_config_set_max_dispatch_interval(config.get(), nullptr, kOrdinaryAtOnce, kOrdinary);
+  event_config_set_max_dispatch_interval(config.get(), nullptr, kOrdinaryAtOnce, kNormalPriority);
   BasePtr base(event_base_new_with_config(config.get()));
   if (!base) throw std::runtime_error("libevent: no event base");
   // New events take the middle one, which is the ordinary one.
-  if (event_base_priority_init(base.get(), kPriorities) != 0)
+  if (event_base_priority_init(base.get(), kPriorityCount) != 0)
     throw std::runtime_error("libevent: no priorities");
   return base;
 }
@@ -50,7 +50,7 @@
   event_priority_set(event_.get(), priority);
 }
 
-void Timer::After(Steady::duration span) {
+void Timer::Start(Steady::duration span) {
   const timeval in = ToTimeval(span);
   evtimer_add(event_.get(), &in);
 }
@@ -74,7 +74,7 @@
   throw std::invalid_argument("address '" + text + "' is not of the form 127.0.0.1:80");
 }
 
-bool BindThread(pthread_t thread, const std::vector<unsigned>& units) {
+bool PinThreadToCpus(pthread_t thread, const std::vector<unsigned>& units) {
   cpu_set_t set;
   CPU_ZERO(&set);
   for (const unsigned unit : units) {
@@ -95,7 +95,7 @@
   return ntohs(address.sin_port);
 }
 
-std::string_view Arrived(bufferevent* bev) {
+std::string_view ReceivedBytes(bufferevent* bev) {
   evbuffer* in = bufferevent_get_input(bev);
   const std::size_t size = evbuffer_get_length(in);
   if (size == 0) return {};
@@ -104,7 +104,7 @@
 
 void Consume(bufferevent* bev, std::size_t bytes) { evbuffer_drain(bufferevent_get_input(bev), bytes); }
 
-std::size_t Unsent(bufferevent* bev) { return evbuffer_get_length(bufferevent_get_output(bev)); }
+std::size_t UnsentBytes(bufferevent* bev) { return evbuffer_get_length(bufferevent_get_output(bev)); }
 
 void Send(bufferevent* bev, std::string_view bytes) { bufferevent_write(bev, bytes.data(), bytes.size()); }
 
--- a/src/net/event.h
+++ b/src/net/event.h
@@ -23,18 +23,18 @@
 using Steady = std::chrono::steady_clock;
 
 // Event priorities: what is ready at the first is served before anything at the second.
-inline constexpr int kUrgent = 0, kOrdinary = 1, kPriorities = 2;
+inline constexpr int kHighPriority = 0, kNormalPriority = 1, kPriorityCount = 2;
 
-struct Free {
+struct LibeventDeleter {
   void operator()(event_base* base) const { event_base_free(base); }
   void operator()(event* e) const { event_free(e); }
   void operator()(bufferevent* bev) const { bufferevent_free(bev); }
   void operator()(evconnlistener* listener) const { evconnlistener_free(listener); }
 };
-using BasePtr = std::unique_ptr<event_base, Free>;
-using EventPtr = std::unique_ptr<event, Free>;
-using BufferPtr = std::unique_ptr<bufferevent, Free>;
-using ListenerPtr = std::unique_ptr<evconnlistener, Free>;
+using BasePtr = std::unique_ptr<event_base, LibeventDeleter>;
+using EventPtr = std::unique_ptr<event, LibeventDeleter>;
+using BufferPtr = std::unique_ptr<bufferevent, LibeventDeleter>;
+using ListenerPtr = std::unique_ptr<evconnlistener, LibeventDeleter>;
 
 // A descriptor of its own.
 class Descriptor {
@@ -61,11 +61,11 @@
 
 timeval ToTimeval(Steady::duration span);
 
-// Fires once, `span` after the last After().
+// Fires once, `span` after the last Start().
 class Timer {
  public:
-  Timer(event_base* base, std::function<void()> fire, int priority = kOrdinary);
-  void After(Steady::duration span);
+  Timer(event_base* base, std::function<void()> fire, int priority = kNormalPriority);
+  void Start(Steady::duration span);
   void Stop();
 
  private:
@@ -77,15 +77,15 @@
 sockaddr_in ParseAddress(const std::string& text);
 
 // A thread runs on these units of the machine only. False where the system says no.
-bool BindThread(pthread_t thread, const std::vector<unsigned>& units);
+bool PinThreadToCpus(pthread_t thread, const std::vector<unsigned>& units);
 
 void SetNoDelay(evutil_socket_t fd);
 std::uint16_t LocalPort(evutil_socket_t fd);
 
 // What has arrived, as one piece.
-std::string_view Arrived(bufferevent* bev);
+std::string_view ReceivedBytes(bufferevent* bev);
 void Consume(bufferevent* bev, std::size_t bytes);
-std::size_t Unsent(bufferevent* bev);
+std::size_t UnsentBytes(bufferevent* bev);
 void Send(bufferevent* bev, std::string_view bytes);
 
 }  // namespace hingelink::net
--- a/src/net/gateway/connection.cpp
+++ b/src/net/gateway/connection.cpp
@@ -53,7 +53,7 @@
       return "slow-reader";
     case EndReason::kIdle:
       return "idle";
-    case EndReason::kMadeRoom:
+    case EndReason::kEvicted:
       return "made-room";
     case EndReason::kAtLimit:
       return "at-limit";
@@ -101,30 +101,30 @@
   if (checks_.erase(stream) != 0) Write(proto::EncodeHealthResponse(stream, good, set_.signal_));
 }
 
-void ConnectionSet::Connection::AskForNoMore() {
+void ConnectionSet::Connection::StopNewRequests() {
   if (!std::exchange(asked_for_no_more_, true) && !ending_) Write(proto::EncodeStopNewRequests());
 }
 
-ConnectionSet::Look ConnectionSet::Connection::AsSeen() const {
+ConnectionSet::Snapshot ConnectionSet::Connection::AsSeen() const {
   return {.id = id_,
           .requests = requests_,
-          .open = open_.size(),
-          .unsent_bytes = Unsent(bev_.get()),
-          .quiet = Steady::now() - last_used_};
+          .open_requests = open_.size(),
+          .unsent_bytes = UnsentBytes(bev_.get()),
+          .idle_time = Steady::now() - last_used_};
 }
 
-void ConnectionSet::Connection::Continue() {
+void ConnectionSet::Connection::ResumeReading() {
   if (!std::exchange(held_back_, false)) return;
   Read();
 }
 
-std::optional<ConnectionSet::Moving> ConnectionSet::Connection::Release() {
+std::optional<ConnectionSet::TransferState> ConnectionSet::Connection::Release() {
   evbuffer* in = bufferevent_get_input(bev_.get());
   if (ending_ || given_up_ || held_back_ || skip_ > 0 || !checks_.empty() || evbuffer_get_length(in) > 0)
     return std::nullopt;
   bufferevent_setcb(bev_.get(), nullptr, nullptr, nullptr, nullptr);
   bufferevent_disable(bev_.get(), EV_READ | EV_WRITE);
-  ConnectionSet::Moving moving;
+  ConnectionSet::TransferState moving;
   moving.id = id_;
   // A descriptor of its own: this one closes with its bufferevent, in a later round of the loop.
   const int copy = fcntl(bufferevent_getfd(bev_.get()), F_DUPFD_CLOEXEC, 0);
@@ -136,26 +136,26 @@
   evutil_closesocket(bufferevent_getfd(bev_.get()));
   bufferevent_setfd(bev_.get(), -1);
   evbuffer* out = bufferevent_get_output(bev_.get());
-  moving.unsent.resize(evbuffer_get_length(out));
-  evbuffer_copyout(out, moving.unsent.data(), moving.unsent.size());
+  moving.unsent_output.resize(evbuffer_get_length(out));
+  evbuffer_copyout(out, moving.unsent_output.data(), moving.unsent_output.size());
   for (auto& [stream, counts] : open_) {
-    moving.open.push_back({stream, counts ? counts->name : std::string(), nullptr});
+    moving.open_requests.push_back({stream, counts ? counts->name : std::string(), nullptr});
   }
   open_.clear();
-  moving.requests = requests_;
-  moving.malformed = malformed_;
-  moving.useful = use_ == Use::kServed;
-  moving.asked_for_no_more = asked_for_no_more_;
+  moving.request_count = requests_;
+  moving.malformed_count = malformed_;
+  moving.has_served = use_ == Use::kServed;
+  moving.stop_sent = asked_for_no_more_;
   return moving;
 }
 
-void ConnectionSet::Connection::TakeOver(ConnectionSet::Moving moving) {
-  for (auto& open : moving.open) open_.emplace(open.stream, std::move(open.counts));
-  requests_ = moving.requests;
-  malformed_ = moving.malformed;
-  use_ = moving.useful ? Use::kServed : moving.requests > 0 ? Use::kFrames : Use::kNone;
-  asked_for_no_more_ = moving.asked_for_no_more;
-  if (!moving.unsent.empty()) Write(moving.unsent);
+void ConnectionSet::Connection::TakeOver(ConnectionSet::TransferState moving) {
+  for (auto& open : moving.open_requests) open_.emplace(open.stream, std::move(open.counts));
+  requests_ = moving.request_count;
+  malformed_ = moving.malformed_count;
+  use_ = moving.has_served ? Use::kServed : moving.request_count > 0 ? Use::kFrames : Use::kNone;
+  asked_for_no_more_ = moving.stop_sent;
+  if (!moving.unsent_output.empty()) Write(moving.unsent_output);
 }
 
 decide::ConnectionValue ConnectionSet::Connection::usefulness() const {
@@ -163,7 +163,7 @@
 }
 
 bool ConnectionSet::Connection::idle() const {
-  return open_.empty() && checks_.empty() && Unsent(bev_.get()) == 0;
+  return open_.empty() && checks_.empty() && UnsentBytes(bev_.get()) == 0;
 }
 
 bool ConnectionSet::Connection::BetweenFrames() const {
@@ -191,7 +191,7 @@
 
 std::optional<EndReason> ConnectionSet::Connection::Look() {
   if (ending_) return ++fault_looks_ > kFaultLooks ? std::optional(EndReason::kFraming) : std::nullopt;
-  const std::size_t unsent = Unsent(bev_.get());
+  const std::size_t unsent = UnsentBytes(bev_.get());
   const std::uint64_t taken = written_ - unsent;
   stalled_looks_ = unsent == 0 || taken != std::exchange(taken_, taken) ? 0 : stalled_looks_ + 1;
   if (stalled_looks_ > kStalledLooks) return EndReason::kSlowReader;
@@ -221,8 +221,8 @@
         "connection-end",
         {{"id", id_}, {"reason", ReasonCode(reason)}, {"requests", requests_}, {"open", open_.size()}});
   }
-  for (const auto& [stream, counts] : open_) set_.events_.gone({id_, stream});
-  for (const std::uint32_t stream : checks_) set_.events_.gone({id_, stream});
+  for (const auto& [stream, counts] : open_) set_.events_.disconnected({id_, stream});
+  for (const std::uint32_t stream : checks_) set_.events_.disconnected({id_, stream});
   open_.clear();
   checks_.clear();
   return socket;
@@ -236,9 +236,9 @@
   }
   last_used_ = Steady::now();
   quiet_looks_ = 0;
-  if (held_back_) return;  // Continue() reads.
-  if (set_.events_.reading) set_.events_.reading(id_);
-  const std::string_view all = Arrived(bev_.get());
+  if (held_back_) return;  // ResumeReading() reads.
+  if (set_.events_.before_read) set_.events_.before_read(id_);
+  const std::string_view all = ReceivedBytes(bev_.get());
   std::size_t done = 0;
   while (!ending_ && !reading_paused_ && !given_up_) {
     const std::size_t skipped = std::min(skip_, all.size() - done);
@@ -246,7 +246,7 @@
     done += skipped;
     const auto head = proto::ParseFrameHeader(all.substr(done));
     if (!head) break;
-    if (set_.events_.may_read && !set_.events_.may_read()) {
+    if (set_.events_.may_read_frame && !set_.events_.may_read_frame()) {
       held_back_ = true;
       set_.held_back_.push_back(id_);
       break;
@@ -283,7 +283,8 @@
       TakeRequest(head.stream, payload, too_long);
       return;
     case proto::FrameType::kCallerDisconnected:
-      if (open_.erase(head.stream) + checks_.erase(head.stream) != 0) set_.events_.gone({id_, head.stream});
+      if (open_.erase(head.stream) + checks_.erase(head.stream) != 0)
+        set_.events_.disconnected({id_, head.stream});
       return;
     case proto::FrameType::kHealthCheck:
       TakeCheck(head.stream, payload);
@@ -295,10 +296,11 @@
 
 void ConnectionSet::Connection::TakeCheck(std::uint32_t stream, std::string_view payload) {
   // Guards against checks without end that nobody reads the answers of, and a stream that waits already.
-  const bool waits = set_.deep_ && set_.healthy_ && set_.events_.check && proto::IsDeepHealthCheck(payload) &&
-                     checks_.size() < kMostChecks && checks_.insert(stream).second;
+  const bool waits = set_.deep_ && set_.healthy_ && set_.events_.deep_check &&
+                     proto::IsDeepHealthCheck(payload) && checks_.size() < kMostChecks &&
+                     checks_.insert(stream).second;
   if (waits) {
-    set_.events_.check({id_, stream});
+    set_.events_.deep_check({id_, stream});
   } else {
     Write(proto::EncodeHealthResponse(stream, set_.healthy_, set_.signal_));
   }
@@ -313,7 +315,7 @@
   ++requests_;
   proto::RequestFrame frame;
   const char* fault = too_long ? "too long" : proto::ParseRequest(payload, frame);
-  const core::ClassCountsPtr counts = set_.events_.counts(frame.class_name);
+  const core::ClassCountsPtr counts = set_.events_.class_counts(frame.class_name);
   if (fault != nullptr) {
     // It never ran, and no other node would read it otherwise.
     Answer(stream, counts.get(), core::Rejected(true));
@@ -358,7 +360,7 @@
   last_used_ = Steady::now();
   Send(bev_.get(), bytes);
   written_ += bytes.size();
-  const std::size_t unsent = Unsent(bev_.get());
+  const std::size_t unsent = UnsentBytes(bev_.get());
   // Guards against a gateway that asks and never reads: first it is not read, then it is let go.
   if (unsent > kUnsentMost) given_up_ = true;
   if (unsent > kUnsentPause && !reading_paused_) {
@@ -384,7 +386,7 @@
   use_ = Use::kNone;
   for (const auto& [stream, counts] : std::exchange(open_, {})) {
     Answer(stream, counts.get(), core::Failed());
-    set_.events_.gone({id_, stream});
+    set_.events_.disconnected({id_, stream});
   }
   Write(proto::EncodeAnswerHeader(0, proto::AnswerCode::kFailed, {}, 0));
   bufferevent_enable(bev_.get(), EV_READ);
--- a/src/net/gateway/connection.h
+++ b/src/net/gateway/connection.h
@@ -21,19 +21,19 @@
   void Deliver(std::uint32_t stream, const core::FinalAnswer& answer);
   void AnswerHealthCheck(std::uint32_t stream, bool good);
 
-  void AskForNoMore();
-  ConnectionSet::Look AsSeen() const;
+  void StopNewRequests();
+  ConnectionSet::Snapshot AsSeen() const;
 
-  std::uint64_t TakeWork() { return std::exchange(work_, 0); }
+  std::uint64_t TakeFrameCounts() { return std::exchange(work_, 0); }
 
   // Reads on behind a `may_read` that said no.
-  void Continue();
-  std::optional<ConnectionSet::Moving> Release();
+  void ResumeReading();
+  std::optional<ConnectionSet::TransferState> Release();
 
-  void TakeOver(ConnectionSet::Moving moving);
+  void TakeOver(ConnectionSet::TransferState moving);
   bool idle() const;
   bool given_up() const { return given_up_; }
-  bool sent() const { return Unsent(bev_.get()) == 0; }
+  bool sent() const { return UnsentBytes(bev_.get()) == 0; }
   Steady::time_point last_used() const { return last_used_; }
 
   // Nothing is open on it, nothing is unsent, and nothing that the peer has sent is left to read, not even a
--- a/src/net/gateway_side.h
+++ b/src/net/gateway_front_end.h
@@ -1,6 +1,6 @@
 // The callers' side of a node, on however many loops: what the node steers of it.
-#ifndef HINGELINK_NET_GATEWAY_SIDE_H_
-#define HINGELINK_NET_GATEWAY_SIDE_H_
+#ifndef HINGELINK_NET_GATEWAY_FRONT_END_H_
+#define HINGELINK_NET_GATEWAY_FRONT_END_H_
 
 #include <cstddef>
 #include <cstdint>
@@ -11,30 +11,30 @@
 
 namespace hingelink::net {
 
-class GatewaySide : public core::FrontEnd {
+class GatewayFrontEnd : public core::FrontEnd {
  public:
-  struct LoopLook {
+  struct LoopStats {
     std::size_t connections = 0;
-    std::size_t told_waiting = 0, orders_waiting = 0;  // Messages in the queues from and to it.
-    double busy = 0;                                   // Share of a core, at its last report.
-    std::uint64_t taken = 0;  // Connections that came from other loops, since the start.
-    std::uint64_t beats = 0;  // Grows as long as it goes round.
-    bool hung = false;
+    std::size_t pending_messages = 0, pending_commands = 0;  // Messages in the queues from and to it.
+    double cpu_fraction = 0;                                 // Share of a core, at its last report.
+    std::uint64_t connections_received = 0;  // Connections that came from other loops, since the start.
+    std::uint64_t heartbeats = 0;            // Grows as long as it goes round.
+    bool stalled = false;
   };
   // Those that carry connections beside the node's own; none where that carries them all.
-  virtual std::vector<LoopLook> Loops() const = 0;
+  virtual std::vector<LoopStats> Loops() const = 0;
   // One of them runs on these units of the machine only. False where that cannot be.
-  virtual bool BindLoop(std::size_t loop, const std::vector<unsigned>& units) = 0;
+  virtual bool PinLoopToCpus(std::size_t loop, const std::vector<unsigned>& units) = 0;
 
   // Asks for no new request on any connection that stands and has not been asked.
-  virtual void AskForNoMore() = 0;
+  virtual void StopNewRequests() = 0;
   // `shared`: another process holds descriptors out of the same limit, and will let go of them.
-  virtual void SetMostConnections(std::size_t most, bool shared) = 0;
+  virtual void SetMaxConnections(std::size_t most, bool shared) = 0;
   // Accepts no more for the time being; what waits in the queue is another process's.
   virtual void PauseListening() = 0;
   virtual void ResumeListening() = 0;
   // From now on, until ResumeListening(): ends connections that have been asked for no more and are quiet.
-  virtual void CloseQuiet() = 0;
+  virtual void CloseIdleForHandover() = 0;
   // Takes in what the kernel has accepted already, and then listens no more.
   virtual void StopListening() = 0;
   // The classes have changed: what Counts() of the node gives is to be asked for anew.
@@ -52,11 +52,11 @@
   virtual std::uint16_t port() const = 0;
   virtual std::size_t connections() const = 0;
   // At most so many of the connections that stand.
-  virtual std::vector<ConnectionSet::Look> LookAt(std::size_t most) const = 0;
+  virtual std::vector<ConnectionSet::Snapshot> TakeSnapshots(std::size_t most) const = 0;
   // Whether all that was read has been told, and all answers are with the kernel.
   virtual bool AllSent() const = 0;
 };
 
 }  // namespace hingelink::net
 
-#endif  // HINGELINK_NET_GATEWAY_SIDE_H_
+#endif  // HINGELINK_NET_GATEWAY_FRONT_END_H_
--- a/src/net/gossip_transport.cpp
+++ b/src/net/gossip_transport.cpp
@@ -99,7 +99,7 @@
       base, socket_.get(), EV_READ | EV_PERSIST,
       [](evutil_socket_t, short, void* self) { static_cast<GossipTransport*>(self)->OnReadable(); }, this));
   if (!readable_) throw std::runtime_error("libevent: no event");
-  event_priority_set(readable_.get(), kOrdinary);
+  event_priority_set(readable_.get(), kNormalPriority);
   event_add(readable_.get(), nullptr);
 }
 
@@ -162,7 +162,7 @@
   ++counters_.read_pauses;
   event_del(readable_.get());
   const std::chrono::duration<double, std::micro> pause(-work_budget_us_ / options_.max_core_fraction);
-  resume_reading_.After(std::max(std::chrono::duration_cast<Steady::duration>(pause), kMinReadPause));
+  resume_reading_.Start(std::max(std::chrono::duration_cast<Steady::duration>(pause), kMinReadPause));
 }
 
 void GossipTransport::Handle(const sockaddr_in& from, std::string_view datagram) {
--- a/src/net/handover.cpp
+++ b/src/net/handover.cpp
@@ -92,7 +92,7 @@
         handover_(handover),
         bev_(bufferevent_socket_new(handover.base_, fd.release(), BEV_OPT_CLOSE_ON_FREE)) {
     if (!bev_) throw std::runtime_error("libevent: no bufferevent");
-    bufferevent_priority_set(bev_.get(), kUrgent);
+    bufferevent_priority_set(bev_.get(), kHighPriority);
     bufferevent_setcb(
         bev_.get(), [](bufferevent*, void* self) { static_cast<Channel*>(self)->Read(); }, nullptr,
         [](bufferevent*, short what, void* self) {
@@ -106,11 +106,11 @@
 
   void Say(std::string_view line) {
     // Guards against a process that hangs and takes nothing: it is told no more.
-    if (Unsent(bev_.get()) < 64 * proto::kMaxHandoverLineBytes) Send(bev_.get(), line);
+    if (UnsentBytes(bev_.get()) < 64 * proto::kMaxHandoverLineBytes) Send(bev_.get(), line);
   }
   // Never left out: guards against a key that runs in both processes. Their number has its bound.
   void SayKey(proto::KeyMessage line, std::string_view result) {
-    line.has_result = line.has_result && Unsent(bev_.get()) < kUnsentResults;
+    line.has_result = line.has_result && UnsentBytes(bev_.get()) < kUnsentResults;
     Send(bev_.get(), proto::EncodeKeyMessage(line));
     if (!line.has_result) return;
     Send(bev_.get(), result);
@@ -119,7 +119,7 @@
   // At the end of this process, past the loop.
   void SayEnds() {
     const auto size = static_cast<ssize_t>(proto::kHandoverExiting.size());
-    if (Unsent(bev_.get()) > 0) return;
+    if (UnsentBytes(bev_.get()) > 0) return;
     if (send(bufferevent_getfd(bev_.get()), proto::kHandoverExiting.data(), proto::kHandoverExiting.size(),
              MSG_NOSIGNAL | MSG_DONTWAIT) != size) {
       log::Warn("handover-unsaid");
@@ -139,7 +139,7 @@
  private:
   void Read() {
     for (;;) {
-      const std::string_view all = Arrived(bev_.get());
+      const std::string_view all = ReceivedBytes(bev_.get());
       const std::size_t end = all.find('\n');
       if (end == std::string_view::npos) {
         if (all.size() >= proto::kMaxHandoverLineBytes) handover_.End(*this, "line");
@@ -242,7 +242,7 @@
       base_, server_.get(), EV_READ | EV_PERSIST,
       [](evutil_socket_t, short, void* self) { static_cast<Handover*>(self)->Accept(); }, this));
   if (!accept_) throw std::runtime_error("libevent: no event");
-  event_priority_set(accept_.get(), kUrgent);
+  event_priority_set(accept_.get(), kHighPriority);
   event_add(accept_.get(), nullptr);
 }
 
@@ -270,7 +270,7 @@
     if (!channel->to_predecessor_) continue;
     channel->Say(proto::kHandoverKeys);
     channel->Say(proto::kHandoverReady);
-    overdue_.After(kSettle);
+    overdue_.Start(kSettle);
   }
 }
 
--- a/src/net/lingering_closer.cpp
+++ b/src/net/lingering_closer.cpp
@@ -36,7 +36,7 @@
   }
   // The peer has reset it, or there is no memory to wait for its end.
   if (!socket.readable || event_add(socket.readable.get(), nullptr) != 0) return Close(socket.self);
-  if (sockets_.size() == 1) overdue_.After(kLingerTime);
+  if (sockets_.size() == 1) overdue_.Start(kLingerTime);
 }
 
 bool LingeringCloser::CloseOldest() {
@@ -65,7 +65,7 @@
 void LingeringCloser::CloseOverdue() {
   const Steady::time_point now = Steady::now();
   while (!sockets_.empty() && sockets_.front().until <= now) Close(sockets_.begin());
-  if (!sockets_.empty()) overdue_.After(sockets_.front().until - now);
+  if (!sockets_.empty()) overdue_.Start(sockets_.front().until - now);
 }
 
 }  // namespace hingelink::net
--- a/src/net/listener.cpp
+++ b/src/net/listener.cpp
@@ -58,7 +58,7 @@
   evconnlistener_set_error_cb(listener_.get(), [](evconnlistener* listener, void* self) {
     log::Warn("accept-failed", {{"error", std::strerror(errno)}});
     evconnlistener_disable(listener);
-    static_cast<Listener*>(self)->again_.After(kAgain);
+    static_cast<Listener*>(self)->again_.Start(kAgain);
   });
 }
 
@@ -67,7 +67,7 @@
   if (paused_ || ++accepted_at_once_ < kAcceptedAtOnce) return;
   accepted_at_once_ = 0;
   evconnlistener_disable(listener_.get());
-  again_.After(0ms);
+  again_.Start(0ms);
 }
 
 void Listener::Pause() {
--- a/src/net/loop.cpp
+++ b/src/net/loop.cpp
@@ -65,30 +65,30 @@
                                    std::string(request.body)};
                   told_.Put(std::move(read));
                 },
-            .gone = [this](core::StreamAddress from) { told_.Put(GoneCaller{from}); },
-            .check = [this](core::StreamAddress from) { told_.Put(DeepCheck{from}); },
-            .counts =
+            .disconnected = [this](core::StreamAddress from) { told_.Put(GoneCaller{from}); },
+            .deep_check = [this](core::StreamAddress from) { told_.Put(DeepCheck{from}); },
+            .class_counts =
                 [this](std::string_view kind) {
                   const auto known = classes_->find(std::string(kind));
                   return known == classes_->end() ? nullptr : known->second;
                 },
-            .ended = [this](std::uint64_t id) { told_.Put(EndedConnection{id}); },
-            .may_read = [this] { return !told_.full() && !no_reading_; },
-            .reading = [this](std::uint64_t id) { reading_.store(id, std::memory_order_relaxed); }}),
+            .closed = [this](std::uint64_t id) { told_.Put(EndedConnection{id}); },
+            .may_read_frame = [this] { return !told_.full() && !no_reading_; },
+            .before_read = [this](std::uint64_t id) { reading_.store(id, std::memory_order_relaxed); }}),
       wake_(event_new(
           base_.get(), waker_.fd(), EV_READ | EV_PERSIST,
           [](evutil_socket_t, short, void* self) { static_cast<Loop*>(self)->Look(); }, this)),
       beat_(base_.get(),
             [this] {
               beats_.store(beats() + 1, std::memory_order_relaxed);
-              beat_.After(kBeat);
+              beat_.Start(kBeat);
             }),
       report_(base_.get(), [this] { Report(); }),
       see_sent_(base_.get(), [] {}) {
   if (!wake_) throw std::runtime_error("libevent: no event");
   event_add(wake_.get(), nullptr);
-  beat_.After(kBeat);
-  report_.After(kReport);
+  beat_.Start(kBeat);
+  report_.Start(kReport);
   struct sigaction note {};
   note.sa_handler = NoteStack;
   note.sa_flags = SA_RESTART;
@@ -119,7 +119,9 @@
   thread_.join();
 }
 
-bool Loop::Bind(const std::vector<unsigned>& units) { return BindThread(thread_.native_handle(), units); }
+bool Loop::Bind(const std::vector<unsigned>& units) {
+  return PinThreadToCpus(thread_.native_handle(), units);
+}
 
 void Loop::AskForStack() { pthread_kill(thread_.native_handle(), kStackSignal); }
 
@@ -166,7 +168,7 @@
   done_ += done;
   orders_.Looked();
   if (told_.full()) told_.Flush();
-  if (!told_.full()) set_.Continue();
+  if (!told_.full()) set_.ResumeReading();
   waker_.Sleep();
   if (orders_.empty()) return;
   waker_.Stay();
@@ -190,7 +192,7 @@
   } else if (const auto* release = std::get_if<ReleaseConnection>(&order)) {
     ReleasedConnection released{release->id, nullptr};
     if (auto moving = set_.Release(release->id)) {
-      released.moving = std::make_unique<ConnectionSet::Moving>(std::move(*moving));
+      released.moving = std::make_unique<ConnectionSet::TransferState>(std::move(*moving));
     }
     told_.Put(std::move(released));
   } else if (const auto* state = std::get_if<SetState>(&order)) {
@@ -204,20 +206,20 @@
     switch (std::get<LoopOrder>(order)) {
       case LoopOrder::kAskForNoMore:
         closing_ = true;
-        set_.AskForNoMore();
+        set_.StopNewRequests();
         break;
       case LoopOrder::kTakeBack:
         closing_ = false;
-        set_.TakeBack();
+        set_.CancelDrain();
         break;
       case LoopOrder::kCloseQuiet:
-        set_.CloseQuiet();
+        set_.CloseIdleForHandover();
         break;
       case LoopOrder::kOfferRoom:
-        told_.Put(RoomOffer{set_.LeastUseful()});
+        told_.Put(RoomOffer{set_.EvictionCandidate()});
         break;
       case LoopOrder::kMakeRoom:
-        told_.Put(RoomMade{set_.MakeRoom()});
+        told_.Put(RoomMade{set_.EvictOne()});
         break;
       case LoopOrder::kStopReading:
         closing_ = true;
@@ -232,7 +234,7 @@
 }
 
 void Loop::Report() {
-  report_.After(kReport);
+  report_.Start(kReport);
   // Guards the bound of what waits here: a node that stands still would be sent a report each half second.
   // The next one covers the time of this one too.
   if (told_.full()) return;
@@ -244,10 +246,10 @@
   message.report.busy = passed > 0 ? static_cast<double>(cpu - last_cpu_ns_) / passed : 0;
   last_cpu_ns_ = cpu;
   last_report_ = now;
-  message.report.work = set_.TakeWork(kHeaviest, [&message](std::uint64_t id, std::uint64_t work) {
+  message.report.work = set_.TakeFrameCounts(kHeaviest, [&message](std::uint64_t id, std::uint64_t work) {
     message.report.heaviest_connections.push_back({id, work});
   });
-  message.looks = set_.LookAt(kHeaviest);
+  message.looks = set_.TakeSnapshots(kHeaviest);
   told_.Put(std::move(message));
 }
 
@@ -257,7 +259,7 @@
     sent_through_.store(done_, std::memory_order_release);
     told_.Nudge();
   } else {
-    see_sent_.After(kSeeSent);
+    see_sent_.Start(kSeeSent);
   }
 }
 
--- a/src/net/loop.h
+++ b/src/net/loop.h
@@ -46,7 +46,7 @@
 };
 struct ReleasedConnection {
   std::uint64_t id = 0;
-  std::unique_ptr<ConnectionSet::Moving> moving;  // Null where it stays.
+  std::unique_ptr<ConnectionSet::TransferState> moving;  // Null where it stays.
 };
 struct RoomOffer {
   std::optional<decide::ConnectionValue> least;
@@ -57,7 +57,7 @@
 };
 struct LoopReportMessage {
   decide::LoopReport report;
-  std::vector<ConnectionSet::Look> looks;
+  std::vector<ConnectionSet::Snapshot> looks;
 };
 struct StoppedReading {};
 using FromLoop = std::variant<ReadRequest, GoneCaller, DeepCheck, EndedConnection, ReleasedConnection,
@@ -78,7 +78,7 @@
   Steady::time_point accepted{};
 };
 struct AdoptConnection {
-  std::unique_ptr<ConnectionSet::Moving> moving;
+  std::unique_ptr<ConnectionSet::TransferState> moving;
 };
 struct ReleaseConnection {
   std::uint64_t id = 0;
--- a/src/net/loop_group.cpp
+++ b/src/net/loop_group.cpp
@@ -35,7 +35,7 @@
       watch_(base, [this] { WatchLoops(); }),
       room_(base,
             [this] {
-              room_.After(kRoomLooksEach);
+              room_.Start(kRoomLooksEach);
               if (door_.listener_paused()) CarryOut(door_.RetryPending(Counts()));
             }),
       book_(options_.loops),
@@ -47,7 +47,7 @@
       watchdog_(options_.loops, kHungLooks) {
   if (!wake_) throw std::runtime_error("libevent: no event");
   event_add(wake_.get(), nullptr);
-  watch_.After(kWatch);
+  watch_.Start(kWatch);
   for (std::size_t i = 0; i < options_.loops; ++i) {
     Member member;
     member.loop = std::make_unique<Loop>(i, waker_, options_.classes(i));
@@ -153,7 +153,8 @@
   auto settled = book_.FinishMove(released.id, from, released.moving != nullptr);
   if (!settled) return;
   if (released.moving) {
-    for (auto& open : released.moving->open) open.counts = options_.counts(open.kind, settled->loop);
+    for (auto& open : released.moving->open_requests)
+      open.counts = options_.counts(open.class_name, settled->loop);
     ++members_[settled->loop].taken;
     Send(settled->loop, AdoptConnection{std::move(released.moving)});
   }
@@ -192,9 +193,9 @@
   for (std::size_t i = 0; i < members_.size(); ++i) Send(i, order);
 }
 
-void LoopGroup::SetMostConnections(std::size_t most, bool shared) {
+void LoopGroup::SetMaxConnections(std::size_t most, bool shared) {
   if (shared) {
-    room_.After(kRoomLooksEach);
+    room_.Start(kRoomLooksEach);
   } else {
     room_.Stop();
   }
@@ -246,7 +247,7 @@
 }
 
 void LoopGroup::WatchLoops() {
-  watch_.After(kWatch);
+  watch_.Start(kWatch);
   for (std::size_t i = 0; i < members_.size(); ++i) {
     if (members_[i].hung) {
       if (const std::string stack = members_[i].loop->TakeStack(); !stack.empty()) {
@@ -265,8 +266,8 @@
   }
 }
 
-std::vector<ConnectionSet::Look> LoopGroup::LookAt(std::size_t most) const {
-  std::vector<ConnectionSet::Look> seen;
+std::vector<ConnectionSet::Snapshot> LoopGroup::TakeSnapshots(std::size_t most) const {
+  std::vector<ConnectionSet::Snapshot> seen;
   for (const Member& member : members_) {
     for (const auto& look : member.looks) {
       if (seen.size() >= most) return seen;
@@ -284,17 +285,17 @@
   });
 }
 
-std::vector<LoopGroup::LoopLook> LoopGroup::Loops() const {
-  std::vector<LoopLook> looks;
+std::vector<LoopGroup::LoopStats> LoopGroup::Loops() const {
+  std::vector<LoopStats> looks;
   for (std::size_t i = 0; i < members_.size(); ++i) {
     const Member& member = members_[i];
     looks.push_back({.connections = book_.count(i),
-                     .told_waiting = member.loop->told().depth(),
-                     .orders_waiting = member.loop->orders().depth(),
-                     .busy = member.busy,
-                     .taken = member.taken,
-                     .beats = member.loop->beats(),
-                     .hung = member.hung});
+                     .pending_messages = member.loop->told().depth(),
+                     .pending_commands = member.loop->orders().depth(),
+                     .cpu_fraction = member.busy,
+                     .connections_received = member.taken,
+                     .heartbeats = member.loop->beats(),
+                     .stalled = member.hung});
   }
   return looks;
 }
--- a/src/net/loop_group.h
+++ b/src/net/loop_group.h
@@ -13,13 +13,13 @@
 #include "decide/connections/connection_balancer.h"
 #include "decide/connections/connection_locations.h"
 #include "decide/loops/loop_watchdog.h"
-#include "net/gateway_side.h"
+#include "net/gateway_front_end.h"
 #include "net/listener.h"
 #include "net/loop.h"
 
 namespace hingelink::net {
 
-class LoopGroup : public GatewaySide {
+class LoopGroup : public GatewayFrontEnd {
  public:
   struct Options {
     std::size_t loops = 1;
@@ -41,11 +41,11 @@
   void AnswerHealthCheck(core::StreamAddress to, bool good) override;
   void SetLoadSignal(double value) override;
   void CloseIdle(std::chrono::milliseconds after) override;
-  void AskForNoMore() override { Order(LoopOrder::kAskForNoMore); }
-  void SetMostConnections(std::size_t most, bool shared) override;
+  void StopNewRequests() override { Order(LoopOrder::kAskForNoMore); }
+  void SetMaxConnections(std::size_t most, bool shared) override;
   void PauseListening() override;
   void ResumeListening() override;
-  void CloseQuiet() override { Order(LoopOrder::kCloseQuiet); }
+  void CloseIdleForHandover() override { Order(LoopOrder::kCloseQuiet); }
   void StopListening() override { listener_.Stop(); }
   void ClassesChanged() override;
   void StopReading() override;
@@ -55,21 +55,21 @@
   evutil_socket_t listener() const override { return listener_.fd(); }
   std::uint16_t port() const override { return listener_.port(); }
   std::size_t connections() const override { return book_.size() + door_.pending(); }
-  std::vector<ConnectionSet::Look> LookAt(std::size_t most) const override;
+  std::vector<ConnectionSet::Snapshot> TakeSnapshots(std::size_t most) const override;
   bool AllSent() const override;
 
   // Asks for a move, as the placement does.
   void Move(const decide::Move& move);
 
-  std::vector<LoopLook> Loops() const override;
-  bool BindLoop(std::size_t loop, const std::vector<unsigned>& units) override {
+  std::vector<LoopStats> Loops() const override;
+  bool PinLoopToCpus(std::size_t loop, const std::vector<unsigned>& units) override {
     return members_[loop].loop->Bind(units);
   }
 
  private:
   struct Member {
     std::unique_ptr<Loop> loop;
-    std::vector<ConnectionSet::Look> looks;
+    std::vector<ConnectionSet::Snapshot> looks;
     double busy = 0;
     std::uint64_t taken = 0;
     bool stopped_reading = false;
--- a/src/net/ops_server.cpp
+++ b/src/net/ops_server.cpp
@@ -46,7 +46,7 @@
       evutil_closesocket(fd);
       throw std::runtime_error("libevent: no bufferevent");
     }
-    bufferevent_priority_set(bev_.get(), kUrgent);
+    bufferevent_priority_set(bev_.get(), kHighPriority);
     bufferevent_setcb(
         bev_.get(), [](bufferevent*, void* self) { static_cast<Connection*>(self)->Read(); },
         [](bufferevent*, void* self) { static_cast<Connection*>(self)->Written(); },
@@ -58,7 +58,7 @@
         this);
     bufferevent_setwatermark(bev_.get(), EV_READ, 0, proto::kMaxAdminRequestBytes);
     bufferevent_enable(bev_.get(), EV_READ | EV_WRITE);
-    deadline_.After(kDeadline);
+    deadline_.Start(kDeadline);
   }
 
   void Close(const char* reason) {
@@ -72,7 +72,7 @@
 
  private:
   void Read() {
-    const std::string_view all = Arrived(bev_.get());
+    const std::string_view all = ReceivedBytes(bev_.get());
     if (answered_) {
       // What comes behind the call is let go: closing on unread bytes would reset the response.
       Consume(bev_.get(), all.size());
@@ -109,7 +109,7 @@
           [](evutil_socket_t, short, void* self) { static_cast<OpsServer*>(self)->Accept(); }, this)),
       listen_again_(base, [this] { event_add(accept_.get(), nullptr); }) {
   if (!accept_) throw std::runtime_error("libevent: no event");
-  event_priority_set(accept_.get(), kUrgent);
+  event_priority_set(accept_.get(), kHighPriority);
   event_add(accept_.get(), nullptr);
 }
 
@@ -127,7 +127,7 @@
       // Guards against a loop that spins where descriptors are used up.
       log::Warn("ops-accept-failed", {{"error", std::strerror(errno)}});
       event_del(accept_.get());
-      listen_again_.After(kListenAgain);
+      listen_again_.Start(kListenAgain);
       return;
     }
     // Guards against idle callers that keep out others: the oldest goes.
--- a/src/net/pool_group.cpp
+++ b/src/net/pool_group.cpp
@@ -289,7 +289,7 @@
 }
 
 void PoolGroup::Tick() {
-  timer_.After(kTickEach);
+  timer_.Start(kTickEach);
   const Milliseconds now = Now();
   load_balancer_.Tick(now);
   for (const Id id : load_balancer_.active_endpoints()) Connect(id);
--- a/src/net/pool_link.cpp
+++ b/src/net/pool_link.cpp
@@ -40,7 +40,7 @@
   lost_.reset();
   bev_.reset(bufferevent_socket_new(base_, -1, BEV_OPT_CLOSE_ON_FREE));
   if (!bev_) {
-    reconnect_.After(kBackoffMost);
+    reconnect_.Start(kBackoffMost);
     return;
   }
   bufferevent_setcb(
@@ -55,10 +55,10 @@
       },
       this);
   // Guards against an answer that counts as overdue because gateways flood the loop.
-  bufferevent_priority_set(bev_.get(), kUrgent);
+  bufferevent_priority_set(bev_.get(), kHighPriority);
   bufferevent_setwatermark(bev_.get(), EV_READ, 0, kReadAhead);
   bufferevent_enable(bev_.get(), EV_READ | EV_WRITE);
-  silence_.After(kSilence);
+  silence_.Start(kSilence);
   Send(bev_.get(), proto::EncodeBindCommand(last_notice_));
   if (bufferevent_socket_connect(bev_.get(), reinterpret_cast<const sockaddr*>(&address_), sizeof address_) !=
       0) {
@@ -86,7 +86,7 @@
   connected_ = bound_ = settled_ = in_remark_ = false;
   silence_.Stop();
   // Guards against cores that idle while a pool that broke the link takes the next at once.
-  reconnect_.After(was_settled ? Steady::duration(0) : backoff_);
+  reconnect_.Start(was_settled ? Steady::duration(0) : backoff_);
   if (!was_settled) backoff_ = std::min<Steady::duration>(2 * backoff_, kBackoffMost);
   if (was_settled && watch_.lost) watch_.lost();
 }
@@ -103,7 +103,7 @@
 
 void PoolLink::Read() {
   const bool was_settled = settled_;
-  const std::string_view all = Arrived(bev_.get());
+  const std::string_view all = ReceivedBytes(bev_.get());
   std::size_t done = 0;
   while (bev_ && done < all.size()) {
     // Guards against a remark that is longer than what is kept of a line: it came again on each new link.
@@ -211,7 +211,7 @@
 
 void PoolLink::Ask() {
   Send(bev_.get(), proto::EncodePollCommand(std::to_string(++polls_)));
-  silence_.After(kSilence);
+  silence_.Start(kSilence);
 }
 
 }  // namespace hingelink::net
--- a/src/net/registry_client.cpp
+++ b/src/net/registry_client.cpp
@@ -26,7 +26,7 @@
       name_(std::move(name)),
       next_(base, [this] { Report(); }),
       overdue_(base, [this] { Drop("overdue"); }) {
-  next_.After(0ms);
+  next_.Start(0ms);
 }
 
 void RegistryClient::Drain() {
@@ -50,12 +50,12 @@
   dropped_.reset();
   if (!bev_) Connect();
   if (!bev_) {
-    next_.After(kRetry);
+    next_.Start(kRetry);
     return;
   }
   waiting_ = true;
   Send(bev_.get(), proto::EncodeReportRequest(name_, host_, draining_));
-  overdue_.After(kPatience);
+  overdue_.Start(kPatience);
 }
 
 void RegistryClient::Connect() {
@@ -73,7 +73,7 @@
       },
       this);
   // Guards against an answer that counts as overdue because gateways flood the loop.
-  bufferevent_priority_set(bev_.get(), kUrgent);
+  bufferevent_priority_set(bev_.get(), kHighPriority);
   bufferevent_setwatermark(bev_.get(), EV_READ, 0, 2 * proto::kMaxHttpResponseBytes);
   bufferevent_enable(bev_.get(), EV_READ | EV_WRITE);
   if (bufferevent_socket_connect(bev_.get(), reinterpret_cast<const sockaddr*>(&address_), sizeof address_) !=
@@ -83,7 +83,7 @@
 }
 
 void RegistryClient::Read() {
-  const proto::HttpResponse response = proto::ParseHttpResponse(Arrived(bev_.get()));
+  const proto::HttpResponse response = proto::ParseHttpResponse(ReceivedBytes(bev_.get()));
   if (response.state == proto::HttpResponse::State::kNeedMore) return;
   if (response.state == proto::HttpResponse::State::kMalformed || !waiting_) {
     Drop("bad-response");
@@ -100,7 +100,7 @@
   reported_ = true;
   overdue_.Stop();
   if (response.closes_connection) Retire("response-closes");
-  next_.After(report_next_ ? Steady::duration(0) : kPeriod);
+  next_.Start(report_next_ ? Steady::duration(0) : kPeriod);
   report_next_ = false;
 }
 
@@ -110,7 +110,7 @@
   failing_ = failing_ || waiting_;
   Retire(reason);
   overdue_.Stop();
-  if (waiting_) next_.After(kRetry);
+  if (waiting_) next_.Start(kRetry);
   waiting_ = false;
 }
 
--- a/src/net/gateway_front.h
+++ b/src/net/single_loop_front_end.h
@@ -1,29 +1,29 @@
 // The gateways' side on one loop, the node's own: the listener and its connections.
-#ifndef HINGELINK_NET_GATEWAY_FRONT_H_
-#define HINGELINK_NET_GATEWAY_FRONT_H_
+#ifndef HINGELINK_NET_SINGLE_LOOP_FRONT_END_H_
+#define HINGELINK_NET_SINGLE_LOOP_FRONT_END_H_
 
-#include "net/gateway_side.h"
+#include "net/gateway_front_end.h"
 #include "net/listener.h"
 
 namespace hingelink::net {
 
-class GatewayFront : public GatewaySide {
+class SingleLoopFrontEnd : public GatewayFrontEnd {
  public:
   // Listens at once; on a socket that was handed over, from ResumeListening() on. Throws std::runtime_error
   // where it cannot.
-  GatewayFront(event_base* base, const sockaddr_in& listen, Descriptor handed_over,
-               std::size_t most_connections, core::FrontEndEvents events);
+  SingleLoopFrontEnd(event_base* base, const sockaddr_in& listen, Descriptor handed_over,
+                     std::size_t most_connections, core::FrontEndEvents events);
 
   void Deliver(core::StreamAddress to, const core::FinalAnswer& answer) override { set_.Deliver(to, answer); }
   void SetHealth(bool good, bool shallow) override { set_.SetHealth(good, shallow); }
   void AnswerHealthCheck(core::StreamAddress to, bool good) override { set_.AnswerHealthCheck(to, good); }
   void SetLoadSignal(double value) override { set_.SetLoadSignal(value); }
   void CloseIdle(std::chrono::milliseconds after) override { set_.CloseIdle(after); }
-  void AskForNoMore() override { set_.AskForNoMore(); }
-  void SetMostConnections(std::size_t most, bool shared) override;
+  void StopNewRequests() override { set_.StopNewRequests(); }
+  void SetMaxConnections(std::size_t most, bool shared) override;
   void PauseListening() override;
   void ResumeListening() override;
-  void CloseQuiet() override { set_.CloseQuiet(); }
+  void CloseIdleForHandover() override { set_.CloseIdleForHandover(); }
   void StopListening() override;
   void ClassesChanged() override {}
   // What is read is told at once here, so that it is turned away at once.
@@ -34,10 +34,12 @@
   evutil_socket_t listener() const override { return listener_.fd(); }
   std::uint16_t port() const override { return listener_.port(); }
   std::size_t connections() const override { return set_.size() + (pending_.get() >= 0 ? 1 : 0); }
-  std::vector<ConnectionSet::Look> LookAt(std::size_t most) const override { return set_.LookAt(most); }
+  std::vector<ConnectionSet::Snapshot> TakeSnapshots(std::size_t most) const override {
+    return set_.TakeSnapshots(most);
+  }
   bool AllSent() const override { return set_.AllSent(); }
-  std::vector<LoopLook> Loops() const override { return {}; }
-  bool BindLoop(std::size_t, const std::vector<unsigned>&) override { return false; }
+  std::vector<LoopStats> Loops() const override { return {}; }
+  bool PinLoopToCpus(std::size_t, const std::vector<unsigned>&) override { return false; }
 
  private:
   void Accept(evutil_socket_t fd);
@@ -59,4 +61,4 @@
 
 }  // namespace hingelink::net
 
-#endif  // HINGELINK_NET_GATEWAY_FRONT_H_
+#endif  // HINGELINK_NET_SINGLE_LOOP_FRONT_END_H_
--- a/src/net/store/store_client.cpp
+++ b/src/net/store/store_client.cpp
@@ -95,7 +95,7 @@
 
 void StoreClient::EndLater(std::uint64_t req) {
   never_written_.push_back(req);
-  limit_.After(0ms);
+  limit_.Start(0ms);
 }
 
 void StoreClient::Drop(std::uint64_t req) {
@@ -144,18 +144,18 @@
 
 void StoreClient::Arm() {
   if (!never_written_.empty()) {
-    limit_.After(0ms);
+    limit_.Start(0ms);
   } else if (due_.empty()) {
     limit_.Stop();
   } else {
-    limit_.After(std::max<Steady::duration>(due_.begin()->first - Steady::now(), 0ms));
+    limit_.Start(std::max<Steady::duration>(due_.begin()->first - Steady::now(), 0ms));
   }
 }
 
 // The next try after a while; one wait for all connections that fail together.
 void StoreClient::Failed() {
   if (std::exchange(waiting_, true)) return;
-  reconnect_.After(std::chrono::duration_cast<Steady::duration>(backoff_.OnFailure()));
+  reconnect_.Start(std::chrono::duration_cast<Steady::duration>(backoff_.OnFailure()));
 }
 
 std::pair<bool, std::vector<std::uint64_t>> StoreClient::TakeOut(StoreConnection& connection) {
--- a/src/net/store/store_connection.cpp
+++ b/src/net/store/store_connection.cpp
@@ -35,7 +35,7 @@
       bev_.get(), [](bufferevent*, void* self) { static_cast<StoreConnection*>(self)->Read(); }, nullptr,
       [](bufferevent*, short what, void* self) { static_cast<StoreConnection*>(self)->Event(what); }, this);
   // Guards against an answer that counts as overdue because gateways flood the loop.
-  bufferevent_priority_set(bev_.get(), kUrgent);
+  bufferevent_priority_set(bev_.get(), kHighPriority);
   bufferevent_setwatermark(bev_.get(), EV_READ, 0, kReadAhead);
   bufferevent_enable(bev_.get(), EV_READ | EV_WRITE);
   good_ = bufferevent_socket_connect(bev_.get(), reinterpret_cast<const sockaddr*>(&address),
@@ -88,12 +88,12 @@
 
 void StoreConnection::ListenFor(Millis silent) {
   if (std::exchange(listening_, true)) return;
-  silence_.After(std::chrono::duration_cast<Steady::duration>(
+  silence_.Start(std::chrono::duration_cast<Steady::duration>(
       std::max(kLookLeast, silent - Millis(Steady::now() - heard_))));
 }
 
 void StoreConnection::RestIfIdle() {
-  if (calls_ == 0 && good_) idle_.After(retiring_ ? Steady::duration(0) : Steady::duration(kIdle));
+  if (calls_ == 0 && good_) idle_.Start(retiring_ ? Steady::duration(0) : Steady::duration(kIdle));
 }
 
 void StoreConnection::Event(short what) {
@@ -117,7 +117,7 @@
   Heard();
   while (good_) {
     std::size_t size = 0;
-    const proto::StoreMessage message = proto::ParseStoreReply(Arrived(bev_.get()), size);
+    const proto::StoreMessage message = proto::ParseStoreReply(ReceivedBytes(bev_.get()), size);
     if (std::holds_alternative<proto::IncompleteStoreReply>(message)) return;
     if (const auto* bad = std::get_if<proto::MalformedStoreReply>(&message)) {
       log::PeerEvent("store-bad-line", {{"what", bad->reason}});
--- a/src/net/store/store_connection.h
+++ b/src/net/store/store_connection.h
@@ -54,7 +54,7 @@
   bool retiring() const { return retiring_; }
   Millis left_after() const { return left_after_; }
   std::size_t calls() const { return calls_; }
-  std::size_t unsent() const { return Unsent(bev_.get()); }
+  std::size_t unsent() const { return UnsentBytes(bev_.get()); }
   Steady::time_point heard() const { return heard_; }
   // Replies that came on others since this one was last heard.
   std::uint64_t overtaken() const { return replies_ - replies_then_; }
--- a/src/node/checks/deep_checks.cpp
+++ b/src/node/checks/deep_checks.cpp
@@ -24,7 +24,7 @@
   if (steps.verify && !ends_.verify(*steps.verify)) decide_.OnSendFailed();
   for (const auto& [to, good] : steps.answers) ends_.answer(to, good);
   if (const auto next = decide_.next_deadline()) {
-    due_.After(*next - Now());
+    due_.Start(*next - Now());
   } else {
     due_.Stop();
   }
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -8,9 +8,9 @@
 #include <variant>
 
 #include "log/log.h"
-#include "net/gateway_front.h"
 #include "net/loop_group.h"
 #include "net/pool_link.h"
+#include "net/single_loop_front_end.h"
 #include "node/upstream_metrics.h"
 
 namespace hingelink::node {
@@ -95,7 +95,7 @@
             // Guards the decisions against a flood that always leaves something to read: they are made now.
             event_base_loopbreak(base_.get());
           },
-          net::kUrgent),
+          net::kHighPriority),
       gauge_timer_(base_.get(), [this] { pool_->Poll(); }),
       // Beside a predecessor, once there is a worker pool to run what comes.
       listening_(!handover_.has_others()),
@@ -188,7 +188,7 @@
           .max_result_bytes = static_cast<std::size_t>(kResults * bytes)};
 }
 
-std::unique_ptr<net::GatewaySide> Node::CreateFront() {
+std::unique_ptr<net::GatewayFrontEnd> Node::CreateFront() {
   const sockaddr_in listen = net::ParseAddress(config_.listen_address);
   const auto sockets = static_cast<std::size_t>(config_.max_descriptors);
   const std::size_t most = sockets > ReservedDescriptors() ? sockets - ReservedDescriptors() : 1;
@@ -202,8 +202,8 @@
       .deep_check = [this](StreamAddress from) { checks_.Ask(from); },
       .class_counts = [this](std::string_view class_name) { return metrics_.CountsFor(class_name); }};
   if (loops() == 0) {
-    return std::make_unique<net::GatewayFront>(base_.get(), listen, handover_.TakeListener(), most,
-                                               std::move(events));
+    return std::make_unique<net::SingleLoopFrontEnd>(base_.get(), listen, handover_.TakeListener(), most,
+                                                     std::move(events));
   }
   net::LoopGroup::Options options;
   options.loops = loops();
@@ -251,7 +251,7 @@
       DrainStep();
       const bool done = table_.unanswered() == 0 && front_->AllSent();
       if ((!listening_ && done && front_->connections() == 0) || now >= kill_at_ - kExitLead) break;
-      drain_timer_.After(kDrainPollInterval);
+      drain_timer_.Start(kDrainPollInterval);
     }
   }
   // The last answers must be out before the process ends; what is still read is turned away, also what has
@@ -262,7 +262,7 @@
   table_.AnswerAll();
   front_->Sweep();
   while (!front_->AllSent() && Steady::now() < kill_at_ - kFlushLead) {
-    drain_timer_.After(kDrainPollInterval);
+    drain_timer_.Start(kDrainPollInterval);
     event_base_loop(base_.get(), EVLOOP_ONCE);
     front_->Sweep();
   }
@@ -275,7 +275,9 @@
 void Node::BindThreads(const std::vector<std::vector<unsigned>>& units) {
   bool good = true;
   for (std::size_t i = 0; i < units.size() && i < threads_; ++i) {
-    good = (i == 0 ? net::BindThread(pthread_self(), units[i]) : front_->BindLoop(i - 1, units[i])) && good;
+    good =
+        (i == 0 ? net::PinThreadToCpus(pthread_self(), units[i]) : front_->PinLoopToCpus(i - 1, units[i])) &&
+        good;
   }
   // It serves as well as without; only the operator's wish is not met.
   if (!good) log::Warn("pin-failed");
@@ -372,8 +374,8 @@
 void Node::ArmTimers() {
   if (timers_.empty()) return;
   const Steady::duration in = timers_.top().first - Steady::now();
-  timer_.After(in);
-  gauge_timer_.After(in - kGaugeLead);
+  timer_.Start(in);
+  gauge_timer_.Start(in - kGaugeLead);
 }
 
 }  // namespace hingelink::node
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -13,7 +13,7 @@
 
 #include "hingelink/server_policy.h"
 #include "net/event.h"
-#include "net/gateway_side.h"
+#include "net/gateway_front_end.h"
 #include "net/handover.h"
 #include "net/ops_server.h"
 #include "net/pool_side.h"
@@ -94,7 +94,7 @@
     return kReservedDescriptors + 3 * loops() + store;
   }
   std::size_t loops() const { return threads_ - 1; }  // Those that carry connections, beside this one.
-  std::unique_ptr<net::GatewaySide> CreateFront();
+  std::unique_ptr<net::GatewayFrontEnd> CreateFront();
   void HandleRequest(const IncomingRequest& request);
   void Step();
   void ExecuteAction(const hingelink::Action& action);
@@ -154,7 +154,7 @@
   SiblingProcesses sibling_processes_{*this};
   std::vector<NodeExtension*> extensions_{&sibling_processes_};
   net::Handover handover_;
-  std::unique_ptr<net::GatewaySide> front_;
+  std::unique_ptr<net::GatewayFrontEnd> front_;
   RequestTable table_;
   std::unique_ptr<net::PoolSide> pool_;
   std::optional<net::StoreClient> store_;
--- a/src/node/node_drain.cpp
+++ b/src/node/node_drain.cpp
@@ -24,8 +24,8 @@
   handed_over_ = true;
   listening_ = false;
   front_->PauseListening();
-  front_->AskForNoMore();
-  front_->CloseQuiet();
+  front_->StopNewRequests();
+  front_->CloseIdleForHandover();
   UpdateSiblingKeys();
   NotifyLifecyclePhase(NodeExtension::LifecyclePhase::kHandedOver);
 }
@@ -58,7 +58,7 @@
   }
   kill_at_ = Steady::now() + config_.drain_timeout;
   log::Info("drain", {{"stop_ms", config_.drain_timeout.count()}});
-  front_->AskForNoMore();
+  front_->StopNewRequests();
   registry_.Drain();
   return true;
 }
@@ -108,7 +108,7 @@
   listening_ = false;
   handover_.Withdraw();
   front_->StopListening();
-  front_->AskForNoMore();
+  front_->StopNewRequests();
 }
 
 }  // namespace hingelink::node
--- a/src/node/node_siblings.cpp
+++ b/src/node/node_siblings.cpp
@@ -46,7 +46,7 @@
   const std::size_t taken =
       ReservedDescriptors() * (1 + handover_.others()) + handover_.others_load().connections;
   const auto sockets = static_cast<std::size_t>(config_.max_descriptors);
-  front_->SetMostConnections(sockets > taken ? sockets - taken : 1, handover_.has_others());
+  front_->SetMaxConnections(sockets > taken ? sockets - taken : 1, handover_.has_others());
 }
 
 void Node::UpdateSiblingKeys() {
--- a/src/node/node_snapshot.cpp
+++ b/src/node/node_snapshot.cpp
@@ -79,20 +79,20 @@
   std::vector<LoopSnapshot> seen;
   for (const auto& loop : front_->Loops()) {
     seen.push_back({.connections = loop.connections,
-                    .pending_messages = loop.told_waiting,
-                    .pending_commands = loop.orders_waiting,
-                    .cpu_fraction = loop.busy,
-                    .connections_received = loop.taken,
-                    .stalled = loop.hung});
+                    .pending_messages = loop.pending_messages,
+                    .pending_commands = loop.pending_commands,
+                    .cpu_fraction = loop.cpu_fraction,
+                    .connections_received = loop.connections_received,
+                    .stalled = loop.stalled});
   }
   return seen;
 }
 
 std::vector<ConnectionSnapshot> Node::TakeConnectionSnapshots(std::size_t most) const {
   std::vector<ConnectionSnapshot> seen;
-  for (const auto& look : front_->LookAt(most)) {
-    seen.push_back({look.id, look.requests, look.open, look.unsent_bytes,
-                    std::chrono::duration_cast<std::chrono::milliseconds>(look.quiet)});
+  for (const auto& look : front_->TakeSnapshots(most)) {
+    seen.push_back({look.id, look.requests, look.open_requests, look.unsent_bytes,
+                    std::chrono::duration_cast<std::chrono::milliseconds>(look.idle_time)});
   }
   return seen;
 }
--- a/src/standin/gateways.cpp
+++ b/src/standin/gateways.cpp
@@ -210,7 +210,7 @@
  private:
   void Read() {
     while (!ended_) {
-      const std::string_view all = net::Arrived(bev_.get());
+      const std::string_view all = net::ReceivedBytes(bev_.get());
       const auto head = proto::ParseFrameHeader(all);
       if (!head || all.size() < head->Size()) return;
       const std::string_view payload =
@@ -264,8 +264,8 @@
     gateways_.back()->turn = static_cast<std::size_t>(i);
   }
   next_ = Steady::now();
-  arrival_.After(0ms);
-  sweep_.After(kSweepEach);
+  arrival_.Start(0ms);
+  sweep_.Start(kSweepEach);
 }
 
 Gateways::~Gateways() = default;
@@ -326,7 +326,7 @@
     Send(gateway, std::move(request));
     next_ += std::chrono::duration_cast<Steady::duration>(Millis(gap(draw_)));
   }
-  if (!stopped_) arrival_.After(std::max<Steady::duration>(next_ - Steady::now(), 0ms));
+  if (!stopped_) arrival_.Start(std::max<Steady::duration>(next_ - Steady::now(), 0ms));
 }
 
 TenantAccount& Gateways::OwnerAccount(const std::string& name) {
@@ -605,7 +605,7 @@
     std::erase_if(gateway->connections, [](const auto& connection) { return connection->ended_; });
   }
   account_.open = tries_.size();
-  sweep_.After(kSweepEach);
+  sweep_.Start(kSweepEach);
 }
 
 }  // namespace hingelink::standin
--- a/src/standin/pool.cpp
+++ b/src/standin/pool.cpp
@@ -123,7 +123,7 @@
   }
   void Read() {
     while (!stopped_ && !pool_.hangs_) {
-      const std::string_view all = net::Arrived(bev_.get());
+      const std::string_view all = net::ReceivedBytes(bev_.get());
       const std::size_t eol = all.substr(0, kMostCommand).find("\r\n");
       if (eol == std::string_view::npos) {
         if (all.size() >= kMostCommand) Bad();
@@ -248,7 +248,7 @@
       next_end_(base, [this] { EndRuns(); }),
       standing_(base, [this] { SeeStanding(); }),
       up_(base, [this] { Up(); }) {
-  standing_.After(kStandingLook);
+  standing_.Start(kStandingLook);
   for (const std::string& listen : options_.listen) {
     auto place = std::make_unique<Place>();
     const sockaddr_in address = net::ParseAddress(listen);
@@ -267,10 +267,10 @@
                      std::to_string(net::LocalPort(evconnlistener_get_fd(place->listener.get())));
     places_.push_back(std::move(place));
   }
-  if (options_.up_after > Millis(0)) up_.After(ToSpan(options_.up_after));
+  if (options_.up_after > Millis(0)) up_.Start(ToSpan(options_.up_after));
   for (const PoolFault& fault : options_.faults) {
     script_.push_back(std::make_unique<net::Timer>(base_, [this, fault] { Cause(fault); }));
-    script_.back()->After(ToSpan(fault.at));
+    script_.back()->Start(ToSpan(fault.at));
   }
 }
 
@@ -371,7 +371,7 @@
 
 // Guards against runs that stand at a call for good: nobody here sees that their requests are over.
 void Pool::SeeStanding() {
-  standing_.After(kStandingLook);
+  standing_.Start(kStandingLook);
   if (hangs_) return;
   std::vector<std::uint64_t> over;
   for (const auto& [req, run] : runs_) {
@@ -426,7 +426,7 @@
 void Pool::Arm() {
   const Millis now = Now();
   if (const auto next = cores_.NextEnd(now); next && !hangs_) {
-    next_end_.After(ToSpan(std::max(Millis(0), *next - now)));
+    next_end_.Start(ToSpan(std::max(Millis(0), *next - now)));
   } else {
     next_end_.Stop();
   }
@@ -465,7 +465,7 @@
 void Pool::Cause(const PoolFault& fault) {
   const auto later = [this, &fault](std::function<void()> end) {
     script_.push_back(std::make_unique<net::Timer>(base_, std::move(end)));
-    script_.back()->After(ToSpan(fault.lasts));
+    script_.back()->Start(ToSpan(fault.lasts));
   };
   switch (fault.kind) {
     case PoolFault::Kind::kBreakLinks:
--- a/src/standin/registry.cpp
+++ b/src/standin/registry.cpp
@@ -24,7 +24,7 @@
   }
   void Read() {
     while (!stopped_ && !registry_.down_) {
-      const std::string_view all = net::Arrived(bev_.get());
+      const std::string_view all = net::ReceivedBytes(bev_.get());
       const std::size_t end = all.find("\r\n\r\n");
       if (end == std::string_view::npos) {
         if (all.size() > kMostHead) Stop();
--- a/src/standin/store.cpp
+++ b/src/standin/store.cpp
@@ -54,7 +54,7 @@
  private:
   void Read() {
     while (!stopped_) {
-      const std::string_view all = net::Arrived(bev_.get());
+      const std::string_view all = net::ReceivedBytes(bev_.get());
       const std::size_t eol = all.substr(0, kMostLine).find("\r\n");
       if (eol == std::string_view::npos) {
         if (all.size() >= kMostLine) Bad();
@@ -101,7 +101,7 @@
       look_(base, [this] { Look(); }),
       up_(base, [this] { SetDown(false); }) {
   Listen();
-  look_.After(kLookEach);
+  look_.Start(kLookEach);
 }
 
 Store::~Store() = default;
@@ -175,7 +175,7 @@
 }
 
 void Store::Look() {
-  look_.After(kLookEach);
+  look_.Start(kLookEach);
   ended_.clear();
   const Millis now = Now();
   for (const std::uint64_t id : slots_.TakeEnded(now)) {
@@ -217,7 +217,7 @@
   if (mean_ > options_.falls_above && listener_) {
     ++counts_.deaths;
     SetDown(true);
-    up_.After(ToSpan(options_.down));
+    up_.Start(ToSpan(options_.down));
   }
 }
 
--- a/tests/background/job_runner_test.cpp
+++ b/tests/background/job_runner_test.cpp
@@ -27,9 +27,9 @@
   int ticks = 0;
   net::Timer tick(base_.get(), [&] {
     ++ticks;
-    tick.After(1ms);
+    tick.Start(1ms);
   });
-  tick.After(1ms);
+  tick.Start(1ms);
   {
     std::vector<Job> jobs;
     jobs.push_back(JobOf("snapshot", [gate](const std::atomic<bool>&) {
--- a/tests/cli/topology_test.cpp
+++ b/tests/cli/topology_test.cpp
@@ -19,7 +19,7 @@
   for (const auto& unit : all) EXPECT_TRUE(CPU_ISSET(unit.os_index, &mine));
   // Started on a part of the machine, as by taskset: that part is all there is.
   const unsigned last = all.back().os_index;
-  ASSERT_TRUE(net::BindThread(pthread_self(), {last}));
+  ASSERT_TRUE(net::PinThreadToCpus(pthread_self(), {last}));
   const auto part = AllowedUnits();
   ASSERT_EQ(part.size(), 1u);
   EXPECT_EQ(part[0].os_index, last);
@@ -27,8 +27,8 @@
 }
 
 TEST(Topology, AThreadThatCannotBeBoundIsTold) {
-  EXPECT_FALSE(net::BindThread(pthread_self(), {}));
-  EXPECT_FALSE(net::BindThread(pthread_self(), {100'000}));
+  EXPECT_FALSE(net::PinThreadToCpus(pthread_self(), {}));
+  EXPECT_FALSE(net::PinThreadToCpus(pthread_self(), {100'000}));
 }
 
 }  // namespace
--- a/tests/net/connection_lifecycle_test.cpp
+++ b/tests/net/connection_lifecycle_test.cpp
@@ -11,8 +11,8 @@
 
 #include "../node/scripted_peers.h"
 #include "net/connection_set.h"
-#include "net/gateway_front.h"
 #include "net/listener.h"
+#include "net/single_loop_front_end.h"
 
 namespace hingelink::net {
 namespace {
@@ -64,7 +64,7 @@
   void TurnUntil(const Condition& holds) {
     const auto until = Steady::now() + 20s;
     while (!holds() && Steady::now() < until) {
-      tick_.After(1ms);
+      tick_.Start(1ms);
       event_base_loop(base_.get(), EVLOOP_ONCE);
       set_->Sweep();
     }
@@ -110,12 +110,12 @@
   std::unique_ptr<ConnectionSet> set_ = std::make_unique<ConnectionSet>(
       base_.get(), ConnectionSet::Events{
                        .request = [this](const core::IncomingRequest& r) { requests_.push_back(r.reply_to); },
-                       .gone = [this](core::StreamAddress from) { gone_.push_back(from); },
-                       .check = {},
-                       .counts = [](std::string_view) { return core::ClassCountsPtr(); },
-                       .ended = [this](std::uint64_t id) { freed_.push_back(id); },
-                       .may_read = {},
-                       .reading = {}});
+                       .disconnected = [this](core::StreamAddress from) { gone_.push_back(from); },
+                       .deep_check = {},
+                       .class_counts = [](std::string_view) { return core::ClassCountsPtr(); },
+                       .closed = [this](std::uint64_t id) { freed_.push_back(id); },
+                       .may_read_frame = {},
+                       .before_read = {}});
 
  private:
   ListeningPort port_;
@@ -217,11 +217,11 @@
   Peer lingering = ConnectUsed();
   CloseIdleNow();
   Peer fresh = ConnectUsed();
-  EXPECT_TRUE(set_->MakeRoom());
+  EXPECT_TRUE(set_->EvictOne());
   EXPECT_EQ(freed_, std::vector<std::uint64_t>{lingering.id});
-  EXPECT_TRUE(set_->MakeRoom());
+  EXPECT_TRUE(set_->EvictOne());
   EXPECT_EQ(freed_.back(), fresh.id);
-  EXPECT_FALSE(set_->MakeRoom());
+  EXPECT_FALSE(set_->EvictOne());
 }
 
 TEST_F(ConnectionLifecycleTest, EvictionSparesARequestThatLiesUnreadAtEachSplit) {
@@ -229,9 +229,9 @@
   for (std::size_t split = 1; split <= request.size(); ++split) {
     Peer peer = ConnectUsed();
     peer.gateway.Write(request.substr(0, split));
-    ASSERT_FALSE(set_->MakeRoom()) << split;
+    ASSERT_FALSE(set_->EvictOne()) << split;
     Turn();
-    ASSERT_FALSE(set_->MakeRoom()) << split;
+    ASSERT_FALSE(set_->EvictOne()) << split;
     peer.gateway.socket().Reset();
     TurnUntil([&] { return set_->size() == 0; });
   }
@@ -243,7 +243,7 @@
                      std::string(100, 'x'));
   Turn();
   peer.gateway.ReadAnswer(9, 1);
-  EXPECT_FALSE(set_->MakeRoom());
+  EXPECT_FALSE(set_->EvictOne());
   CloseIdleNow();
   peer.gateway.Write(std::string(200'000 - 5 - 100, 'x') + kCheck);
   std::optional<Frame> answer;
@@ -255,17 +255,17 @@
 
 TEST_F(ConnectionLifecycleTest, AHandoverSparesARequestThatLiesUnread) {
   Peer peer = ConnectUsed();
-  set_->AskForNoMore();
+  set_->StopNewRequests();
   Turn();
   EXPECT_EQ(peer.gateway.Read().type, 9);
   LetPass(110ms);
   peer.gateway.Write(Gateway::Request(7, "00000000000000a1", "crossed"));
-  set_->CloseQuiet();
+  set_->CloseIdleForHandover();
   TurnUntil([&] { return requests_.size() == 1; });
   Answer(0, "result");
   EXPECT_EQ(peer.gateway.ReadAnswer(7, 0).body, "result");
   LetPass(110ms);
-  set_->CloseQuiet();
+  set_->CloseIdleForHandover();
   peer.gateway.Write(kCheck);  // Behind the close: no reset.
   Turn();
   EXPECT_TRUE(peer.gateway.socket().Finished());
@@ -369,7 +369,7 @@
 class FloodTest : public testing::Test {
  protected:
   // All of them have connected and sent a request before the node accepts the first.
-  std::vector<Gateway> Flood(GatewayFront& front, std::uint32_t clients) {
+  std::vector<Gateway> Flood(SingleLoopFrontEnd& front, std::uint32_t clients) {
     std::vector<Gateway> flood;
     for (std::uint32_t i = 1; i <= clients; ++i) {
       flood.emplace_back(front.port());
@@ -377,19 +377,19 @@
     }
     return flood;
   }
-  GatewayFront MakeFront(std::size_t most) {
-    return GatewayFront(base_.get(), ParseAddress("127.0.0.1:0"), Descriptor(), most,
-                        {.request = [this](const core::IncomingRequest& r) { Take(r); },
-                         .disconnected = [](core::StreamAddress) {},
-                         .deep_check = {},
-                         .class_counts = [](std::string_view) { return core::ClassCountsPtr(); }});
+  SingleLoopFrontEnd MakeFront(std::size_t most) {
+    return SingleLoopFrontEnd(base_.get(), ParseAddress("127.0.0.1:0"), Descriptor(), most,
+                              {.request = [this](const core::IncomingRequest& r) { Take(r); },
+                               .disconnected = [](core::StreamAddress) {},
+                               .deep_check = {},
+                               .class_counts = [](std::string_view) { return core::ClassCountsPtr(); }});
   }
   void Take(const core::IncomingRequest& request) {
     if (on_request_) on_request_();
     requests_.push_back(request.reply_to);
   }
-  void Turn(GatewayFront& front) {
-    tick_.After(1ms);
+  void Turn(SingleLoopFrontEnd& front) {
+    tick_.Start(1ms);
     event_base_loop(base_.get(), EVLOOP_ONCE);
     front.Sweep();
   }
@@ -407,7 +407,7 @@
 TEST_F(FloodTest, NobodyIsClosedWithARequestUnreadWhileAllConnectionsHaveOneOpen) {
   constexpr std::size_t kMost = 4;
   constexpr std::uint32_t kClients = 24;
-  GatewayFront front = MakeFront(kMost);
+  SingleLoopFrontEnd front = MakeFront(kMost);
   std::vector<Gateway> flood = Flood(front, kClients);
   const auto until = Steady::now() + 20s;
   std::size_t answered = 0;
@@ -427,7 +427,7 @@
 
 // What has come on connections that stand is read before a flood of further ones is accepted.
 TEST_F(FloodTest, ConnectionsAreReadBetweenGroupsOfAccepts) {
-  GatewayFront front = MakeFront(1000);
+  SingleLoopFrontEnd front = MakeFront(1000);
   std::size_t standing_at_first_request = 0;
   on_request_ = [&] {
     if (requests_.empty()) standing_at_first_request = front.connections();
@@ -440,7 +440,7 @@
 
 // A notice to leave while one waits at the limit: it is taken, and what it sent is read.
 TEST_F(FloodTest, TheOneThatWaitsForRoomIsTakenAtTheEnd) {
-  GatewayFront front = MakeFront(1);
+  SingleLoopFrontEnd front = MakeFront(1);
   std::vector<Gateway> flood = Flood(front, 2);
   for (int turns = 0; turns < 40; ++turns) Turn(front);
   ASSERT_EQ(requests_.size(), 1u);
@@ -461,7 +461,7 @@
   const EventPtr urgent(event_new(
       base.get(), reading.get(), EV_READ,
       [](evutil_socket_t, short, void* call) { (*static_cast<decltype(on_urgent)*>(call))(); }, &on_urgent));
-  event_priority_set(urgent.get(), kUrgent);
+  event_priority_set(urgent.get(), kHighPriority);
   event_add(urgent.get(), nullptr);
   auto on_ordinary = [&] {
     if (ordinary++ > 0) return;
--- a/tests/net/gossip_transport_test.cpp
+++ b/tests/net/gossip_transport_test.cpp
@@ -185,9 +185,9 @@
   int timer_calls = 0;
   Timer timer(base_.get(), [&] {
     ++timer_calls;
-    timer.After(1ms);
+    timer.Start(1ms);
   });
-  timer.After(1ms);
+  timer.Start(1ms);
   const auto end = Steady::now() + kTimeout;
   while (transport_->counters().read_pauses < 5 && Steady::now() < end) {
     for (int i = 0; i < 200; ++i) socket_.Send(transport_->port(), forged);
--- a/tests/net/interleaving_test.cpp
+++ b/tests/net/interleaving_test.cpp
@@ -151,7 +151,7 @@
         });
         break;
       case Kind::kDrain:
-        rig.Do([&] { rig.group->AskForNoMore(); });
+        rig.Do([&] { rig.group->StopNewRequests(); });
         break;
       case Kind::kServeAgain:
         rig.Do([&] { rig.group->ResumeListening(); });
@@ -174,14 +174,14 @@
   // Each stands, and owes nothing more: an answer too many would come before the one to a health check on the
   // loop that has the connection.
   RC_ASSERT(rig.Await([&] { return rig.held.empty() && rig.group->connections() == peers.size(); }));
-  rig.Do([&] { rig.group->AskForNoMore(); });
+  rig.Do([&] { rig.group->StopNewRequests(); });
   RC_ASSERT(rig.Await([&] { return rig.group->AllSent(); }));
   for (Peer& peer : peers) {
     peer.gateway->Write(Gateway::Encode(6, peer.last_stream + 1, std::string(1, '\0')));
     for (Frame got; (got = peer.gateway->Read()).type != 7;) peer.Take(got);
   }
   std::uint64_t taken = 0;
-  for (const auto& loop : rig.Loops()) taken += loop.taken;
+  for (const auto& loop : rig.Loops()) taken += loop.connections_received;
   RC_ASSERT(taken <= moves);
   RC_TAG(taken == 0 ? "no move" : "moves");
 }
--- a/tests/net/loop_group_test.cpp
+++ b/tests/net/loop_group_test.cpp
@@ -95,7 +95,7 @@
     }
   }
   std::uint64_t taken = 0;
-  for (const auto& loop : rig.Loops()) taken += loop.taken;
+  for (const auto& loop : rig.Loops()) taken += loop.connections_received;
   EXPECT_GT(taken, 20u);
   EXPECT_EQ(rig.counted(), number);
 }
@@ -117,7 +117,7 @@
   gate.Open();
   EXPECT_TRUE(rig.Await([&] { return rig.group->connections() == 0; }));
   // Nor an answer that waits for it: that would hold up the end of the process.
-  rig.Do([&] { rig.group->AskForNoMore(); });
+  rig.Do([&] { rig.group->StopNewRequests(); });
   EXPECT_TRUE(rig.Await([&] { return rig.group->AllSent(); }));
 }
 
@@ -128,7 +128,7 @@
   Rig rig(2);
   Gate gate;
   rig.Hang(1, gate);
-  ASSERT_TRUE(rig.Await([&] { return rig.group->Loops()[1].hung; }));
+  ASSERT_TRUE(rig.Await([&] { return rig.group->Loops()[1].stalled; }));
   // Connections come to the other one only.
   std::vector<Gateway> gateways;
   for (int i = 0; i < 6; ++i) {
@@ -148,7 +148,7 @@
   // New classes reach it when it goes on.
   rig.Do([&] { rig.group->ClassesChanged(); });
   gate.Open();
-  EXPECT_TRUE(rig.Await([&] { return !rig.group->Loops()[1].hung; }));
+  EXPECT_TRUE(rig.Await([&] { return !rig.group->Loops()[1].stalled; }));
   EXPECT_TRUE(said("loop-goes-on loop=2"));
 }
 
@@ -160,12 +160,12 @@
     // All come while the other loop hangs.
     Gate gate;
     rig.Hang(1, gate);
-    ASSERT_TRUE(rig.Await([&] { return rig.group->Loops()[1].hung; }));
+    ASSERT_TRUE(rig.Await([&] { return rig.group->Loops()[1].stalled; }));
     for (int i = 0; i < 100; ++i) gateways.emplace_back(rig.port);
     ASSERT_TRUE(rig.Await([&] { return rig.group->connections() == 100; }));
     EXPECT_EQ(rig.Loops()[0].connections, 100u);
     gate.Open();
-    ASSERT_TRUE(rig.Await([&] { return !rig.group->Loops()[1].hung; }));
+    ASSERT_TRUE(rig.Await([&] { return !rig.group->Loops()[1].stalled; }));
   }
   std::uint64_t number = 0;
   std::uint32_t stream = 0;
@@ -198,7 +198,7 @@
   std::thread still([&] {
     rig.Do([&] {
       gate.Wait();
-      waiting = rig.group->Loops()[0].told_waiting;
+      waiting = rig.group->Loops()[0].pending_messages;
     });
   });
   gate.AwaitWaiter();
@@ -214,9 +214,9 @@
     for (const auto end = Steady::now() + 40s; !holds() && Steady::now() < end;)
       std::this_thread::sleep_for(1ms);
   };
-  until([&] { return rig.group->Loops()[0].told_waiting >= 4096; });
-  const std::uint64_t beats = rig.group->Loops()[0].beats;
-  until([&] { return rig.group->Loops()[0].beats > beats + 16; });
+  until([&] { return rig.group->Loops()[0].pending_messages >= 4096; });
+  const std::uint64_t beats = rig.group->Loops()[0].heartbeats;
+  until([&] { return rig.group->Loops()[0].heartbeats > beats + 16; });
   gate.Open();
   still.join();
   EXPECT_GE(waiting, 4096u);
@@ -286,7 +286,7 @@
   unsigned unit = 0;
   while (!CPU_ISSET(unit, &mine)) ++unit;
   rig.Do([&] {
-    for (std::size_t loop = 0; loop < 6; ++loop) EXPECT_TRUE(rig.group->BindLoop(loop, {unit}));
+    for (std::size_t loop = 0; loop < 6; ++loop) EXPECT_TRUE(rig.group->PinLoopToCpus(loop, {unit}));
   });
   std::vector<Gateway> gateways;
   for (int i = 0; i < 24; ++i) gateways.emplace_back(rig.port);
@@ -300,7 +300,7 @@
   }
   EXPECT_EQ(rig.counted(), 240u);
   rig.Do([&] {
-    rig.group->AskForNoMore();
+    rig.group->StopNewRequests();
     rig.group->StopReading();
   });
   EXPECT_TRUE(rig.Await([&] { return rig.group->AllSent(); }));
@@ -316,7 +316,7 @@
   }
   ASSERT_TRUE(rig.Await([&] { return rig.held.size() == 30; }));
   rig.Do([&] {
-    rig.group->AskForNoMore();
+    rig.group->StopNewRequests();
     for (const core::StreamAddress& to : rig.came)
       rig.group->Move({to.connection, 0, (to.connection >> 56) == 0 ? 1u : 0u});
     rig.group->StopReading();
--- a/tests/net/loop_rig.h
+++ b/tests/net/loop_rig.h
@@ -49,9 +49,9 @@
       // The node does this after each round of its loop.
       sweep_ = std::make_unique<Timer>(host.base(), [this] {
         group->Sweep();
-        sweep_->After(500us);
+        sweep_->Start(500us);
       });
-      sweep_->After(500us);
+      sweep_->Start(500us);
       port = group->port();
     });
   }
@@ -73,8 +73,8 @@
       std::this_thread::sleep_for(1ms);
     }
   }
-  std::vector<LoopGroup::LoopLook> Loops() {
-    std::vector<LoopGroup::LoopLook> looks;
+  std::vector<LoopGroup::LoopStats> Loops() {
+    std::vector<LoopGroup::LoopStats> looks;
     Do([&] { looks = group->Loops(); });
     return looks;
   }
--- a/tests/net/pool_group_test.cpp
+++ b/tests/net/pool_group_test.cpp
@@ -75,7 +75,7 @@
     Timer late(base_.get(), [] {});
     const auto end = Steady::now() + 20s;
     while (!done() && Steady::now() < end) {
-      late.After(10ms);
+      late.Start(10ms);
       event_base_loop(base_.get(), EVLOOP_ONCE);
     }
     return done();
--- a/tests/node/deep_checks_test.cpp
+++ b/tests/node/deep_checks_test.cpp
@@ -8,9 +8,9 @@
 #include <optional>
 #include <string>
 
-#include "net/gateway_front.h"
 #include "net/loop_group.h"
 #include "net/pool_link.h"
+#include "net/single_loop_front_end.h"
 #include "scripted_peers.h"
 #include "standin/host.h"
 #include "standin/pool.h"
@@ -41,8 +41,8 @@
       events.class_counts = [](std::string_view) { return nullptr; };
       const auto any = net::ParseAddress("127.0.0.1:0");
       if (loops == 0) {
-        front_ =
-            std::make_unique<net::GatewayFront>(host_.base(), any, net::Descriptor(), 100, std::move(events));
+        front_ = std::make_unique<net::SingleLoopFrontEnd>(host_.base(), any, net::Descriptor(), 100,
+                                                           std::move(events));
       } else {
         net::LoopGroup::Options group;
         group.loops = loops;
@@ -59,9 +59,9 @@
       link_.emplace(host_.base(), net::ParseAddress(pool_->address()), std::move(below));
       sweep_ = std::make_unique<net::Timer>(host_.base(), [this] {
         front_->Sweep();
-        sweep_->After(500us);
+        sweep_->Start(500us);
       });
-      sweep_->After(500us);
+      sweep_->Start(500us);
       port = front_->port();
     });
   }
@@ -101,7 +101,7 @@
  private:
   standin::Host host_;
   std::optional<standin::Pool> pool_;
-  std::unique_ptr<net::GatewaySide> front_;
+  std::unique_ptr<net::GatewayFrontEnd> front_;
   std::optional<DeepChecks> checks_;
   std::optional<net::PoolLink> link_;
   std::unique_ptr<net::Timer> sweep_;
--- a/tests/standin/gateways_test.cpp
+++ b/tests/standin/gateways_test.cpp
@@ -72,7 +72,7 @@
   }
   static void Read(Connection& c) {
     while (!c.closed) {
-      const std::string_view all = net::Arrived(c.bev.get());
+      const std::string_view all = net::ReceivedBytes(c.bev.get());
       const auto head = proto::ParseFrameHeader(all);
       if (!head || all.size() < head->Size()) return;
       const std::string payload(
