--- a/src/policy/action_sink.h
+++ b/src/policy/action_sink.h
@@ -1,4 +1,4 @@
-// Collects the actions of one step.
+// Collects the actions that one call of ServerPolicy::Step() returns.
 #ifndef HINGELINK_POLICY_ACTION_SINK_H_
 #define HINGELINK_POLICY_ACTION_SINK_H_
 
@@ -9,11 +9,12 @@
 
 namespace hingelink::policy {
 
+// Not thread-safe.
 class ActionSink {
  public:
-  // Adds an action behind those of this step so far.
+  // Appends an action to those of the current step.
   void Emit(Action action) { actions_.push_back(std::move(action)); }
-  // Begins a step.
+  // Removes the actions of the previous step.
   void Clear() { actions_.clear(); }
   const std::vector<Action>& actions() const { return actions_; }
 
--- a/src/policy/admission.cpp
+++ b/src/policy/admission.cpp
@@ -5,12 +5,13 @@
 namespace hingelink::policy {
 namespace {
 
-// Part of a request's time until its latency objective that the wait in the queue may take.
+// Largest queue wait, as a fraction of the time that a new request has left until its latency objective.
 constexpr double kMaxWaitFraction = 0.38;
-// Part of the wait in the queue that a rejection advises to stay away. The full wait would silence several
-// callers at once and leave cores idle.
+// Retry-After as a fraction of the queue wait. With the full wait, several callers would stay away at the
+// same time and leave cores idle.
 constexpr double kRetryAfterWaitFraction = 0.5;
-// Advice above a tenant's quota: a caller that stays away does so with all of its other tenants.
+// Retry-After for a request above its tenant's quota. The value is minimal because a caller applies
+// Retry-After to the requests of all its tenants.
 constexpr double kRetryAfterOverQuotaMs = 1;
 
 }  // namespace
@@ -66,20 +67,20 @@
   const bool was_queued = parts_.queue.Remove(id, request);
   if (!request.caller_disconnected) {
     parts_.actions.Emit(Reject{.id = id,
-                               .no_other_server = WouldNoOtherServerHelp(request),
+                               .no_other_server = ShouldAvoidOtherServers(request),
                                .retry_after_ms = RetryAfterMs(request)});
     parts_.classes.CountRejected(request.class_index);
     parts_.totals.ReleaseMemory(request);
     if (was_queued) parts_.totals.RemoveQueuedWork(request);
   }
-  CloseNeverRan(id, request);
+  CloseUnexecuted(id, request);
 }
 
-bool Admission::WouldNoOtherServerHelp(const OpenRequest& request) const {
+bool Admission::ShouldAvoidOtherServers(const OpenRequest& request) const {
   if (parts_.drain.is_draining() || parts_.stall.is_stalled()) return false;
   if (request.over_quota || request.objective <= now_) return true;
-  // In a retry storm the others reject too, and forwarded requests would only add to it. A server that is
-  // slow alone sees few retries.
+  // In a retry storm the other servers reject requests too, and forwarded requests would only add load. If
+  // only this server is slow, it receives few retries.
   return parts_.busy_gate.is_busy() && (request.is_retry || parts_.arrivals.IsRetryStorm());
 }
 
@@ -91,10 +92,10 @@
                   request.over_quota ? kRetryAfterOverQuotaMs : kRetryAfterWaitFraction * QueueWaitMs());
 }
 
-void Admission::CloseNeverRan(RequestId id, const OpenRequest& request) {
+void Admission::CloseUnexecuted(RequestId id, const OpenRequest& request) {
   const IdempotencyEntryPtr entry = request.idempotency;
   parts_.requests.Close(id, request);
-  parts_.idempotency.OnNeverRan(id, entry, now_, *this);
+  parts_.idempotency.OnClosedUnexecuted(id, entry, now_, *this);
 }
 
 }  // namespace hingelink::policy
--- a/src/policy/admission.h
+++ b/src/policy/admission.h
@@ -1,8 +1,8 @@
-// Which requests wait for a start, and which is shed when too many wait.
+// Admission control: queues requests for a start and sheds requests when the queue exceeds its limits.
 //
-// The queue is limited by the memory of the queued requests and by the time that their work takes. Over the
-// limit, the request that adds least to the operator's goal is rejected, early enough to be served by another
-// server.
+// The queue is limited by the memory of the queued requests and by the time that their work takes. When a
+// limit is exceeded, the request that contributes least to the operator's goal is rejected while there is
+// still time for another server to serve it.
 #ifndef HINGELINK_POLICY_ADMISSION_H_
 #define HINGELINK_POLICY_ADMISSION_H_
 
@@ -40,18 +40,19 @@
   };
   explicit Admission(const Parts& parts) : parts_(parts) {}
 
-  // The time of the step: applies to all calls until the next one.
+  // Sets the current time for all calls until the next BeginStep().
   void BeginStep(double now) { now_ = now; }
 
   // Queues a request for a start.
   void Enqueue(RequestId id, OpenRequest& request);
-  // Rejects requests until the queue is within its limits, or `id` was rejected.
+  // Rejects requests until the queue is within its limits or the request `id`, which was queued last, is
+  // rejected.
   void EnforceQueueLimit(RequestId id);
-  // Rejects a request that was never executed, and forgets it. Nothing is sent if its caller has
-  // disconnected.
+  // Rejects and removes a request that was never executed. Emits no Reject if its caller has disconnected.
   void RejectRequest(RequestId id, OpenRequest& request);
-  // Forgets a request that was never executed. The next attempt that shares its entry takes its place.
-  void CloseNeverRan(RequestId id, const OpenRequest& request);
+  // Removes a request that was never executed. If the request held an idempotency entry, the next waiting
+  // attempt becomes the holder.
+  void CloseUnexecuted(RequestId id, const OpenRequest& request);
 
   // WaiterHandler
   void QueueWaiter(RequestId id, OpenRequest& request) override { Enqueue(id, request); }
@@ -60,15 +61,15 @@
  private:
   using Lane = StartQueue::Lane;
 
-  // How long the queued work takes at the current pace.
+  // Expected time until the work that is now queued has been executed, at the current pace.
   double QueueWaitMs() const;
   bool IsWithinLimits(const OpenRequest& newest) const;
   double GoalWeightPerMs(Lane lane) const;
-  // The lane from which a request is shed in favor of the others: that of `newest` if none adds less to the
-  // goal.
+  // The lane from which a request is shed: the non-empty lane with the lowest goal weight, or the lane of
+  // `newest` if no lane has a lower weight.
   Lane LeastValuableLane(const OpenRequest& newest) const;
-  // What a rejection advises. See Reject.
-  bool WouldNoOtherServerHelp(const OpenRequest& request) const;
+  // The values of Reject::no_other_server and Reject::retry_after_ms.
+  bool ShouldAvoidOtherServers(const OpenRequest& request) const;
   double RetryAfterMs(const OpenRequest& request) const;
 
   Parts parts_;
--- a/src/policy/arrival_stats.h
+++ b/src/policy/arrival_stats.h
@@ -1,4 +1,4 @@
-// What fraction of recent arrivals are retries, and what fraction was rejected at the queue limit.
+// The fraction of recent arrivals that are retries, and the fraction that was rejected at the queue limit.
 #ifndef HINGELINK_POLICY_ARRIVAL_STATS_H_
 #define HINGELINK_POLICY_ARRIVAL_STATS_H_
 
@@ -13,15 +13,18 @@
     DecayTowardZero(rejected_fraction_, kArrivalWeight);
     retry_fraction_ += kArrivalWeight * ((is_retry ? 1 : 0) - retry_fraction_);
   }
-  // `weight`: 1 for a request within its tenant's quota.
+  // Counts a rejection at the queue limit. `weight`: 1 for a request within its tenant's quota, less for a
+  // request above its quota.
   void CountRejection(double weight) { rejected_fraction_ += kArrivalWeight * weight; }
 
-  // Whether so many arrivals are retries that the whole fleet must be overloaded: other servers reject too.
+  // Whether the fraction of retries is so high that the whole fleet must be overloaded, so that other servers
+  // reject requests too.
   bool IsRetryStorm() const { return retry_fraction_ > kRetryStormFraction; }
   double rejected_fraction() const { return rejected_fraction_; }
 
  private:
-  // Weight of a new arrival: the last twenty-five, a few seconds of a small server.
+  // Weight of a new arrival in the moving fractions. They cover about the last 25 arrivals, which is a few
+  // seconds on a small server.
   static constexpr double kArrivalWeight = 0.04;
   static constexpr double kRetryStormFraction = 0.25;
 
--- a/src/policy/attempt_age.cpp
+++ b/src/policy/attempt_age.cpp
@@ -7,14 +7,15 @@
 namespace hingelink::policy {
 namespace {
 
-// A bucket with more than this fraction of recent arrivals holds waits that callers give to any attempt.
-constexpr double kUsualWaitFraction = 0.1;
-// Weight of a new arrival: the last fifty.
+// A remaining wait counts as common to all attempts if its bucket has more than this fraction of recent
+// arrivals.
+constexpr double kCommonWaitFraction = 0.1;
+// Weight of a new arrival in the moving fractions, which cover about the last 50 arrivals.
 constexpr double kArrivalWeight = 0.02;
 
 }  // namespace
 
-AttemptAgeEstimator::AttemptAgeEstimator() { arrival_fraction_.fill(2 * kUsualWaitFraction); }
+AttemptAgeEstimator::AttemptAgeEstimator() { arrival_fraction_.fill(2 * kCommonWaitFraction); }
 
 double AttemptAgeEstimator::EstimateAge(double wait_fraction) {
   constexpr int kLastBucket = static_cast<int>(kBuckets) - 1;
@@ -22,7 +23,7 @@
   for (double& fraction : arrival_fraction_) DecayTowardZero(fraction, kArrivalWeight);
   double& own = arrival_fraction_[static_cast<std::size_t>(bucket)];
   own += kArrivalWeight;
-  return own > kUsualWaitFraction ? 0 : std::max(0.0, 1 - wait_fraction);
+  return own > kCommonWaitFraction ? 0 : std::max(0.0, 1 - wait_fraction);
 }
 
 }  // namespace hingelink::policy
--- a/src/policy/attempt_age.h
+++ b/src/policy/attempt_age.h
@@ -1,4 +1,4 @@
-// How old an attempt is, estimated from its caller's remaining wait.
+// Estimates from a caller's remaining wait how long ago the first attempt of a request was made.
 #ifndef HINGELINK_POLICY_ATTEMPT_AGE_H_
 #define HINGELINK_POLICY_ATTEMPT_AGE_H_
 
@@ -7,20 +7,21 @@
 
 namespace hingelink::policy {
 
-// Callers do not say when their first attempt began. A remaining wait that many arrivals have is one that
-// callers give to any attempt, and tells nothing. Any other is taken to be what earlier attempts left of the
-// class's deadline. Without it, in a burst of retries the cores would go to requests whose objective passed
-// during earlier attempts. Not thread-safe.
+// Callers do not send the time of their first attempt. A remaining wait that many arrivals have in common is
+// assumed to be a value that callers send with every attempt; it says nothing about the age. Any other
+// remaining wait is assumed to be the class's deadline minus the time that earlier attempts took. Without the
+// estimate, a burst of retries would occupy the cores with requests whose latency objective passed during
+// earlier attempts. Not thread-safe.
 class AttemptAgeEstimator {
  public:
   AttemptAgeEstimator();
-  // `wait_fraction`: the remaining wait when the request arrived, as a fraction of its class's deadline.
-  // Returns the age as a fraction of the deadline, 0 for a first attempt. Counts the arrival.
+  // Counts an arrival and returns the age of its request as a fraction of the class's deadline, 0 for a first
+  // attempt. `wait_fraction`: the remaining wait at the arrival, as a fraction of the class's deadline.
   double EstimateAge(double wait_fraction);
 
  private:
   static constexpr std::size_t kBuckets = 16;
-  std::array<double, kBuckets> arrival_fraction_{};  // Of recent arrivals, by remaining wait.
+  std::array<double, kBuckets> arrival_fraction_{};  // Fraction of recent arrivals, by remaining wait.
 };
 
 }  // namespace hingelink::policy
--- a/src/policy/busy_gate.cpp
+++ b/src/policy/busy_gate.cpp
@@ -4,8 +4,9 @@
 namespace {
 
 constexpr double kMeasurementMs = 1000;
-// Busy means fewer idle cores than this: 5% of the six cores in HPL-98-164R1. Absolute, because work ends one
-// execution at a time: fewer cores are saturated with as many idle.
+// The server is busy if fewer cores than this are idle. The value is 5% of the six cores in HPL-98-164R1. It
+// is an absolute number because cores become idle one execution at a time: a saturated server with fewer
+// cores has as many idle cores on average.
 constexpr double kIdleCores = 0.3;
 
 }  // namespace
--- a/src/policy/busy_gate.h
+++ b/src/policy/busy_gate.h
@@ -1,6 +1,6 @@
-// Whether the server counts as busy: only then is a request that is about to start checked for a caller that
-// can no longer be served in time. After Carter and Cherkasova, HPL-98-164R1: measured once a second, on
-// above 95% of six cores.
+// Decides once a second whether the server is busy. Dispatch rejects requests that cannot meet their latency
+// objective only while the server is busy. Based on Carter and Cherkasova, HPL-98-164R1, where a server with
+// six cores is busy above 95% utilization.
 #ifndef HINGELINK_POLICY_BUSY_GATE_H_
 #define HINGELINK_POLICY_BUSY_GATE_H_
 
@@ -13,9 +13,10 @@
  public:
   explicit BusyGate(const Settings& settings) : settings_(settings) {}
 
-  // The first measurement ends one second after `now`, in ms.
+  // Starts the first measurement interval, of one second, at `now` in ms.
   void Begin(double now);
-  // Adds a sample of the fraction of the cores that was busy; ends the measurement when its second is over.
+  // Adds a sample of the busy fraction of the cores. At the end of the interval, decides by the mean of its
+  // samples and starts the next interval.
   void OnSample(double now, double cpu_busy);
 
   bool is_busy() const { return is_busy_; }
--- a/src/policy/class_table.cpp
+++ b/src/policy/class_table.cpp
@@ -7,15 +7,16 @@
 namespace hingelink::policy {
 namespace {
 
-// Initial estimate of an execution, as a fraction of the class's latency objective.
+// Initial estimate of the duration of an execution, as a fraction of the class's latency objective.
 constexpr double kInitialRunFraction = 0.15;
-// Weight of a new sample in the learned means: about the last 30 executions of a class.
+// Weight of a new sample in the learned means, which cover about the last 30 executions of a class.
 constexpr double kLearnWeight = 0.03;
-// Weight of a new sample in the pace: the last five executions.
+// Weight of a new sample in the pace, which covers about the last five executions.
 constexpr double kPaceWeight = 0.2;
-// Fraction of the expected time of an execution that must be left before a latency objective.
+// The time that must be left before a latency objective, as a fraction of the expected duration of the
+// execution.
 constexpr double kRequiredFraction = 0.8;
-// Lower bounds of divisors.
+// Lower bounds of divisors, which could otherwise be 0.
 constexpr double kMinTotalWeight = 1e-9;
 constexpr double kMinArrivalFraction = 0.01;
 constexpr double kMinTimeMs = 1;
@@ -31,19 +32,19 @@
     entry.configured = false;
   }
   constexpr std::size_t kNone = static_cast<std::size_t>(-1);
-  entry_of_.assign(settings_.classes.size(), kNone);
-  // Classes that have an entry come first, so that no new class takes it.
+  entry_index_.assign(settings_.classes.size(), kNone);
+  // Classes that already have an entry are matched first, so that no new class reuses such an entry.
   for (std::size_t i = 0; i < settings_.classes.size(); ++i) {
     const RequestClass& config = settings_.classes[i];
-    for (std::size_t k = 0; k < was_free.size() && entry_of_[i] == kNone; ++k) {
+    for (std::size_t k = 0; k < was_free.size() && entry_index_[i] == kNone; ++k) {
       if (was_free[k] || entries_[k].config.name != config.name) continue;
       entries_[k].config = config;
       entries_[k].configured = true;
-      entry_of_[i] = k;
+      entry_index_[i] = k;
     }
   }
   for (std::size_t i = 0; i < settings_.classes.size(); ++i) {
-    if (entry_of_[i] == kNone) entry_of_[i] = AddEntry(settings_.classes[i]);
+    if (entry_index_[i] == kNone) entry_index_[i] = AddEntry(settings_.classes[i]);
   }
   for (ClassEntry& entry : entries_) {
     if (!entry.configured) entry.arrival_fraction = 0;
@@ -61,8 +62,8 @@
 }
 
 std::optional<std::size_t> ClassTable::IndexOf(std::size_t configured_index) const {
-  if (configured_index >= entry_of_.size()) return std::nullopt;
-  return entry_of_[configured_index];
+  if (configured_index >= entry_index_.size()) return std::nullopt;
+  return entry_index_[configured_index];
 }
 
 void ClassTable::CountArrival(std::size_t index) {
--- a/src/policy/class_table.h
+++ b/src/policy/class_table.h
@@ -1,7 +1,7 @@
-// The classes as configured, and what is learned about each: the cost of an execution, the mix of arrivals,
-// and how many of its requests are served.
+// The request classes: their configuration, the learned cost of an execution, and the fractions of arrivals
+// and of served requests.
 //
-// A class that was removed by a reconfiguration keeps its entry while requests of it are in flight; after
+// A class that a reconfiguration removes keeps its entry while requests of the class are in flight. After
 // that the entry is reused, so that the table does not grow with each reconfiguration.
 #ifndef HINGELINK_POLICY_CLASS_TABLE_H_
 #define HINGELINK_POLICY_CLASS_TABLE_H_
@@ -17,11 +17,11 @@
 
 struct ClassEntry {
   RequestClass config;
-  bool configured = true;       // Is among the settings given last.
-  int open_requests = 0;        // In flight.
-  LearnedClass learned;         // Its name is the class's; with one sample it is the initial estimate.
-  double arrival_fraction = 0;  // Of recent arrivals.
-  double served_fraction = 1;   // Of its recently decided requests: started, not rejected.
+  bool configured = true;       // Whether the current settings contain the class.
+  int open_requests = 0;        // Requests of the class in flight.
+  LearnedClass learned;         // With one sample, this is the initial estimate.
+  double arrival_fraction = 0;  // Fraction of all recent arrivals that are of this class.
+  double served_fraction = 1;   // Fraction of the class's recent requests that were started, not rejected.
 };
 
 // Not thread-safe. `settings` must outlive the object.
@@ -29,12 +29,13 @@
  public:
   explicit ClassTable(const Settings& settings) : settings_(settings) {}
 
-  // Takes over Settings::classes. Classes of the same name keep their entry.
+  // Applies Settings::classes. Classes of the same name keep their entry.
   void Configure();
 
   std::size_t size() const { return entries_.size(); }
   const ClassEntry& operator[](std::size_t index) const { return entries_[index]; }
-  // The entry of a class by its index in Settings::classes; nothing if there is no such class.
+  // Maps an index in Settings::classes to the index of the class's entry. Returns nullopt if there is no such
+  // class.
   std::optional<std::size_t> IndexOf(std::size_t configured_index) const;
 
   const RequestClass& ConfigOf(const OpenRequest& request) const {
@@ -52,38 +53,38 @@
 
   void RequestOpened(std::size_t index) { ++entries_[index].open_requests; }
   void RequestClosed(std::size_t index) { --entries_[index].open_requests; }
-  // Updates the fractions.
+  // Update arrival_fraction and served_fraction.
   void CountArrival(std::size_t index);
   void CountStarted(std::size_t index);
   void CountRejected(std::size_t index);
 
-  // Learns from an execution that ended with kOk after `elapsed_ms`.
+  // Updates the learned costs with an execution that ended with kOk after `elapsed_ms`.
   void Learn(const OpenRequest& request, double elapsed_ms);
-  // Length of recent executions relative to the learned means; 1: as usual.
+  // Mean duration of the last few executions relative to the learned means; 1 if they match.
   double pace() const { return pace_; }
-  // How much time, in ms, must be left before the latency objective of `request` for a start, or for the rest
-  // of its execution behind an upstream call, to make sense.
+  // Time in ms that must be left before the latency objective of `request` to start its execution.
   double RequiredRunMs(const OpenRequest& request) const;
+  // Time in ms that must be left before the latency objective of `request` when its upstream call ends.
   double RequiredCoreTimeMs(const OpenRequest& request) const;
-  // The longest learned mean of the classes that are configured or have requests in flight, in ms.
+  // The longest learned mean duration in ms, of the classes that are configured or have requests in flight.
   double LongestMeanRunMs() const;
 
-  // What a request of this class adds to the operator's goal for each ms of work: its part of all weight and,
-  // for the class that is served worst, its part in that class's result, so that no class bears all of a
-  // loss.
+  // Contribution of a request of this class to the operator's goal, per ms of work. The contribution is the
+  // request's part of the total weight. For the class with the lowest served fraction, the request's part of
+  // that class's result is added, so that load shedding does not fall on one class only.
   double GoalWeightPerMs(std::size_t index) const;
 
   void Import(const Learned& learned);
   Learned Export() const;
 
  private:
-  // Initializes a free entry, or a new one, for a class. Returns its index.
+  // Initializes a free or new entry for a class and returns the index of the entry.
   std::size_t AddEntry(const RequestClass& config);
   double RequestWeight(const ClassEntry& entry) const;
 
   const Settings& settings_;
   std::vector<ClassEntry> entries_;
-  std::vector<std::size_t> entry_of_;  // By index in Settings::classes.
+  std::vector<std::size_t> entry_index_;  // By index in Settings::classes.
   double pace_ = 1;
 };
 
--- a/src/policy/concurrency_limiter.h
+++ b/src/policy/concurrency_limiter.h
@@ -1,8 +1,9 @@
 // Limits how many executions run at once, so that the cores stay busy without being oversubscribed.
 //
-// A proportional controller: each gauge sample moves the limit towards kSpareRunnable runnable threads beyond
-// the cores. The limit rises only while requests wait and the limit binds, and never exceeds what the server
-// survives.
+// A proportional controller: each gauge sample adjusts the limit so that the number of runnable threads
+// approaches the number of cores plus kSpareRunnable. The limit rises only while requests are queued and the
+// executions have reached the limit. It never exceeds the sustainable number of executions (see
+// Settings::max_running_per_core).
 #ifndef HINGELINK_POLICY_CONCURRENCY_LIMITER_H_
 #define HINGELINK_POLICY_CONCURRENCY_LIMITER_H_
 
@@ -16,20 +17,20 @@
  public:
   explicit ConcurrencyLimiter(const Settings& settings) : settings_(settings) {}
 
-  // Starts with a limit of Settings::cores; the warm-up of the server is counted from `now`, in ms.
+  // Sets the limit to Settings::cores. The warm-up of the server starts at `now`, in ms.
   void Begin(double now);
-  // Updates the limit from one sample. `running`: executions on the cores now, upstream calls excluded.
+  // Updates the limit from one sample. `running`: current executions, excluding those in upstream calls.
   // `has_queued`: whether requests wait for a start.
   void OnSample(double now, const GaugeSample& sample, int running, bool has_queued);
 
-  // Executions that may be on the cores, at least Settings::cores.
+  // Number of executions that may run at once, excluding upstream calls; at least Settings::cores.
   double limit() const { return limit_; }
-  // Whether one more execution may start beside `running`.
+  // Whether one more execution may start while `running` executions run.
   bool CanStart(int running) const;
 
  private:
-  // Executions that the server survives at `now`: fewer while it is warming up.
-  double SurvivableLimit(double now) const;
+  // Number of executions that the server can sustain at `now`; lower while the server is warming up.
+  double SustainableLimit(double now) const;
 
   const Settings& settings_;
   double limit_ = 0;
--- a/src/policy/deadline_queue.cpp
+++ b/src/policy/deadline_queue.cpp
@@ -3,7 +3,7 @@
 namespace hingelink::policy {
 namespace {
 
-// Batches before a deadline at which the answer is emitted.
+// The answer is emitted this many batch intervals before the deadline.
 constexpr double kBatchesBeforeDeadline = 2;
 
 }  // namespace
--- a/src/policy/deadline_queue.h
+++ b/src/policy/deadline_queue.h
@@ -1,5 +1,5 @@
-// When each request in flight has to be looked after next: the time by which it must be answered, or an
-// earlier time at which it stops waiting for its upstream call.
+// The next scheduled time of each request in flight: when the request must be answered, or the earlier time
+// at which it must stop waiting for its upstream call.
 #ifndef HINGELINK_POLICY_DEADLINE_QUEUE_H_
 #define HINGELINK_POLICY_DEADLINE_QUEUE_H_
 
@@ -12,27 +12,28 @@
 
 namespace hingelink::policy {
 
-// One entry per request. Not thread-safe. `settings` must outlive the object.
+// Holds at most one entry per request. Not thread-safe. `settings` must outlive the object.
 class DeadlineQueue {
  public:
   explicit DeadlineQueue(const Settings& settings) : settings_(settings) {}
 
-  // The time at which the answer to `request` must be emitted: two batches before its deadline.
+  // The time by which the answer to `request` must be emitted: two batches before its deadline.
   double AnswerBy(const OpenRequest& request) const;
 
-  // Schedules `request` for the time `at`, in place of an earlier entry.
+  // Schedules `request` for the time `at` in ms, replacing any previous entry of the request.
   void Schedule(RequestId id, OpenRequest& request, double at);
   void ScheduleAnswer(RequestId id, OpenRequest& request) { Schedule(id, request, AnswerBy(request)); }
   void Cancel(RequestId id, const OpenRequest& request) { entries_.erase({request.scheduled_at, id}); }
 
-  // Removes and returns the first request that is due at `now`.
+  // Removes and returns the first request whose scheduled time is not after `now`, in ms. Returns nullopt if
+  // there is none.
   std::optional<RequestId> PopExpired(double now);
-  // The time of the first entry, or kForever.
+  // The earliest scheduled time, or kForever if there is no entry.
   double next() const { return entries_.empty() ? kForever : entries_.begin()->first; }
 
  private:
   const Settings& settings_;
-  std::set<std::pair<double, RequestId>> entries_;  // By time.
+  std::set<std::pair<double, RequestId>> entries_;  // Ordered by scheduled time.
 };
 
 }  // namespace hingelink::policy
--- a/src/policy/dispatch.cpp
+++ b/src/policy/dispatch.cpp
@@ -4,7 +4,7 @@
 
 void Dispatch::StartQueued(double now) {
   for (;;) {
-    RejectHopeless(now);
+    RejectNotWorthStarting(now);
     if (!parts_.limiter.CanStart(parts_.totals.running_with_sibling())) return;
     const auto lane =
         parts_.queue.NextLane([this](std::size_t class_index) { return IsBlockedByUpstream(class_index); });
@@ -16,22 +16,23 @@
   }
 }
 
-void Dispatch::RejectHopeless(double now) {
+void Dispatch::RejectNotWorthStarting(double now) {
   for (std::size_t position = 0; position < parts_.queue.lane_count(); ++position) {
     const StartQueue::Lane lane = StartQueue::LaneAt(position);
     while (!parts_.queue.IsEmpty(lane)) {
       const RequestId id = parts_.queue.First(lane);
       OpenRequest& request = parts_.requests.Get(id);
-      if (!IsHopeless(request, now)) break;
+      if (!IsNotWorthStarting(request, now)) break;
       parts_.admission.RejectRequest(id, request);
     }
   }
 }
 
-bool Dispatch::IsHopeless(const OpenRequest& request, double now) const {
+bool Dispatch::IsNotWorthStarting(const OpenRequest& request, double now) const {
   if (request.caller_disconnected || parts_.stall.is_stalled()) return true;
   if (!parts_.busy_gate.is_busy()) return false;
-  // In overload an answer behind its objective takes a core from a request that can still be in time.
+  // On a busy server, executing a request that misses its latency objective would take a core from a request
+  // that can still meet its objective.
   return request.over_quota || now + parts_.classes.RequiredRunMs(request) > request.objective;
 }
 
--- a/src/policy/dispatch.h
+++ b/src/policy/dispatch.h
@@ -1,8 +1,8 @@
-// Starts queued requests. The only place where an execution starts.
+// Starts queued requests. No other class starts an execution.
 //
-// DTOC (Carter and Cherkasova, HPL-98-164R1): while the server is busy, a queued request that is about to
-// start is first checked for a caller that has disconnected or can no longer be served in time. Such a
-// request is rejected instead.
+// Implements DTOC (Carter and Cherkasova, HPL-98-164R1): before a queued request starts, Dispatch checks
+// whether the caller has disconnected and, while the server is busy, whether the request can still meet its
+// latency objective. If not, the request is rejected.
 #ifndef HINGELINK_POLICY_DISPATCH_H_
 #define HINGELINK_POLICY_DISPATCH_H_
 
@@ -39,15 +39,16 @@
   };
   explicit Dispatch(const Parts& parts) : parts_(parts) {}
 
-  // Starts what may run, earliest latency objective first, within the limits on concurrency and memory. `now`
-  // in ms.
+  // Starts queued requests within the limits on concurrency and memory, earliest latency objective first.
+  // `now` in ms. To be called once per step.
   void StartQueued(double now);
 
  private:
-  // Rejects the first requests of each lane whose start would be useless.
-  void RejectHopeless(double now);
-  bool IsHopeless(const OpenRequest& request, double now) const;
-  // Whether an execution of this class would only wait for its upstream call.
+  // Rejects requests at the front of each lane until the first request of the lane is worth starting.
+  void RejectNotWorthStarting(double now);
+  bool IsNotWorthStarting(const OpenRequest& request, double now) const;
+  // Whether an execution of this class would have to wait for its upstream call without a fallback, because
+  // too many calls are waiting.
   bool IsBlockedByUpstream(std::size_t class_index) const;
   void StartExecution(RequestId id, OpenRequest& request);
 
--- a/src/policy/drain.cpp
+++ b/src/policy/drain.cpp
@@ -5,7 +5,7 @@
 namespace hingelink::policy {
 namespace {
 
-// Batches before the kill by which everything is answered.
+// All requests are answered this many batch intervals before the process is killed.
 constexpr double kBatchesBeforeKill = 8;
 
 }  // namespace
--- a/src/policy/drain.h
+++ b/src/policy/drain.h
@@ -1,4 +1,5 @@
-// The end of the process: from the drain notice on.
+// The state of a drain: whether a drain notice has arrived, until when requests may be executed, and when
+// they must be answered.
 #ifndef HINGELINK_POLICY_DRAIN_H_
 #define HINGELINK_POLICY_DRAIN_H_
 
@@ -7,20 +8,21 @@
 
 namespace hingelink::policy {
 
-// Not thread-safe. `settings` must outlive the object.
+// Not thread-safe. `settings` must outlive the object. Times in ms.
 class Drain {
  public:
   explicit Drain(const Settings& settings) : settings_(settings) {}
 
-  // The notice arrived at `now`; the process is killed `remaining_ms` later. Returns false if it is draining
-  // already: the first notice counts.
+  // Starts the drain when the notice arrives at `now`; the process is killed `remaining_ms` later. Returns
+  // false and ignores the notice if the drain has already started.
   [[nodiscard]] bool Begin(double now, double remaining_ms);
 
   bool is_draining() const { return is_draining_; }
-  // When everything must be answered, a few batches before the kill; kForever without a notice.
+  // The time by which all requests must be answered, a few batches before the process is killed. kForever if
+  // no notice has arrived.
   double answer_by() const { return answer_by_; }
-  // Whether a request that reached the machine at `arrived_at` did so too late, so that it must not be
-  // executed.
+  // Whether a request that reached the machine at `arrived_at` must not be executed, because it arrived after
+  // the grace period that follows the notice.
   bool IsPastGrace(double arrived_at) const;
 
  private:
--- a/src/policy/gauge_sample.cpp
+++ b/src/policy/gauge_sample.cpp
@@ -8,11 +8,11 @@
 namespace {
 
 double GaugeOr(const Settings& settings, const std::vector<double>& gauges, std::string_view name,
-               double otherwise) {
+               double default_value) {
   const auto found = std::find(settings.gauges.begin(), settings.gauges.end(), name);
   const auto index = static_cast<std::size_t>(found - settings.gauges.begin());
   const bool is_present = found != settings.gauges.end() && index < gauges.size();
-  return is_present ? gauges[index] : otherwise;
+  return is_present ? gauges[index] : default_value;
 }
 
 }  // namespace
--- a/src/policy/idempotency_table.cpp
+++ b/src/policy/idempotency_table.cpp
@@ -5,7 +5,8 @@
 namespace hingelink::policy {
 namespace {
 
-// Idempotency windows after which an entry is removed: attempts may be read late.
+// An entry is kept for this many times its idempotency window and deadline, because attempts may be read
+// late.
 constexpr double kRetainedWindows = 2;
 
 bool HasArrival(std::span<const Event> batch, RequestId id) {
@@ -26,7 +27,7 @@
   const auto found = entries_.find(arrival.original);
   if (found == entries_.end()) {
     if (HasArrival(batch, arrival.original)) return false;
-    // An original that is named but unknown here has run, and its entry was forgotten: it must not run again.
+    // The original was executed, but its entry has been removed. A keyed request must not be executed again.
     const bool is_keyed = classes_.IsKeyed(request);
     if (is_keyed) Replay(arrival.id);
     return is_keyed;
@@ -75,7 +76,7 @@
 }
 
 void IdempotencyTable::OnStarted(const OpenRequest& request) {
-  // The outcome of a keyed execution is final from its start on: no other attempt may run.
+  // Once an attempt of a keyed request has started, no other attempt may be executed, whatever the outcome.
   if (request.idempotency && classes_.IsKeyed(request)) ReplayWaiters(*request.idempotency);
 }
 
@@ -89,15 +90,15 @@
   ReplayWaiters(*entry);
 }
 
-void IdempotencyTable::OnNeverRan(RequestId id, const IdempotencyEntryPtr& entry, double now,
-                                  WaiterHandler& handler) {
+void IdempotencyTable::OnClosedUnexecuted(RequestId id, const IdempotencyEntryPtr& entry, double now,
+                                          WaiterHandler& handler) {
   if (entry && entry->holder == id) PassToNextWaiter(entry, now, handler);
 }
 
 void IdempotencyTable::PassToNextWaiter(const IdempotencyEntryPtr& entry, double now,
                                         WaiterHandler& handler) {
   if (entry->is_key_retained) actions_.Emit(ReleaseKey{entry->holder});
-  KeyReleased(*entry);
+  MarkKeyReleased(*entry);
   entry->holder = 0;
   for (const RequestId waiter : std::exchange(entry->waiters, {})) {
     OpenRequest* request = requests_.Find(waiter);
@@ -129,23 +130,24 @@
   while (!keys_by_expiry_.empty() && keys_by_expiry_.begin()->first < now) {
     const auto [expires_at, entry] = *keys_by_expiry_.begin();
     keys_by_expiry_.erase(keys_by_expiry_.begin());
-    // An entry is listed again when a result shortens or a new holder prolongs it.
+    // An entry is inserted again when a result shortens or a new holder extends its expiry. Skip outdated
+    // elements.
     if (!entry->is_key_retained || entry->expires_at > expires_at) continue;
     if (entry->expires_at < entry->host_expires_at) actions_.Emit(ReleaseKey{entry->holder});
-    KeyReleased(*entry);
+    MarkKeyReleased(*entry);
   }
   for (; !entries_by_expiry_.empty() && entries_by_expiry_.front().first < now;
        entries_by_expiry_.pop_front())
     RemoveEntry(*entries_by_expiry_.front().second);
 }
 
-void IdempotencyTable::KeyReleased(IdempotencyEntry& entry) {
+void IdempotencyTable::MarkKeyReleased(IdempotencyEntry& entry) {
   if (std::exchange(entry.is_key_retained, false)) totals_.ReleaseKey();
 }
 
 void IdempotencyTable::RemoveEntry(IdempotencyEntry& entry) {
   for (const RequestId attempt : std::exchange(entry.attempts, {})) entries_.erase(attempt);
-  KeyReleased(entry);
+  MarkKeyReleased(entry);
 }
 
 }  // namespace hingelink::policy
--- a/src/policy/idempotency_table.h
+++ b/src/policy/idempotency_table.h
@@ -1,9 +1,10 @@
-// Attempts that share one execution: those of a keyed request, which must not run twice, and reads of one
-// subject while its answer is fresh.
+// Attempts that share one execution: attempts of a keyed request, which must not be executed twice, and reads
+// of one subject while the cached result is valid.
 //
-// An entry has one holder, the attempt that may run or ran. The others wait for it and are replayed its
-// result: of a keyed request as soon as the holder starts, of a read once it has completed well. If the
-// holder never runs, or a read fails, the next attempt that waits takes its place.
+// Each entry has one holder: the attempt that may be executed or was executed. The other attempts wait for
+// the holder and are then answered with its result (replayed). Attempts of a keyed request are replayed as
+// soon as the holder starts, reads once the holder has succeeded. If the holder is closed without an
+// execution, or a read fails, the next waiting attempt becomes the holder.
 //
 // Memory: an entry for each open or recent keyed request and shared read; see Open() for how long it is kept.
 // Host memory for retained keys is bounded by LoadTotals::CanRetainKey().
@@ -28,23 +29,23 @@
 namespace hingelink::policy {
 
 struct IdempotencyEntry {
-  bool is_replayable = false;       // Attempts are answered with the holder's result from now on.
-  bool is_key_retained = false;     // The host retains the holder's key, until `expires_at`.
-  RequestId holder = 0;             // The attempt that may run, or ran; 0 while there is none.
-  double expires_at = 0;            // When the key is of no use any more.
-  double host_expires_at = 0;       // When the host releases it by itself.
+  bool is_replayable = false;       // Whether further attempts are answered with the holder's result.
+  bool is_key_retained = false;     // Whether the host retains the holder's key.
+  RequestId holder = 0;             // The attempt that may be or was executed; 0 if there is none.
+  double expires_at = 0;            // When the key is no longer needed.
+  double host_expires_at = 0;       // When the host releases the key without a ReleaseKey action.
   std::vector<RequestId> waiters;   // Attempts that wait for the holder's outcome.
-  std::vector<RequestId> attempts;  // All, under whose ids the entry is found.
+  std::vector<RequestId> attempts;  // All attempts; the table maps each of their ids to this entry.
 };
 using IdempotencyEntryPtr = std::shared_ptr<IdempotencyEntry>;
 
-// What happens to an attempt whose holder did not run.
+// Handles waiting attempts whose holder was not executed or failed.
 class WaiterHandler {
  public:
   virtual ~WaiterHandler() = default;
-  // The attempt is the holder now: it waits for a start.
+  // Queues the attempt for a start; it has become the holder.
   virtual void QueueWaiter(RequestId id, OpenRequest& request) = 0;
-  // The attempt cannot run.
+  // Rejects the attempt; it must not or cannot be executed.
   virtual void RejectWaiter(RequestId id, OpenRequest& request) = 0;
 };
 
@@ -60,37 +61,39 @@
         drain_(drain),
         actions_(actions) {}
 
-  // Whether this arrival may share the result of another read.
+  // Whether this arrival is a read that may share the result of another read.
   bool IsSharedRead(const Arrival& arrival, const OpenRequest& request) const;
 
-  // Whether an arrival that names an original shares that one's execution: it then waits or is replayed.
-  // `batch` holds the events of this step: attempts that were read together name each other, and the first
-  // opens the entry.
+  // Adds an arrival with an original to the original's entry, where it waits or is replayed. Returns false if
+  // the arrival does not share an execution. `batch`: the events of this step. Attempts in the same batch
+  // refer to each other as original; the first of them does not join but opens the entry.
   [[nodiscard]] bool Join(const Arrival& arrival, OpenRequest& request, std::span<const Event> batch);
-  // Makes the attempt the holder of a new entry. Returns false if there is no memory for its key: a keyed
-  // request must not run then. The entry is kept for twice the idempotency window and deadline, as attempts
-  // may be read late.
+  // Makes the attempt the holder of a new entry. Returns false if there is no memory for its key; a keyed
+  // request must then not be executed. The entry is kept for twice the sum of idempotency window and
+  // deadline, because attempts may be read late.
   bool Open(RequestId id, OpenRequest& request, double now);
 
-  // The execution of a holder has started.
+  // To be called when the execution of a request starts.
   void OnStarted(const OpenRequest& request);
-  // The execution of a request has ended; `has_result` if its result can answer others.
+  // To be called when the execution of a request ends. `has_result`: whether its result can answer other
+  // attempts.
   void OnFinished(RequestId id, const OpenRequest& request, bool has_result, double now,
                   WaiterHandler& handler);
-  // `id`, an attempt of this entry, is complete and never ran.
-  void OnNeverRan(RequestId id, const IdempotencyEntryPtr& entry, double now, WaiterHandler& handler);
+  // To be called when attempt `id` of `entry` is closed without having been executed. `entry` may be null.
+  void OnClosedUnexecuted(RequestId id, const IdempotencyEntryPtr& entry, double now, WaiterHandler& handler);
 
-  // Releases the keys and forgets the entries that have expired.
+  // Releases expired keys and removes expired entries.
   void Expire(double now);
 
  private:
   void AddAttempt(const IdempotencyEntryPtr& entry, RequestId id, OpenRequest& request);
-  // Makes the attempt the holder and has its key retained. Returns false if there is no memory for it.
+  // Makes the attempt the holder and lets the host retain its key. Returns false if there is no memory for
+  // the key.
   bool RetainKey(RequestId id, const OpenRequest& request, const IdempotencyEntryPtr& entry, double now);
   void PassToNextWaiter(const IdempotencyEntryPtr& entry, double now, WaiterHandler& handler);
   void ReplayWaiters(IdempotencyEntry& entry);
   void Replay(RequestId id);
-  void KeyReleased(IdempotencyEntry& entry);
+  void MarkKeyReleased(IdempotencyEntry& entry);
   void RemoveEntry(IdempotencyEntry& entry);
 
   const Settings& settings_;
@@ -100,7 +103,7 @@
   const Drain& drain_;
   ActionSink& actions_;
 
-  std::unordered_map<RequestId, IdempotencyEntryPtr> entries_;  // By each attempt.
+  std::unordered_map<RequestId, IdempotencyEntryPtr> entries_;  // By the id of each attempt.
   std::deque<std::pair<double, IdempotencyEntryPtr>> entries_by_expiry_;
   std::multimap<double, IdempotencyEntryPtr> keys_by_expiry_;
 };
--- a/src/policy/load_signal.cpp
+++ b/src/policy/load_signal.cpp
@@ -7,13 +7,15 @@
 namespace hingelink::policy {
 namespace {
 
-// Time between two updates, as a fraction of the time for which callers use a value. Shorter ones oscillate,
-// as the effect of an update is not yet visible.
+// Time between two updates, as a fraction of the time for which callers apply a value. With shorter intervals
+// the signal oscillates, because the effect of an update is not yet visible at the next one.
 constexpr double kUpdateIntervalFraction = 0.25;
-// Rejected fraction of arrivals that is tolerated, and the rise of the pressure per second and unit above it.
+// The tolerated fraction of rejected arrivals, and the rise of the pressure per second for each unit above
+// it.
 constexpr double kToleratedRejections = 0.02;
 constexpr double kRisePerSecond = 0.4;
-// Busy fraction of the cores below which the pressure falls, and the fall per second and unit below it.
+// The busy fraction of the cores below which the pressure falls, and its fall per second for each unit below
+// it.
 constexpr double kBusyTarget = 0.9;
 constexpr double kFallPerSecond = 0.5;
 constexpr double kMaxPressure = 0.9;
@@ -27,7 +29,7 @@
   const double interval_ms =
       std::max(kSampleIntervalMs, kUpdateIntervalFraction * settings_.load_signal_lifetime_ms);
   next_update_at_ = now + interval_ms;
-  // Few callers see bad health, but each rejection carries this value.
+  // Only a few callers check the server's health, but each rejection carries the load signal.
   if (is_stalled) pressure_ = kMaxPressure;
   const double change_per_second =
       cpu_busy < kBusyTarget ? kFallPerSecond * (cpu_busy - kBusyTarget)
--- a/src/policy/load_signal.h
+++ b/src/policy/load_signal.h
@@ -1,7 +1,7 @@
-// The back-pressure value that callers receive with answers; see LoadSignalKind.
+// Computes the load signal, a back-pressure value that callers receive with answers; see LoadSignalKind.
 //
-// An integral controller on the fraction of arrivals that had to be rejected: callers are asked to stay away
-// more while it is above a tolerated level, and less while the cores are not busy.
+// An integral controller on the fraction of rejected arrivals: the pressure on callers rises while the
+// fraction is above a tolerated level, and falls while the cores are not busy.
 #ifndef HINGELINK_POLICY_LOAD_SIGNAL_H_
 #define HINGELINK_POLICY_LOAD_SIGNAL_H_
 
@@ -16,16 +16,17 @@
  public:
   explicit LoadSignal(const Settings& settings) : settings_(settings) {}
 
-  // Updates the value if it is time to. Returns what is to be published, or nothing. `rejected_fraction`: of
-  // recent arrivals. `is_stalled`: the executions make no progress.
+  // Updates the value if an update is due at `now`, in ms. Returns the value to publish, or nullopt if no
+  // update is due. `rejected_fraction`: the rejected fraction of recent arrivals. `is_stalled`: see
+  // StallDetector.
   std::optional<double> OnSample(double now, double cpu_busy, double rejected_fraction, bool is_stalled);
 
  private:
-  // The value in the form of Settings::load_signal.
+  // Converts the pressure to a value of the kind Settings::load_signal.
   double PublishedValue() const;
 
   const Settings& settings_;
-  double pressure_ = 0;  // 0: callers may send everything, 1: nothing.
+  double pressure_ = 0;  // 0: callers may send all requests; 1: callers must send none.
   double next_update_at_ = 0;
 };
 
--- a/src/policy/load_totals.cpp
+++ b/src/policy/load_totals.cpp
@@ -3,9 +3,10 @@
 namespace hingelink::policy {
 namespace {
 
-// Usable fraction of the memory; the rest covers what is read within one batch.
+// Usable fraction of the memory. The rest is kept free for the requests that are read within one batch.
 constexpr double kMemoryWatermark = 0.92;
-// Fractions of the memory for queued requests and for idempotency keys; executions need the larger part.
+// Limits on the memory of queued requests and of idempotency keys, as fractions of the total memory.
+// Executions need the larger part.
 constexpr double kQueueMemoryFraction = 0.25;
 constexpr double kKeyMemoryFraction = 0.5;
 
--- a/src/policy/moving_fraction.h
+++ b/src/policy/moving_fraction.h
@@ -1,4 +1,4 @@
-// Fractions of recent events, as exponentially weighted moving averages.
+// Helpers for fractions of recent events, kept as exponentially weighted moving averages.
 #ifndef HINGELINK_POLICY_MOVING_FRACTION_H_
 #define HINGELINK_POLICY_MOVING_FRACTION_H_
 
@@ -6,14 +6,14 @@
 
 namespace hingelink::policy {
 
-// A time that never comes.
+// A time that is never reached.
 inline constexpr double kForever = std::numeric_limits<double>::infinity();
 
-// Weight of a new sample in the fractions by class and by tenant: about the last hundred events.
+// Weight of a new sample in the fractions by class and by tenant, which cover about the last 100 events.
 inline constexpr double kClassSampleWeight = 0.01;
 
-// Multiplies `fraction` by 1 - `weight`. Flushes to 0 what would become a subnormal number, as arithmetic on
-// those is about 100 times slower.
+// Multiplies `fraction` by 1 - `weight`. A subnormal result is replaced by 0, because arithmetic on subnormal
+// numbers is about 100 times slower.
 inline void DecayTowardZero(double& fraction, double weight) {
   fraction -= weight * fraction;
   if (fraction < std::numeric_limits<double>::min()) fraction = 0;
--- a/src/policy/open_requests.h
+++ b/src/policy/open_requests.h
@@ -11,26 +11,26 @@
 
 namespace hingelink::policy {
 
-// Owns the requests; references to them stay valid until Close(). Not thread-safe.
+// Owns the requests in flight. References to a request stay valid until Close(). Not thread-safe.
 class OpenRequests {
  public:
-  // Both must outlive the object.
+  // `classes` and `deadlines` must outlive the object.
   OpenRequests(ClassTable& classes, DeadlineQueue& deadlines) : classes_(classes), deadlines_(deadlines) {}
 
-  // Null if there is no such request.
+  // Returns null if there is no request with this id.
   OpenRequest* Find(RequestId id) {
     const auto found = requests_.find(id);
     return found == requests_.end() ? nullptr : &found->second;
   }
-  // The request must be in flight.
+  // Returns a request that must be in flight.
   OpenRequest& Get(RequestId id) { return requests_.at(id); }
-  // Adds a request of this class, whose id must not be in use.
+  // Adds a request of a class, by index into the class table. `id` must not be in use.
   OpenRequest& Open(RequestId id, std::size_t class_index);
-  // Forgets a request that needs nothing any more, and cancels its deadline.
+  // Removes a request that is complete, and its entry in the deadline queue.
   void Close(RequestId id, const OpenRequest& request);
 
   std::size_t size() const { return requests_.size(); }
-  // Calls `visit(id, request)` for each request, in no order of meaning.
+  // Calls `visit(id, request)` for each request, in unspecified order.
   template <typename Visitor>
   void ForEach(const Visitor& visit) {
     for (auto& [id, request] : requests_) visit(id, request);
--- a/src/policy/request_completion.cpp
+++ b/src/policy/request_completion.cpp
@@ -3,7 +3,7 @@
 namespace hingelink::policy {
 namespace {
 
-bool IsSharing(const OpenRequest& request) {
+bool DependsOnOriginal(const OpenRequest& request) {
   return request.state == RequestState::kWaitingForOriginal || request.state == RequestState::kReplaying;
 }
 
@@ -14,25 +14,27 @@
   if (request == nullptr || request->caller_disconnected) return;
   request->caller_disconnected = true;
   if (request->state == RequestState::kQueued) return ReleaseQueued(disconnected.id, *request);
-  if (IsSharing(*request)) return CloseSharing(disconnected.id, *request);
-  // An execution ends by its own Finished event; the host drops one that waits for its call.
+  if (DependsOnOriginal(*request)) return CloseDependent(disconnected.id, *request);
+  // The request stays open until the Finished event of its execution. The host ends an execution that waits
+  // for an upstream call.
   parts_.deadlines.Cancel(disconnected.id, *request);
-  CancelUseless(disconnected.id, *request);
+  CancelUnneededRun(disconnected.id, *request);
   if (request->state == RequestState::kAwaitingCall)
     parts_.upstream_calls.Resume(disconnected.id, *request, now);
 }
 
 void RequestCompletion::ReleaseQueued(RequestId id, OpenRequest& request) {
-  // The host has dropped it, so its memory is free. It stays in the queue until the check at its start.
+  // The host has dropped the request, so its memory is free. Dispatch removes the request from the start
+  // queue.
   parts_.totals.ReleaseMemory(request);
   parts_.totals.RemoveQueuedWork(request);
   parts_.deadlines.Cancel(id, request);
   if (!request.idempotency) return;
   parts_.queue.Remove(id, request);
-  parts_.admission.CloseNeverRan(id, request);
+  parts_.admission.CloseUnexecuted(id, request);
 }
 
-void RequestCompletion::CloseSharing(RequestId id, const OpenRequest& request) {
+void RequestCompletion::CloseDependent(RequestId id, const OpenRequest& request) {
   parts_.totals.ReleaseMemory(request);
   parts_.requests.Close(id, request);
 }
@@ -43,9 +45,9 @@
       request->state == RequestState::kWaitingForOriginal) {
     return;
   }
-  if (request->state == RequestState::kReplaying) return CloseSharing(finished.id, *request);
+  if (request->state == RequestState::kReplaying) return CloseDependent(finished.id, *request);
   parts_.stall.OnFinished(now);
-  parts_.upstream_calls.Leave(finished.id, *request, now);
+  parts_.upstream_calls.RemoveCall(finished.id, *request, now);
   parts_.totals.FinishRunning(*request);
   const bool succeeded = finished.outcome == Outcome::kOk;
   if (succeeded) parts_.classes.Learn(*request, finished.elapsed_ms);
@@ -61,23 +63,23 @@
 
 void RequestCompletion::AnswerExpiredRequest(RequestId id, OpenRequest& request, double now) {
   if (request.state == RequestState::kQueued) return parts_.admission.RejectRequest(id, request);
-  if (IsSharing(request)) {
-    // Not rejected: its original may yet run, or ran.
+  if (DependsOnOriginal(request)) {
+    // The request is failed, not rejected, because its original was or may yet be executed.
     parts_.actions.Emit(Fail{id});
-    return CloseSharing(id, request);
+    return CloseDependent(id, request);
   }
   const bool awaits_call = request.state == RequestState::kAwaitingCall;
   if (awaits_call && now < parts_.deadlines.AnswerBy(request))
-    return parts_.upstream_calls.GiveUp(id, request, now);
+    return parts_.upstream_calls.FallBackOrFail(id, request, now);
   if (awaits_call) parts_.upstream_calls.Resume(id, request, now);
   request.answered = true;
   parts_.actions.Emit(Fail{id});
-  CancelUseless(id, request);
+  CancelUnneededRun(id, request);
 }
 
-void RequestCompletion::CancelUseless(RequestId id, const OpenRequest& request) {
-  const bool is_alone = !request.idempotency && parts_.classes.IsIdempotent(request);
-  if (parts_.settings.can_cancel_runs && request.state == RequestState::kRunning && is_alone)
+void RequestCompletion::CancelUnneededRun(RequestId id, const OpenRequest& request) {
+  const bool is_cancellable = !request.idempotency && parts_.classes.IsIdempotent(request);
+  if (parts_.settings.can_cancel_runs && request.state == RequestState::kRunning && is_cancellable)
     parts_.actions.Emit(CancelRun{id});
 }
 
--- a/src/policy/request_completion.h
+++ b/src/policy/request_completion.h
@@ -1,5 +1,4 @@
-// How requests end other than by admission: their execution finishes, their caller disconnects, or their
-// deadline expires.
+// Completes requests whose execution finishes, whose caller disconnects or whose deadline expires.
 #ifndef HINGELINK_POLICY_REQUEST_COMPLETION_H_
 #define HINGELINK_POLICY_REQUEST_COMPLETION_H_
 
@@ -37,20 +36,24 @@
 
   void OnCallerDisconnected(const CallerDisconnected& disconnected, double now);
   void OnFinished(const Finished& finished, double now);
-  // Answers every request whose deadline has expired, whether it is queued, running or waiting for another's
-  // result.
+  // Handles every request whose scheduled time in the deadline queue has come. Rejects a queued request, and
+  // fails one that runs or waits for the result of its original. An execution that waits for permission to
+  // make an upstream call uses its fallback instead, if it has one and the answer is not due yet. To be
+  // called once per step.
   void AnswerExpired(double now);
 
  private:
-  // Frees memory, work and deadline of a queued request. Its entry in the start queue stays until it is first
-  // of its lane (see Dispatch), unless other attempts share its execution.
+  // Releases the memory, queued work and deadline of a queued request whose caller disconnected. The request
+  // stays in the start queue until it is the first of its lane (see Dispatch), unless it has an idempotency
+  // entry.
   void ReleaseQueued(RequestId id, OpenRequest& request);
-  // Forgets a request that waits for its original or is replayed.
-  void CloseSharing(RequestId id, const OpenRequest& request);
+  // Removes a request that waits for its original or is replayed.
+  void CloseDependent(RequestId id, const OpenRequest& request);
   void AnswerExpiredRequest(RequestId id, OpenRequest& request, double now);
-  // Cancels an execution whose result no caller waits for. One with an idempotency entry goes on, as does one
-  // that is not idempotent; the cancelled one counts as running until it has finished.
-  void CancelUseless(RequestId id, const OpenRequest& request);
+  // Cancels an execution whose result no caller waits for, if Settings::can_cancel_runs. An execution with an
+  // idempotency entry or of a class that is not idempotent is not cancelled. A cancelled execution counts as
+  // running until its Finished event.
+  void CancelUnneededRun(RequestId id, const OpenRequest& request);
 
   Parts parts_;
 };
--- a/src/policy/request_intake.cpp
+++ b/src/policy/request_intake.cpp
@@ -5,10 +5,10 @@
 namespace hingelink::policy {
 namespace {
 
-// Age, as a fraction of the class's deadline, from which an attempt counts as a retry.
+// An attempt counts as a retry if its age is above this fraction of the class's deadline.
 constexpr double kRetryAgeFraction = 0.1;
-// How far one request's expected work can take its size from the usual of its class, either way: callers can
-// be far off.
+// Bound on the expected work of a request relative to the mean of its class, and on the inverse. The bound
+// limits the effect of wrong values, because callers can be far off.
 constexpr double kMaxRelativeSize = 8;
 
 }  // namespace
@@ -30,7 +30,8 @@
   const bool is_shared_read = parts_.idempotency.IsSharedRead(arrival, request);
   const bool names_original = (is_keyed || is_shared_read) && arrival.original != 0;
   if (names_original && JoinOriginalOrReject(arrival, request, is_shared_read, batch)) return;
-  // A replay is no execution, so that the grace behind a drain notice counts only from here on.
+  // The grace period after a drain notice is checked only now, because it applies to executions and a replay
+  // is not an execution.
   if (parts_.drain.IsPastGrace(request.arrived_at) ||
       (is_keyed && !parts_.idempotency.Open(arrival.id, request, now))) {
     parts_.admission.RejectRequest(arrival.id, request);
@@ -45,8 +46,8 @@
   const RequestClass& config = parts_.classes.ConfigOf(request);
   request.arrived_at = now - arrival.read_delay_ms;
   const bool knows_wait = arrival.remaining_wait_ms > 0;
-  // A remaining wait beyond the class's deadline is an error of the caller, and would occupy the queue for
-  // long.
+  // A remaining wait above the class's deadline is an error of the caller. Uncapped, it would keep the
+  // request in the queue for too long.
   request.deadline = knows_wait ? now + std::min(arrival.remaining_wait_ms, config.deadline_ms)
                                 : std::max(now, request.arrived_at + config.deadline_ms);
   request.deadline = std::min(request.deadline, parts_.drain.answer_by());
@@ -64,7 +65,7 @@
 void RequestIntake::AssessSize(const Arrival& arrival, OpenRequest& request) const {
   const LearnedClass& learned = parts_.classes.LearnedOf(request);
   request.expected_work_ms = arrival.expected_work_ms;
-  // Without an expectation, or without an execution to compare it with, it is as large as its class.
+  // Without an expected work, or without a mean of the class to compare with, the relative size stays 1.
   if (arrival.expected_work_ms > 0 && learned.expected_work_ms > 0) {
     request.relative_size = std::clamp(arrival.expected_work_ms / learned.expected_work_ms,
                                        1 / kMaxRelativeSize, kMaxRelativeSize);
@@ -74,8 +75,8 @@
 
 void RequestIntake::AssessPriority(const Arrival& arrival, double now, OpenRequest& request) {
   request.over_quota = parts_.quotas.IsOverQuota(arrival, request.is_retry, now);
-  // In a retry storm a retry is old, and serving it late costs a first attempt that has all of its time. One
-  // whose objective has passed is late at any server.
+  // In a retry storm, a retry has used much of its time, and serving it would delay first attempts that can
+  // still be answered in time. A request whose latency objective has passed would be late at any server.
   const bool is_storm_retry =
       request.is_retry && parts_.busy_gate.is_busy() && parts_.arrivals.IsRetryStorm();
   request.low_priority = request.over_quota || request.objective <= now || is_storm_retry;
@@ -83,7 +84,8 @@
 
 bool RequestIntake::JoinOriginalOrReject(const Arrival& arrival, OpenRequest& request, bool is_shared_read,
                                          std::span<const Event> batch) {
-  // Waiters are outside the queue's limit: reads of one subject could fill the memory.
+  // Waiting reads do not count towards the queue limit, so reads of one subject could otherwise fill the
+  // memory.
   if (is_shared_read && (parts_.stall.is_stalled() || parts_.totals.IsQueueMemoryFull())) {
     parts_.admission.RejectRequest(arrival.id, request);
     return true;
--- a/src/policy/request_intake.h
+++ b/src/policy/request_intake.h
@@ -1,5 +1,5 @@
-// What is done with an arrival: its deadline and latency objective are derived, it joins another attempt or
-// is queued, and the limits of the queue are enforced.
+// Handles arrivals: derives the deadline, latency objective and priority of a request, lets it share the
+// execution of another attempt or queues it, and enforces the limits of the queue.
 #ifndef HINGELINK_POLICY_REQUEST_INTAKE_H_
 #define HINGELINK_POLICY_REQUEST_INTAKE_H_
 
@@ -40,18 +40,19 @@
   };
   explicit RequestIntake(const Parts& parts) : parts_(parts) {}
 
-  // `batch`: all events of this step. An arrival without an id, with one in use or of an unknown class is
-  // ignored.
+  // Handles one arrival. `batch`: all events of this step. An arrival is ignored if its id is 0 or in use, or
+  // if its class is unknown.
   void OnArrival(const Arrival& arrival, double now, std::span<const Event> batch);
 
  private:
-  // Derives from the arrival when it must be answered, how old and how large it is.
+  // Sets the arrival time, the deadline, the latency objective and is_retry.
   void AssessTimes(const Arrival& arrival, double now, OpenRequest& request);
+  // Sets the expected work and the size relative to the class.
   void AssessSize(const Arrival& arrival, OpenRequest& request) const;
-  // Whether it starts behind all others of its class.
+  // Sets over_quota and low_priority.
   void AssessPriority(const Arrival& arrival, double now, OpenRequest& request);
-  // Lets the arrival share the execution of its original, or rejects it if it cannot wait for one. Returns
-  // whether that settled it.
+  // Lets the request share the execution of its original, or rejects the request if it cannot wait for that
+  // execution. Returns false if neither applies and the request must be queued.
   bool JoinOriginalOrReject(const Arrival& arrival, OpenRequest& request, bool is_shared_read,
                             std::span<const Event> batch);
 
--- a/src/policy/server_policy.cpp
+++ b/src/policy/server_policy.cpp
@@ -1,5 +1,5 @@
-// Interface: include/hingelink/server_policy.h. Assembles the parts of this directory and fixes the order of
-// one step; each rule stands in the part that is named after it.
+// Implements include/hingelink/server_policy.h. ServerPolicy::Impl owns the classes of this directory and
+// defines the order of actions within one step. The decision rules are implemented in the other classes.
 #include "hingelink/server_policy.h"
 
 #include <algorithm>
@@ -30,11 +30,11 @@
 namespace hingelink {
 namespace {
 
-using namespace policy;  // NOLINT(google-build-using-namespace): the parts of this file's own subsystem.
+using namespace policy;  // NOLINT(google-build-using-namespace): the namespace of this directory.
 
-// Idle connections are closed after this many times the callers' own idle timeout for each core per caller: a
-// core serves about as many requests a second at any site, and callers must not fill the connection table
-// with idle ones.
+// The idle timeout of connections is this factor times the callers' own idle timeout times the number of
+// cores per caller. A core serves about the same number of requests per second at every site, and the timeout
+// keeps callers from filling the connection table with idle connections.
 constexpr double kIdleTimeoutPerCorePerCaller = 5.0;
 
 void ThrowIfInvalid(const Settings& settings) {
@@ -59,7 +59,7 @@
 class ServerPolicy::Impl {
  public:
   Impl(const Settings& settings, std::uint64_t seed)
-      : settings_(Validated(settings)), calls_(CallParts(), seed) {
+      : settings_(Validated(settings)), calls_(UpstreamCallsParts(), seed) {
     ConfigureClasses();
     quotas_.Reset();
   }
@@ -100,7 +100,7 @@
   Load CurrentLoad() const { return totals_.Current(); }
 
  private:
-  UpstreamCalls::Parts CallParts() {
+  UpstreamCalls::Parts UpstreamCallsParts() {
     return {settings_, classes_, requests_, deadlines_, totals_, stall_, actions_};
   }
 
@@ -131,7 +131,7 @@
   void On(const SiblingLoad& sibling) { totals_.SetSibling(sibling.load); }
 
   void On(const TimerFired& fired) {
-    if (fired.token != timer_token_) return;  // An older timer, which cannot be cancelled.
+    if (fired.token != timer_token_) return;  // A superseded timer; timers cannot be cancelled.
     timer_at_ = kForever;
     if (now_ < next_sample_at_) return;
     next_sample_at_ = now_ + kSampleIntervalMs;
@@ -147,8 +147,8 @@
   void On(const DrainNotice& notice) {
     if (!drain_.Begin(now_, notice.remaining_ms)) return;
     actions_.Emit(SetHealth{.healthy = false, .shallow = true});
-    actions_.Emit(Log{"drain: leaving, " + std::to_string(requests_.size()) + " in flight"});
-    // The kill ends every wait.
+    actions_.Emit(Log{"drain: shutting down, " + std::to_string(requests_.size()) + " requests in flight"});
+    // No request can be answered after the process is killed, so move later deadlines forward.
     requests_.ForEach([this](RequestId id, OpenRequest& request) {
       if (request.deadline <= drain_.answer_by()) return;
       request.deadline = drain_.answer_by();
@@ -165,7 +165,8 @@
     if (is_stalled) actions_.Emit(Log{"stall: no execution makes progress, rejecting"});
   }
 
-  // Keeps one timer for whichever comes first: the next gauge sample or the next deadline.
+  // Sets a timer for the next gauge sample or the next deadline, whichever is earlier, unless an earlier
+  // timer is set.
   void ArmTimer() {
     const double earliest = now_ + settings_.min_batch_interval_ms;
     const double at = std::max(std::min(next_sample_at_, deadlines_.next()), earliest);
@@ -199,7 +200,7 @@
   RequestCompletion completion_{{settings_, classes_, requests_, deadlines_, queue_, totals_, stall_, calls_,
                                  admission_, idempotency_, actions_}};
 
-  std::span<const Event> batch_;  // Of the current step.
+  std::span<const Event> batch_;  // The events of the current step.
   double now_ = 0;
   double next_sample_at_ = 0;
   double timer_at_ = kForever;
--- a/src/policy/settings_validation.cpp
+++ b/src/policy/settings_validation.cpp
@@ -1,4 +1,4 @@
-// Settings::Validate(): whether settings contradict themselves. Decides nothing and holds no tuned value.
+// Settings::Validate(): checks that each setting is in its allowed range.
 #include <cmath>
 #include <cstddef>
 #include <string>
@@ -13,7 +13,7 @@
 
 bool IsNonNegative(double value) { return std::isfinite(value) && value >= 0; }
 
-// A number that must be finite and not negative.
+// A field whose value must be finite and not negative.
 template <typename Struct>
 struct NumberField {
   std::string_view name;
@@ -54,7 +54,7 @@
     {"quota_rps", &Tenant::quota_rps},
 };
 
-// The first of `fields` that is negative or not finite, or an empty string.
+// Returns an error about the first of `fields` that is negative or not finite, or an empty string.
 template <typename Struct, std::size_t kCount>
 std::string FirstBadNumber(const Struct& value, const NumberField<Struct> (&fields)[kCount]) {
   for (const NumberField<Struct>& field : fields) {
@@ -71,7 +71,7 @@
   if (!std::isfinite(settings.max_running_per_core) || settings.max_running_per_core < 1)
     return "max_running_per_core: must be at least 1";
   if (!IsNonNegative(settings.warm_up_speed_fraction) || settings.warm_up_speed_fraction > 1)
-    return "warm_up_speed_fraction: must lie in 0 to 1";
+    return "warm_up_speed_fraction: must be between 0 and 1";
   if (!std::isfinite(settings.min_batch_interval_ms) || settings.min_batch_interval_ms <= 0)
     return "min_batch_interval_ms: must be above 0";
   if (settings.fleet_size < 1) return "fleet_size: must be at least 1";
@@ -86,7 +86,7 @@
   return FirstBadNumber(request_class, kClassNumbers);
 }
 
-std::string MemberOf(std::string_view list, std::size_t index, const std::string& error) {
+std::string ListElementError(std::string_view list, std::size_t index, const std::string& error) {
   return std::string(list).append("[").append(std::to_string(index)).append("].").append(error);
 }
 
@@ -96,11 +96,11 @@
   if (std::string error = CheckServer(*this); !error.empty()) return error;
   for (std::size_t i = 0; i < classes.size(); ++i) {
     if (const std::string error = CheckClass(classes[i]); !error.empty())
-      return MemberOf("classes", i, error);
+      return ListElementError("classes", i, error);
   }
   for (std::size_t i = 0; i < tenants.size(); ++i) {
     if (const std::string error = FirstBadNumber(tenants[i], kTenantNumbers); !error.empty())
-      return MemberOf("tenants", i, error);
+      return ListElementError("tenants", i, error);
   }
   return {};
 }
--- a/src/policy/stall_detector.cpp
+++ b/src/policy/stall_detector.cpp
@@ -5,13 +5,15 @@
 namespace hingelink::policy {
 namespace {
 
-// Executions that should have finished meanwhile, at their mean length, before they count as stalled. Chance
-// alone delays as many once in about 3,000 times.
+// A stall is reported after the time in which the running executions, at the longest mean duration, should
+// have finished this many times. Without a stall, a delay this long occurs by chance once in about 3,000
+// times.
 constexpr double kMissedFinishes = 8;
-// A stall lasts at least this long: a broken link to the workers can lose the starts of its last 50 ms, and
-// the first execution that is started again must be able to finish.
+// Shortest time without progress that counts as a stall. A broken link to the workers can lose the starts of
+// its last 50 ms, and the first execution that is started again must have time to finish.
 constexpr double kMinStallMs = 100;
-// Executions that must have finished before a stall is reported: the learned means are not reliable before.
+// Number of executions that must have finished before a stall is reported. With fewer, the learned means are
+// not reliable.
 constexpr std::uint64_t kMinFinished = 34;
 
 }  // namespace
--- a/src/policy/stall_detector.h
+++ b/src/policy/stall_detector.h
@@ -1,9 +1,9 @@
-// Whether the executions make no progress while requests are still read: a hung disk, or a worker pool that
-// stopped.
+// Detects a stall: executions make no progress although requests are still read, for example because of a
+// hung disk or a stopped worker pool.
 //
-// A stall is reported if all cores are taken and no execution finished or reached an upstream call for much
-// longer than executions take. While it lasts every queued or arriving request is rejected, so that other
-// servers can serve it.
+// A stall is reported if all cores are occupied and no execution has finished or reached an upstream call for
+// much longer than executions usually take. During a stall every queued or arriving request is rejected, so
+// that other servers can serve it.
 #ifndef HINGELINK_POLICY_STALL_DETECTOR_H_
 #define HINGELINK_POLICY_STALL_DETECTOR_H_
 
@@ -20,18 +20,21 @@
 
   explicit StallDetector(const Settings& settings) : settings_(settings) {}
 
-  // An execution reached an upstream call. `now` in ms, here and below.
+  // To be called when an execution reaches an upstream call. `now` is in ms, here and below.
   void OnProgress(double now) { last_progress_at_ = now; }
+  // To be called when an execution ends.
   void OnFinished(double now);
-  // To be called once per step. `running`: executions on the cores. `longest_mean_run_ms`: of all classes.
+  // To be called once per step. `running`: current executions, excluding those in upstream calls.
+  // `longest_mean_run_ms`: the longest mean duration of an execution over all classes. Returns whether a
+  // stall has begun or ended.
   Change Update(double now, int running, double longest_mean_run_ms);
 
   bool is_stalled() const { return is_stalled_; }
 
  private:
   const Settings& settings_;
-  double last_progress_at_ = 0;  // Or when a core was last free.
-  std::uint64_t finished_ = 0;   // Executions.
+  double last_progress_at_ = 0;  // Time of the last progress, or when a core was last free.
+  std::uint64_t finished_ = 0;   // Number of finished executions.
   bool is_stalled_ = false;
 };
 
--- a/src/policy/start_queue.h
+++ b/src/policy/start_queue.h
@@ -1,5 +1,5 @@
-// The requests that wait for a start: two queues per class, one of normal and one of low priority, each
-// ordered by latency objective.
+// The requests that wait for a start. Each class has two lanes, one of normal and one of low priority. Each
+// lane is ordered by latency objective.
 #ifndef HINGELINK_POLICY_START_QUEUE_H_
 #define HINGELINK_POLICY_START_QUEUE_H_
 
@@ -17,7 +17,7 @@
 // Not thread-safe.
 class StartQueue {
  public:
-  // One of the queues: of a class, normal or low priority.
+  // Identifies the queue of one class and priority.
   struct Lane {
     std::size_t class_index = 0;
     bool low_priority = false;
@@ -26,23 +26,24 @@
 
   static Lane LaneOf(const OpenRequest& request) { return {request.class_index, request.low_priority}; }
 
-  // Makes room for so many classes; their number never falls.
+  // Sets the number of classes, which must not decrease.
   void Resize(std::size_t classes) { lanes_.resize(2 * classes); }
 
   void Push(RequestId id, const OpenRequest& request);
   // Returns false if the request is not queued.
   bool Remove(RequestId id, const OpenRequest& request);
 
-  // All lanes, by class, normal priority first.
+  // The lanes have positions from 0 to lane_count() - 1, ordered by class, normal before low priority.
   std::size_t lane_count() const { return lanes_.size(); }
   static Lane LaneAt(std::size_t position) { return {position / 2, position % 2 != 0}; }
 
   bool IsEmpty(Lane lane) const { return Entries(lane).empty(); }
-  // Of a lane that is not empty: the request with the earliest and the one with the latest objective.
+  // The requests with the earliest and the latest objective of a lane, which must not be empty.
   RequestId First(Lane lane) const { return Entries(lane).begin()->second; }
   RequestId Last(Lane lane) const { return Entries(lane).rbegin()->second; }
-  // The lane whose first request is to start next: normal priority before low, then by objective. Lanes of
-  // classes for which `is_blocked(class_index)` holds are passed over.
+  // Returns the lane whose first request starts next: normal before low priority, then by earliest objective.
+  // Skips the lanes of classes for which `is_blocked(class_index)` returns true. Returns nullopt if no lane
+  // is left.
   template <typename Predicate>
   std::optional<Lane> NextLane(const Predicate& is_blocked) const {
     std::optional<Lane> next;
@@ -55,13 +56,14 @@
   }
 
  private:
-  using Entry = std::pair<double, RequestId>;  // Objective and request.
+  using Entry = std::pair<double, RequestId>;  // Latency objective and request id.
   using EntrySet = std::set<Entry>;
 
   static std::size_t PositionOf(Lane lane) { return 2 * lane.class_index + (lane.low_priority ? 1 : 0); }
   const EntrySet& Entries(Lane lane) const { return lanes_[PositionOf(lane)]; }
 
-  // Whether the first request of `left` starts before that of `right`; neither is empty.
+  // Whether the first request of `left` starts before the first request of `right`. Neither lane may be
+  // empty.
   bool StartsBefore(Lane left, Lane right) const;
 
   std::vector<EntrySet> lanes_;
--- a/src/policy/tenant_quotas.cpp
+++ b/src/policy/tenant_quotas.cpp
@@ -8,11 +8,12 @@
 namespace hingelink::policy {
 namespace {
 
-// Quota that a tenant may use at once, as the time in which it accumulates.
+// Size of a token bucket, as the time in which it is filled.
 constexpr double kBurstMs = 2000;
-// Allowance on this server's part of a quota, because callers choose servers unevenly.
+// Factor on this server's even part of a quota, because callers distribute requests unevenly over the
+// servers.
 constexpr double kLocalQuotaFactor = 1.25;
-// Standard deviations of a tenant's fraction of recent arrivals that are put down to chance.
+// Tolerated excess of a tenant's fraction of recent arrivals, in standard deviations of random variation.
 constexpr double kToleratedDeviations = 1.5;
 constexpr double kMsPerSecond = 1000;
 
@@ -56,7 +57,7 @@
 
 bool TenantQuotas::SendsMoreThanItsFraction(std::size_t tenant) const {
   const double fraction = settings_.tenants[tenant].traffic_fraction;
-  // Of the moving fraction of a Bernoulli sequence with this weight, nearly.
+  // Approximate variance of a moving fraction of Bernoulli samples with weight kClassSampleWeight.
   const double variance = std::max(0.0, fraction * (1 - fraction)) * kClassSampleWeight / 2;
   return arrival_fraction_[tenant] > fraction + kToleratedDeviations * std::sqrt(variance);
 }
--- a/src/policy/upstream_call_limiter.cpp
+++ b/src/policy/upstream_call_limiter.cpp
@@ -7,22 +7,24 @@
 namespace hingelink::policy {
 namespace {
 
-// Bounds of the used fraction of the quota, and its initial value.
+// Bounds and initial value of the used fraction of the quota.
 constexpr double kMinQuotaFraction = 0.31;
 constexpr double kMaxQuotaFraction = 0.7;
 constexpr double kInitialQuotaFraction = 0.5;
-// Rise of the fraction with each call, and its fall with each call while they are slow.
+// Change of the used fraction with each ended call: a rise normally, a fall while calls are slow.
 constexpr double kQuotaFractionRise = 0.01;
 constexpr double kQuotaFractionFall = 0.02;
-// Calls are slow when their mean is above this multiple of the fastest mean; chance alone halves a mean.
+// Calls are slow if their mean duration is above this multiple of the fastest mean. Random variation alone
+// can halve a mean.
 constexpr double kSlowFactor = 2.5;
-// Weight of a new sample in the mean: the last ten calls.
+// Weight of a new sample in the mean duration, which covers about the last ten calls.
 constexpr double kCallWeight = 0.1;
-// Growth of the fastest mean with each call, so that it follows an upstream that became slower for good.
+// Growth factor of the fastest mean with each call, so that it adapts to an upstream that becomes permanently
+// slower.
 constexpr double kFastestMeanGrowth = 1.001;
-// Fraction of a quota below one call that a single long call may use up.
+// Fraction of a quota below one call that a single long call may use.
 constexpr double kHardQuotaFraction = 0.6;
-// Waiting calls for each call that may be in flight, beyond which no more should wait.
+// Number of waiting calls per allowed call in flight above which the limiter is saturated.
 constexpr double kMaxWaitingPerCall = 1.5;
 
 }  // namespace
@@ -42,18 +44,18 @@
   while (!abandoned_until_.empty() && abandoned_until_.front() <= now) abandoned_until_.pop_front();
   if (settings_.upstream_call_quota_window_ms > 0) {
     const double decay = std::exp(-(now - step_began_at_) / settings_.upstream_call_quota_window_ms);
-    mean_in_flight_ = decay * mean_in_flight_ + (1 - decay) * in_flight_before_;
+    mean_in_flight_ = decay * mean_in_flight_ + (1 - decay) * previous_in_flight_;
   }
   step_began_at_ = now;
 }
 
-void UpstreamCallLimiter::EndStep() { in_flight_before_ = InFlightWithAbandoned(); }
+void UpstreamCallLimiter::EndStep() { previous_in_flight_ = InFlightWithAbandoned(); }
 
 bool UpstreamCallLimiter::MayStart() const {
   if (InFlightWithAbandoned() + 1 > std::max(1.0, limit_)) return false;
   if (limit_ >= 1) return true;
-  // The call counts at its usual length in advance. By the mean so far alone, a fleet of servers with a quota
-  // below one call each would all call a slow upstream at once.
+  // Add the expected share of the new call to the mean in advance. With the past mean alone, all servers of a
+  // fleet with quotas below one call would call a slow upstream at the same time.
   const double expected_share = mean_call_ms_ / settings_.upstream_call_quota_window_ms;
   return mean_in_flight_ + std::min(limit_ / 2, expected_share) <= limit_;
 }
@@ -64,7 +66,7 @@
   const double until_used_up_ms =
       settings_.upstream_call_quota_window_ms * std::log((1 - mean_in_flight_) / (1 - hard_limit)) -
       settings_.abandoned_call_ms;
-  // A call of usual length always fits.
+  // Always allow a call of the usual duration.
   return std::max({until_used_up_ms, settings_.abandoned_call_ms, 2 * mean_call_ms_});
 }
 
--- a/src/policy/upstream_calls.cpp
+++ b/src/policy/upstream_calls.cpp
@@ -5,7 +5,8 @@
 namespace hingelink::policy {
 namespace {
 
-// Attempts of one call. They are spread over time, as a rejected one keeps its place for a while.
+// Most attempts of one call. The attempts are spread over time, because a rejected attempt still counts as in
+// flight for Settings::abandoned_call_ms.
 constexpr int kMaxCallAttempts = 12;
 
 bool IsProvenNotRun(Outcome outcome) {
@@ -18,7 +19,7 @@
   OpenRequest* request = parts_.requests.Find(requested.id);
   if (request == nullptr || request->state != RequestState::kRunning) return;
   if (request->answered) {
-    // The call would gain nothing any more.
+    // The request is already answered, so the call would be of no use.
     parts_.actions.Emit(Fail{requested.id});
     return;
   }
@@ -26,7 +27,7 @@
   request->call_requested_at = now;
   request->call_attempts = 0;
   parts_.totals.EnterCall();
-  Await(requested.id, *request, now);
+  QueueCall(requested.id, *request, now);
 }
 
 void UpstreamCalls::OnFinished(const UpstreamCallFinished& finished, double now) {
@@ -44,9 +45,9 @@
   }
   const bool may_retry = MayRetry(*request, finished.outcome);
   if (may_retry && ++request->call_attempts < kMaxCallAttempts && !request->answered) {
-    Await(finished.id, *request, now);
+    QueueCall(finished.id, *request, now);
   } else {
-    GiveUp(finished.id, *request, now);
+    FallBackOrFail(finished.id, *request, now);
   }
 }
 
@@ -65,7 +66,7 @@
     const double end_by = has_fallback ? LastUsefulCallEnd(request) : request.deadline;
     const double timeout_ms = std::min(end_by - now, limiter_.MaxCallMs());
     if (has_fallback && timeout_ms <= 0) {
-      GiveUp(id, request, now);
+      FallBackOrFail(id, request, now);
       continue;
     }
     request.state = RequestState::kInCall;
@@ -76,7 +77,7 @@
   limiter_.EndStep();
 }
 
-void UpstreamCalls::GiveUp(RequestId id, OpenRequest& request, double now) {
+void UpstreamCalls::FallBackOrFail(RequestId id, OpenRequest& request, double now) {
   Resume(id, request, now);
   if (HasFallback(request) && !request.answered) {
     if (!request.caller_disconnected) parts_.deadlines.ScheduleAnswer(id, request);
@@ -89,11 +90,11 @@
 }
 
 void UpstreamCalls::Resume(RequestId id, OpenRequest& request, double now) {
-  Leave(id, request, now);
+  RemoveCall(id, request, now);
   request.state = RequestState::kRunning;
 }
 
-void UpstreamCalls::Leave(RequestId id, OpenRequest& request, double now) {
+void UpstreamCalls::RemoveCall(RequestId id, OpenRequest& request, double now) {
   const bool is_in_call = request.state == RequestState::kInCall;
   if (request.state != RequestState::kAwaitingCall && !is_in_call) return;
   waiting_.erase(PositionOf(id, request));
@@ -105,7 +106,7 @@
   parts_.totals.LeaveCall();
 }
 
-void UpstreamCalls::Await(RequestId id, OpenRequest& request, double now) {
+void UpstreamCalls::QueueCall(RequestId id, OpenRequest& request, double now) {
   request.state = RequestState::kAwaitingCall;
   waiting_.insert(PositionOf(id, request));
   if (!request.caller_disconnected) {
@@ -115,10 +116,11 @@
     parts_.deadlines.Schedule(id, request, wait_until);
   }
   if (!IsSaturated()) return;
-  // Too many wait: the request that gains least by its call continues without it, if it can.
+  // Too many calls wait. The request that gains least by its call continues without the call if it has a
+  // fallback.
   const RequestId least = waiting_.rbegin()->id;
   OpenRequest& least_request = parts_.requests.Get(least);
-  if (HasFallback(least_request)) GiveUp(least, least_request, now);
+  if (HasFallback(least_request)) FallBackOrFail(least, least_request, now);
 }
 
 bool UpstreamCalls::HasFallback(const OpenRequest& request) const {
--- a/src/policy/upstream_calls.h
+++ b/src/policy/upstream_calls.h
@@ -1,8 +1,8 @@
-// Executions that have reached a call to the upstream: which of them may make it, which goes on without it,
-// and when a call is tried again.
+// Decides for executions that have reached a call to the upstream which of them make the call, which continue
+// with a fallback, and whether a failed call is retried.
 //
 // States of an execution: running -> awaiting call -> in call -> running | awaiting call; awaiting call ->
-// running (by a fallback) | failed. A call of a request that is not idempotent is only tried again if it is
+// running (by a fallback) | failed. A call of a request that is not idempotent is retried only if the call is
 // proven never to have run.
 #ifndef HINGELINK_POLICY_UPSTREAM_CALLS_H_
 #define HINGELINK_POLICY_UPSTREAM_CALLS_H_
@@ -36,38 +36,42 @@
   };
   UpstreamCalls(const Parts& parts, std::uint64_t seed) : parts_(parts), limiter_(parts.settings, seed) {}
 
-  // The settings have changed.
+  // To be called when the settings have changed.
   void Reconfigure() { limiter_.Reconfigure(); }
 
   void OnRequested(const UpstreamCallRequested& requested, double now);
   void OnFinished(const UpstreamCallFinished& finished, double now);
-  // Starts as many waiting calls as may be in flight. To be called once per step.
+  // Starts waiting calls up to the limit on calls in flight. To be called once per step.
   void StartWaiting(double now);
 
-  // Ends the wait of an execution for its call: with the poorer answer if that has a weight, else with an
-  // error.
-  void GiveUp(RequestId id, OpenRequest& request, double now);
-  // Lets an execution that waits for its call go on.
+  // Ends the wait of an execution for its call: with the fallback if the class has one and the request is
+  // unanswered, else with an error.
+  void FallBackOrFail(RequestId id, OpenRequest& request, double now);
+  // Removes the call of an execution and sets the state of the execution to running.
   void Resume(RequestId id, OpenRequest& request, double now);
-  // Forgets the call of an execution that ends; one in flight is abandoned. Does nothing if it is at no call.
-  void Leave(RequestId id, OpenRequest& request, double now);
+  // Removes the call of an execution; a call in flight counts as abandoned. Does nothing if the execution has
+  // not reached a call.
+  void RemoveCall(RequestId id, OpenRequest& request, double now);
 
-  // Whether a call that is requested now has no prospect of starting in time.
+  // Whether a call that is requested now is not expected to start in time.
   bool IsSaturated() const { return limiter_.IsSaturated(waiting_.size()); }
 
  private:
-  // The call whose success gains most comes first.
+  // A waiting call. Calls are ordered by descending gain in weight over the fallback, then by earliest
+  // objective.
   struct WaitingCall {
-    double negative_gain = 0;
+    double negative_gain = 0;  // Negated, so that the highest gain comes first.
     double objective = 0;
     RequestId id = 0;
     auto operator<=>(const WaitingCall&) const = default;
   };
   WaitingCall PositionOf(RequestId id, const OpenRequest& request) const;
   bool HasFallback(const OpenRequest& request) const;
-  void Await(RequestId id, OpenRequest& request, double now);
+  // Queues the call of an execution. If too many calls wait, the least valuable waiting call falls back.
+  void QueueCall(RequestId id, OpenRequest& request, double now);
   bool MayRetry(const OpenRequest& request, Outcome outcome) const;
-  // Until when its call may last, so that the rest of the execution fits before the latency objective.
+  // The latest end of the upstream call that leaves enough time to finish the execution before the latency
+  // objective.
   double LastUsefulCallEnd(const OpenRequest& request) const;
 
   Parts parts_;
--- a/tests/policy/days_test.cpp
+++ b/tests/policy/days_test.cpp
@@ -25,13 +25,14 @@
 namespace hingelink {
 namespace {
 
-// Returns `text` with the words that two log lines had when the record was made.
+// Returns `text` with the wording that two log lines had when the digests were recorded.
 std::string RecordedText(std::string text) {
   const auto replace = [&text](std::string_view now, std::string_view recorded) {
     if (const std::size_t at = text.find(now); at != std::string::npos)
       text.replace(at, now.size(), recorded);
   };
-  replace(" in flight", " in hand");
+  replace("drain: shutting down, ", "drain: leaving, ");
+  replace(" requests in flight", " in hand");
   replace("stall: no execution makes progress, rejecting", "stall: no run moves on, refusing");
   return text;
 }
--- a/tests/policy/idempotency_table_test.cpp
+++ b/tests/policy/idempotency_table_test.cpp
@@ -162,7 +162,7 @@
   ASSERT_TRUE(parts.idempotency.Open(1, holder, 0));
   for (const RequestId id : {2, 3})
     ASSERT_TRUE(parts.idempotency.Join({.id = id, .original = 1}, parts.Open(id, kPay), {}));
-  parts.idempotency.OnNeverRan(1, holder.idempotency, 0, handler);
+  parts.idempotency.OnClosedUnexecuted(1, holder.idempotency, 0, handler);
   EXPECT_EQ(handler.queued, std::vector<RequestId>{2});
   EXPECT_TRUE(handler.rejected.empty());
   ASSERT_EQ(parts.Emitted<ReleaseKey>().size(), 1u);
@@ -178,7 +178,7 @@
   OpenRequest& waiter = parts.Open(2, kPay);
   waiter.arrived_at = parts.settings.drain_grace_ms + 1;
   ASSERT_TRUE(parts.idempotency.Join({.id = 2, .original = 1}, waiter, {}));
-  parts.idempotency.OnNeverRan(1, holder.idempotency, 0, handler);
+  parts.idempotency.OnClosedUnexecuted(1, holder.idempotency, 0, handler);
   EXPECT_TRUE(handler.queued.empty());
   EXPECT_EQ(handler.rejected, std::vector<RequestId>{2});
 }
