--- a/tests/consumer/main.cpp
+++ b/tests/consumer/main.cpp
@@ -1,4 +1,5 @@
-// Drives one instance through arrival, start, finish, departure and drain, by the public header alone.
+// Checks that the installed package is usable: runs a ServerPolicy through arrival, start, disconnect,
+// finish, drain and cancellation with the public header only.
 #include <hingelink/server_policy.h>
 
 #include <cstdio>
@@ -18,9 +19,9 @@
 
 int failures = 0;
 
-void Expect(bool held, const char* what) {
-  if (!held) {
-    std::printf("FAIL %s\n", what);
+void Expect(bool condition, const char* expectation) {
+  if (!condition) {
+    std::printf("FAIL %s\n", expectation);
     ++failures;
   }
 }
@@ -36,22 +37,24 @@
   ws::ServerPolicy policy(settings, 1);
 
   std::vector<ws::Event> events{ws::Arrival{.id = 1, .reserved_kb = 1}};
-  Expect(Count<ws::Start>(policy.Step(0, events)) == 1, "an idle server starts what arrives");
+  Expect(Count<ws::Start>(policy.Step(0, events)) == 1, "an idle server starts a request at once");
   events = {ws::Arrival{.id = 2, .reserved_kb = 1}};
-  Expect(Count<ws::Start>(policy.Step(1, events)) == 0, "a second one is held");
+  Expect(Count<ws::Start>(policy.Step(1, events)) == 0, "a request is queued while all cores are busy");
   events = {ws::CallerDisconnected{.id = 2}};
-  Expect(Count<ws::Reject>(policy.Step(2, events)) == 0, "nothing is owed to a caller that has gone");
+  Expect(Count<ws::Reject>(policy.Step(2, events)) == 0, "a disconnected caller gets no rejection");
   events = {ws::Finished{.id = 1, .outcome = ws::Outcome::kOk, .elapsed_ms = 3}};
-  Expect(Count<ws::Start>(policy.Step(3, events)) == 0, "what its caller left is not started");
+  Expect(Count<ws::Start>(policy.Step(3, events)) == 0,
+         "a queued request of a disconnected caller is not started");
   events = {ws::DrainNotice{.remaining_ms = 1000}};
-  Expect(Count<ws::SetHealth>(policy.Step(4, events)) == 1, "a drain shows in the health");
+  Expect(Count<ws::SetHealth>(policy.Step(4, events)) == 1, "a drain changes the health");
 
   settings.can_cancel_runs = true;
-  ws::ServerPolicy stopping(settings, 1);
+  ws::ServerPolicy cancelling(settings, 1);
   events = {ws::Arrival{.id = 1, .reserved_kb = 1}};
-  Expect(Count<ws::Start>(stopping.Step(0, events)) == 1, "an idle server starts what arrives");
+  Expect(Count<ws::Start>(cancelling.Step(0, events)) == 1, "an idle server starts a request at once");
   events = {ws::CallerDisconnected{.id = 1}};
-  Expect(Count<ws::CancelRun>(stopping.Step(1, events)) == 1, "a run whose caller left is stopped");
+  Expect(Count<ws::CancelRun>(cancelling.Step(1, events)) == 1,
+         "an execution whose caller disconnected is cancelled");
   std::printf("%d failed\n", failures);
   return failures == 0 ? 0 : 1;
 }
--- a/tests/policy/action_sink_test.cpp
+++ b/tests/policy/action_sink_test.cpp
@@ -1,4 +1,4 @@
-// The actions of one step.
+// Tests of ActionSink: the actions of a step are kept in order.
 #include "policy/action_sink.h"
 
 #include <gtest/gtest.h>
@@ -21,7 +21,7 @@
   EXPECT_TRUE(std::holds_alternative<Fail>(sink.actions()[1]));
 }
 
-TEST(ActionSink, ClearBeginsANewStep) {
+TEST(ActionSink, ClearRemovesAllActions) {
   ActionSink sink;
   sink.Emit(Start{1});
   sink.Clear();
--- a/tests/policy/admission_test.cpp
+++ b/tests/policy/admission_test.cpp
@@ -1,4 +1,4 @@
-// Which requests are queued, which is shed, and what a rejection advises.
+// Tests of Admission: queueing, load shedding and the advice in rejections.
 #include "policy/admission.h"
 
 #include <gtest/gtest.h>
@@ -56,7 +56,7 @@
   EXPECT_LT(queued_before_rejection(500) * 2, queued_before_rejection(100));
 }
 
-// A few callers that all stay away for the whole wait would leave the cores idle before they return.
+// If a few callers all stayed away for the whole queue wait, the cores would become idle before they return.
 TEST(Admission, RetryAfterIsShorterThanTheQueueWait) {
   PolicyHost host;
   host.runnable = 4;
--- a/tests/policy/arrival_stats_test.cpp
+++ b/tests/policy/arrival_stats_test.cpp
@@ -1,4 +1,4 @@
-// Fractions of recent arrivals.
+// Tests of ArrivalStats: the retried and rejected fractions of recent arrivals.
 #include "policy/arrival_stats.h"
 
 #include <gtest/gtest.h>
@@ -8,7 +8,7 @@
 
 using policy::ArrivalStats;
 
-TEST(ArrivalStats, RetryStormIsAboveAQuarterOfRetries) {
+TEST(ArrivalStats, ReportsRetryStormAboveAQuarterOfRetries) {
   ArrivalStats stats;
   for (int i = 0; i < 400; ++i) stats.CountArrival(i % 8 == 0);
   EXPECT_FALSE(stats.IsRetryStorm());
--- a/tests/policy/attempt_age_test.cpp
+++ b/tests/policy/attempt_age_test.cpp
@@ -1,4 +1,4 @@
-// The age of an attempt, estimated from the remaining wait of its caller.
+// Tests of the age of an attempt that is estimated from the remaining wait of its caller.
 #include "policy/attempt_age.h"
 
 #include <gtest/gtest.h>
@@ -10,7 +10,7 @@
 
 using policy::AttemptAgeEstimator;
 
-TEST(AttemptAge, UnusualRemainingWaitMarksAnOldAttempt) {
+TEST(AttemptAge, AttemptWithUnusualRemainingWaitStartsLast) {
   Settings settings = TestSettings();
   settings.callers_send_remaining_wait = true;
   PolicyHost host(settings);
@@ -21,7 +21,7 @@
     host.Step({arrival});
   };
   for (RequestId id = 10; id < 110; ++id) {
-    arrive(id, id % 2 == 0 ? 4000 : 1600);  // Two usual waits: the whole deadline, or 0.4 of it.
+    arrive(id, id % 2 == 0 ? 4000 : 1600);  // Two frequent waits: the deadline and 0.4 of it.
     host.Finish(id);
   }
   host.FillCores();
@@ -32,18 +32,18 @@
   EXPECT_EQ(host.starts[2], 1);
 }
 
-TEST(AttemptAge, FrequentRemainingWaitTellsNoAge) {
+TEST(AttemptAge, AgeIsZeroForAFrequentRemainingWait) {
   AttemptAgeEstimator estimator;
   for (int i = 0; i < 100; ++i) EXPECT_EQ(estimator.EstimateAge(0.5), 0);
 }
 
-TEST(AttemptAge, RareRemainingWaitIsWhatEarlierAttemptsLeft) {
+TEST(AttemptAge, AgeIsDeadlineMinusARareRemainingWait) {
   AttemptAgeEstimator estimator;
   for (int i = 0; i < 100; ++i) static_cast<void>(estimator.EstimateAge(1.0));
   EXPECT_DOUBLE_EQ(estimator.EstimateAge(0.25), 0.75);
 }
 
-TEST(AttemptAge, NoAgeIsEstimatedBeforeEnoughArrivals) {
+TEST(AttemptAge, AgeIsZeroBeforeEnoughArrivals) {
   AttemptAgeEstimator estimator;
   EXPECT_EQ(estimator.EstimateAge(0.25), 0);
 }
--- a/tests/policy/busy_gate_test.cpp
+++ b/tests/policy/busy_gate_test.cpp
@@ -1,4 +1,4 @@
-// When the server counts as busy.
+// Tests of BusyGate: when the server counts as busy.
 #include "policy/busy_gate.h"
 
 #include <gtest/gtest.h>
@@ -10,8 +10,8 @@
 
 using policy::BusyGate;
 
-// Nine tenths busy leaves one core of two saturated, and more than a core of twelve idle.
-TEST(BusyGate, ServerIsBusyByTheNumberOfIdleCores) {
+// At 90% utilization, at most 0.2 cores are idle on servers of one or two cores, but 1.2 cores of twelve.
+TEST(BusyGate, ServerIsBusyBelowAFixedNumberOfIdleCores) {
   for (const int cores : {1, 2, 12}) {
     Settings settings = TestSettings();
     settings.cores = cores;
@@ -34,11 +34,11 @@
   gate.Begin(0);
   gate.OnSample(500, 1.0);
   EXPECT_FALSE(gate.is_busy());
-  gate.OnSample(1000, 0.8);  // A mean of 0.9 leaves 0.2 of two cores idle.
+  gate.OnSample(1000, 0.8);  // With a mean of 0.9, 0.2 of two cores are idle.
   EXPECT_TRUE(gate.is_busy());
   gate.OnSample(1500, 0.5);
   EXPECT_TRUE(gate.is_busy());
-  gate.OnSample(2000, 1.0);  // A mean of 0.75 leaves 0.5 idle.
+  gate.OnSample(2000, 1.0);  // With a mean of 0.75, 0.5 cores are idle.
   EXPECT_FALSE(gate.is_busy());
 }
 
--- a/tests/policy/class_table_test.cpp
+++ b/tests/policy/class_table_test.cpp
@@ -1,4 +1,4 @@
-// The classes and what is learned about them.
+// Tests of ClassTable: configured classes and their learned costs.
 #include "policy/class_table.h"
 
 #include <gtest/gtest.h>
@@ -17,7 +17,8 @@
 using policy::ClassTable;
 using policy::OpenRequest;
 
-// Starts of reads on an overloaded server whose other class has twice as many arrivals and thrice the weight.
+// Returns the number of reads that an overloaded server starts if another class has twice as many arrivals
+// and three times the weight.
 int CountReadStarts(double goal_weight_worst_class) {
   Settings settings = TestSettings();
   settings.goal_weight_worst_class = goal_weight_worst_class;
@@ -56,7 +57,7 @@
   EXPECT_EQ(classes[kRead].learned.samples, 1);
 }
 
-TEST(ClassTable, FirstExecutionMovesTheMeansHalfWay) {
+TEST(ClassTable, FirstExecutionIsAveragedWithTheInitialEstimate) {
   const Settings settings = TestSettings();
   ClassTable classes(settings);
   classes.Configure();
@@ -65,7 +66,7 @@
   request.time_in_calls_ms = 100;
   classes.Learn(request, 350);
   EXPECT_DOUBLE_EQ(classes[kRead].learned.run_ms, 250);
-  EXPECT_DOUBLE_EQ(classes[kRead].learned.core_time_ms, 200);  // Time in calls is not on the cores.
+  EXPECT_DOUBLE_EQ(classes[kRead].learned.core_time_ms, 200);  // Excludes the time in upstream calls.
 }
 
 TEST(ClassTable, PaceIsTheLengthOfExecutionsRelativeToTheirMeans) {
@@ -74,7 +75,7 @@
   classes.Configure();
   OpenRequest request;
   request.class_index = kRead;
-  classes.Learn(request, 300);  // Twice the estimate; one sample has a fifth of the weight.
+  classes.Learn(request, 300);  // Twice the estimate; a sample has a weight of 0.2.
   EXPECT_DOUBLE_EQ(classes.pace(), 1.2);
 }
 
--- a/tests/policy/concurrency_limiter_test.cpp
+++ b/tests/policy/concurrency_limiter_test.cpp
@@ -1,4 +1,4 @@
-// How many executions run at once.
+// Tests of ConcurrencyLimiter: how many executions may run at once.
 #include "policy/concurrency_limiter.h"
 
 #include <gtest/gtest.h>
@@ -10,7 +10,7 @@
 
 using policy::ConcurrencyLimiter;
 
-TEST(ConcurrencyLimiter, RisesWhileCoresIdleUpToTheSurvivableLimit) {
+TEST(ConcurrencyLimiter, LimitRisesWhileCoresAreIdleUpToTheSustainableLimit) {
   Settings settings = TestSettings();
   settings.memory_kb = 1e6;
   for (const bool warming_up : {false, true}) {
@@ -24,14 +24,14 @@
       host.AdvanceTo(host.now + 25);
     }
     for (const auto& [unused, count] : host.starts) running += count;
-    // Warming up: 2 cores x (1 + 4 x 0.25); warm: 2 cores x 5.
+    // Limit while warming up: 2 cores x (1 + 4 x 0.25); after that: 2 cores x 5.
     EXPECT_LE(running, warming_up ? 4 : 10);
     EXPECT_GE(running, warming_up ? 3 : 7);
   }
 }
 
-// The spare runnable threads do not scale with the cores.
-TEST(ConcurrencyLimiter, TwoCoresGetSpareExecutionsToo) {
+// The number of spare runnable threads does not scale with the number of cores.
+TEST(ConcurrencyLimiter, TwoCoresAlsoAllowSpareRunnableThreads) {
   PolicyHost host;
   host.runnable = 2.6;
   host.FillCores();
@@ -54,7 +54,7 @@
   const Settings settings = TestSettings();
   ConcurrencyLimiter limiter(settings);
   limiter.Begin(0);
-  limiter.OnSample(25, {.cpu_busy = 0.5, .runnable = 1}, 2, true);  // Three below two cores and two spare.
+  limiter.OnSample(25, {.cpu_busy = 0.5, .runnable = 1}, 2, true);  // Error of 3: target of 2 cores + 2.
   EXPECT_DOUBLE_EQ(limiter.limit(), 2.3);
 }
 
@@ -68,7 +68,7 @@
   EXPECT_EQ(limiter.limit(), 2);
 }
 
-TEST(ConcurrencyLimiter, LimitFallsToTheCoresAtMost) {
+TEST(ConcurrencyLimiter, LimitNeverFallsBelowTheCores) {
   const Settings settings = TestSettings();
   ConcurrencyLimiter limiter(settings);
   limiter.Begin(0);
@@ -79,7 +79,7 @@
   EXPECT_EQ(limiter.limit(), 2);
 }
 
-TEST(ConcurrencyLimiter, WarmUpLowersTheSurvivableLimit) {
+TEST(ConcurrencyLimiter, WarmUpLowersTheSustainableLimit) {
   Settings settings = TestSettings();
   settings.warming_up = true;
   ConcurrencyLimiter limiter(settings);
--- a/tests/policy/days_test.cpp
+++ b/tests/policy/days_test.cpp
@@ -1,8 +1,9 @@
 // Regression test of all decisions: the actions on simulated days are compared with recorded ones.
 //
-// Each day is a closed model of requests, executions and upstream calls around a ServerPolicy, driven by a
-// seeded generator. Its record is one digest of the actions per five seconds. With HINGELINK_PRINT_DAYS=1 the
-// current digests are printed; a change that replaces the record states the reason in its commit.
+// Each day simulates requests, executions and upstream calls around a ServerPolicy with a seeded random
+// generator. The record of a day is one digest of the actions for each five seconds. With
+// HINGELINK_PRINT_DAYS=1 the test prints the current digests. A commit that replaces the recorded digests
+// must state the reason.
 #include <gtest/gtest.h>
 
 #include <bit>
@@ -181,7 +182,7 @@
   struct ModelRequest {
     double work_ms = 0;
     bool running = false;
-    bool at_call = false;  // Waits for or makes an upstream call.
+    bool at_call = false;  // Whether the execution waits for or makes an upstream call.
     bool in_call = false;
     bool may_call_upstream = false;
     bool answered = false;
@@ -215,7 +216,7 @@
     if (Uniform() < 0.08) Disconnect(arrival.id, now_ + config.deadline_ms * Uniform());
   }
 
-  // The order of the draws is part of the record.
+  // The recorded digests depend on the order of these random draws.
   void DrawFields(double size, Arrival& arrival) {
     const double memory = Uniform();
     arrival.reserved_kb = 5 + 60 * memory * memory;
@@ -232,7 +233,7 @@
     arrival.is_write = arrival.request_class > 1;
   }
 
-  // Makes some keyed requests and some reads attempts of an earlier one.
+  // Turns some keyed requests and some reads into further attempts of an earlier request.
   void ChooseOriginal(Arrival& arrival) {
     if (arrival.request_class == 2 && Uniform() < 0.1 && last_keyed_id_ != 0)
       arrival.original = last_keyed_id_;
--- a/tests/policy/deadline_queue_test.cpp
+++ b/tests/policy/deadline_queue_test.cpp
@@ -1,4 +1,4 @@
-// Every request is answered before its deadline.
+// Tests of DeadlineQueue: every request is answered before its deadline.
 #include "policy/deadline_queue.h"
 
 #include <gtest/gtest.h>
--- a/tests/policy/dispatch_test.cpp
+++ b/tests/policy/dispatch_test.cpp
@@ -1,4 +1,4 @@
-// When a queued request starts, and when it is rejected instead.
+// Tests of Dispatch: when a queued request starts, and when it is rejected instead.
 #include "policy/dispatch.h"
 
 #include <gtest/gtest.h>
@@ -9,13 +9,13 @@
 namespace hingelink {
 namespace {
 
-TEST(Dispatch, IdleServerStartsAtOnce) {
+TEST(Dispatch, IdleServerStartsARequestAtOnce) {
   PolicyHost host;
   host.Arrive(1);
   EXPECT_EQ(host.starts[1], 1);
 }
 
-TEST(Dispatch, QueuesAtTheConcurrencyLimitUntilARunFinishes) {
+TEST(Dispatch, RequestIsQueuedAtTheConcurrencyLimitUntilAnExecutionFinishes) {
   PolicyHost host;
   host.FillCores();
   host.Arrive(1);
@@ -25,18 +25,19 @@
   EXPECT_EQ(host.starts[1], 1);
 }
 
-TEST(Dispatch, BusyServerRejectsWhatCannotMeetItsObjective) {
+TEST(Dispatch, BusyServerRejectsRequestThatCannotMeetItsObjective) {
   PolicyHost host;
   host.FillCores();
   host.SetBusy(true);
   host.Arrive(1);
-  host.AdvanceTo(host.now + 980);  // The objective is near, and a late answer has no weight.
+  host.AdvanceTo(host.now +
+                 980);  // Too little time is left until the objective; a late answer has no weight.
   host.Finish(1000);
   EXPECT_EQ(host.starts[1], 0);
   EXPECT_EQ(host.rejections[1], 1);
 }
 
-TEST(Dispatch, IdleServerStartsWhatCannotMeetItsObjective) {
+TEST(Dispatch, IdleServerStartsRequestThatCannotMeetItsObjective) {
   PolicyHost host;
   host.FillCores();
   host.SetBusy(false);
@@ -46,7 +47,7 @@
   EXPECT_EQ(host.starts[1], 1);
 }
 
-TEST(Dispatch, BusyServerRejectsWhatCannotMeetItsRemainingWait) {
+TEST(Dispatch, BusyServerRejectsRequestThatCannotMeetItsRemainingWait) {
   Settings settings = TestSettings();
   settings.callers_send_remaining_wait = true;
   settings.classes[kRead].late_weight_fraction = 0.5;
@@ -62,7 +63,7 @@
   EXPECT_EQ(host.rejections[1], 1);
 }
 
-TEST(Dispatch, BusyServerIgnoresTheWeightOfALateAnswer) {
+TEST(Dispatch, BusyServerRejectsLateRequestDespiteItsLateWeight) {
   Settings settings = TestSettings();
   settings.classes[kRead].late_weight_fraction = 0.2;
   for (const bool busy : {false, true}) {
@@ -76,7 +77,7 @@
   }
 }
 
-TEST(Dispatch, HopelessRequestsOfEveryLaneAreRejectedAtOnce) {
+TEST(Dispatch, RequestsThatCannotMeetTheirObjectiveAreRejectedInEveryLane) {
   Settings settings = TestSettings();
   settings.cores = 1;
   PolicyHost host(settings);
--- a/tests/policy/drain_test.cpp
+++ b/tests/policy/drain_test.cpp
@@ -1,4 +1,4 @@
-// The end of the process.
+// Tests of the drain before the process ends.
 #include "policy/drain.h"
 
 #include <gtest/gtest.h>
@@ -8,7 +8,7 @@
 namespace hingelink {
 namespace {
 
-TEST(Drain, IsUnhealthyAndRejectsArrivalsPastTheGrace) {
+TEST(Drain, DrainingServerIsUnhealthyAndRejectsArrivalsAfterTheGracePeriod) {
   PolicyHost host;
   host.Step({DrainNotice{3000}});
   EXPECT_FALSE(host.healthy);
@@ -21,7 +21,7 @@
   EXPECT_EQ(host.rejections[2], 1);
 }
 
-TEST(Drain, ArrivalWithinTheGraceThatWasReadLateMayRun) {
+TEST(Drain, ArrivalWithinTheGracePeriodStartsIfReadLater) {
   PolicyHost host;
   host.Step({DrainNotice{3000}});
   host.AdvanceTo(host.now + 600);
@@ -31,7 +31,7 @@
   EXPECT_EQ(host.starts[1], 1);
 }
 
-TEST(Drain, EverythingIsAnsweredBeforeTheKill) {
+TEST(Drain, AllRequestsAreAnsweredBeforeTheProcessIsKilled) {
   PolicyHost host;
   host.FillCores();
   host.Arrive(1);
@@ -43,7 +43,7 @@
   EXPECT_EQ(host.rejections[2] + host.failures[2], 1);
 }
 
-TEST(Drain, LateAttemptOfAKeyedRequestThatRanIsReplayedNotRejected) {
+TEST(Drain, AttemptOfAnExecutedKeyedRequestIsReplayedAfterTheGracePeriod) {
   PolicyHost host;
   host.Arrive(1, kPay);
   host.Finish(1);
@@ -54,7 +54,7 @@
   EXPECT_EQ(host.rejections[2] + host.starts[2], 0);
 }
 
-TEST(Drain, WaiterPastTheGraceIsNotRunInPlaceOfAFailedRead) {
+TEST(Drain, WaiterAfterTheGracePeriodIsRejectedWhenTheSharedReadFails) {
   Settings settings = TestSettings();
   settings.read_cache_ttl_ms = 600;
   PolicyHost host(settings);
@@ -71,7 +71,7 @@
   EXPECT_EQ(host.rejections[2], 1);
 }
 
-TEST(Drain, KeyedWaiterPastTheGraceIsNotRunInPlaceOfADisconnectedOriginal) {
+TEST(Drain, KeyedWaiterAfterTheGracePeriodIsRejectedWhenTheOriginalDisconnects) {
   PolicyHost host;
   host.runnable = 4;
   host.FillCores();
@@ -85,7 +85,7 @@
   EXPECT_EQ(host.rejections[2], 1);
 }
 
-TEST(Drain, NothingIsPastTheGraceBeforeTheNotice) {
+TEST(Drain, NoArrivalIsPastTheGracePeriodBeforeTheNotice) {
   const Settings settings = TestSettings();
   const policy::Drain drain(settings);
   EXPECT_FALSE(drain.is_draining());
@@ -93,7 +93,7 @@
   EXPECT_EQ(drain.answer_by(), policy::kForever);
 }
 
-TEST(Drain, GraceIsCountedFromTheNotice) {
+TEST(Drain, GracePeriodStartsAtTheNotice) {
   const Settings settings = TestSettings();
   policy::Drain drain(settings);
   ASSERT_TRUE(drain.Begin(1000, 3000));
@@ -101,14 +101,14 @@
   EXPECT_TRUE(drain.IsPastGrace(1001 + settings.drain_grace_ms));
 }
 
-TEST(Drain, AnswersAreWantedEightBatchesBeforeTheKill) {
+TEST(Drain, AnswersAreDueEightBatchesBeforeTheKill) {
   const Settings settings = TestSettings();
   policy::Drain drain(settings);
   ASSERT_TRUE(drain.Begin(1000, 3000));
   EXPECT_EQ(drain.answer_by(), 4000 - 8 * kBatchIntervalMs);
 }
 
-TEST(Drain, OnlyTheFirstNoticeCounts) {
+TEST(Drain, LaterNoticesAreIgnored) {
   const Settings settings = TestSettings();
   policy::Drain drain(settings);
   ASSERT_TRUE(drain.Begin(1000, 3000));
--- a/tests/policy/extreme_settings_test.cpp
+++ b/tests/policy/extreme_settings_test.cpp
@@ -1,4 +1,4 @@
-// Settings at the ends of their ranges: each request is started or answered, and none twice.
+// Tests with extreme settings: each request is started or answered, and none more than once.
 #include <gtest/gtest.h>
 
 #include <set>
@@ -48,7 +48,7 @@
   EXPECT_GT(starts, 10);
 }
 
-TEST(ExtremeSettings, OneCoreInAFleetOfOneWithoutGaugesAndTenants) {
+TEST(ExtremeSettings, OneCoreWithoutGaugesAndTenantsAnswersEachRequestOnce) {
   Settings settings = TestSettings();
   settings.cores = 1;
   settings.fleet_size = 1;
@@ -59,7 +59,7 @@
   ExpectEachRequestIsAnsweredOnce(settings, 0);
 }
 
-TEST(ExtremeSettings, NoCallQuotaWithAnUpstream) {
+TEST(ExtremeSettings, UpstreamWithoutQuotaAnswersEachRequestOnce) {
   Settings settings = TestSettings();
   settings.upstream_call_quota = 0;
   ExpectEachRequestIsAnsweredOnce(settings, 0);
@@ -67,7 +67,7 @@
   ExpectEachRequestIsAnsweredOnce(settings, 0);
 }
 
-TEST(ExtremeSettings, ExpectedWorkFarOffWithTenantsInALargeFleet) {
+TEST(ExtremeSettings, WrongExpectedWorkWithTenantsAnswersEachRequestOnce) {
   Settings settings = TestSettings();
   settings.fleet_size = 1000;
   settings.callers = 5000;
--- a/tests/policy/gauge_sample_test.cpp
+++ b/tests/policy/gauge_sample_test.cpp
@@ -1,4 +1,4 @@
-// One sample of the gauges.
+// Tests of ReadGauges().
 #include "policy/gauge_sample.h"
 
 #include <gtest/gtest.h>
@@ -18,7 +18,7 @@
   EXPECT_EQ(sample.runnable, 3);
 }
 
-TEST(GaugeSample, MissingGaugesCountAsBusyAndAsTheKnownExecutions) {
+TEST(GaugeSample, MissingGaugesDefaultToBusyCoresAndKnownExecutions) {
   Settings settings = TestSettings();
   settings.gauges.clear();
   const policy::GaugeSample unnamed = ReadGauges(settings, {}, 7);
--- a/tests/policy/idempotency_table_test.cpp
+++ b/tests/policy/idempotency_table_test.cpp
@@ -1,4 +1,4 @@
-// Keyed requests run once.
+// Tests of IdempotencyTable: attempts of a keyed request are executed once.
 #include "policy/idempotency_table.h"
 
 #include <gtest/gtest.h>
@@ -22,7 +22,7 @@
   EXPECT_GE(host.retained_keys[1], host.now + 10000);
 }
 
-TEST(IdempotencyTable, AttemptsOfOneBatchRunOnce) {
+TEST(IdempotencyTable, AttemptsOfOneBatchAreExecutedOnce) {
   PolicyHost host;
   host.Step({host.MakeArrival(1, kPay, 2), host.MakeArrival(2, kPay, 1)});
   EXPECT_EQ(host.starts[1] + host.starts[2], 1);
@@ -65,7 +65,7 @@
   EXPECT_EQ(host.rejections[2], 0);
 }
 
-TEST(IdempotencyTable, RejectedRequestRetainsNoKeyAndANewOneRuns) {
+TEST(IdempotencyTable, RejectedRequestRetainsNoKeyAndALaterRequestStarts) {
   Settings settings = TestSettings();
   settings.memory_kb = 1000;
   PolicyHost host(settings);
@@ -83,7 +83,7 @@
 
 TEST(IdempotencyTable, AttemptsOfOneBatchAreRejectedWithoutMemoryForAKey) {
   Settings settings = TestSettings();
-  settings.idempotency_key_kb = 6000;  // No key fits.
+  settings.idempotency_key_kb = 6000;  // More than half of the memory, so no key can be retained.
   PolicyHost host(settings);
   host.Step({host.MakeArrival(1, kPay, 2), host.MakeArrival(2, kPay, 1)});
   EXPECT_EQ(host.rejections[1], 1);
@@ -109,14 +109,14 @@
   EXPECT_EQ(host.starts[7], 1);
 }
 
-TEST(IdempotencyTable, AttemptOfAnUnknownOriginalIsNeverRun) {
+TEST(IdempotencyTable, AttemptOfAnUnknownOriginalIsReplayedNotExecuted) {
   PolicyHost host;
   host.Arrive(2, kPay, 1);
   EXPECT_EQ(host.starts[2], 0);
   EXPECT_EQ(host.replays[2], 1);
 }
 
-TEST(IdempotencyTable, NonIdempotentRequestThatRanIsFailedNotRejected) {
+TEST(IdempotencyTable, ExecutedNonIdempotentRequestIsFailedNotRejected) {
   PolicyHost host;
   host.Arrive(1, kOnce);
   host.AdvanceTo(host.now + 4100);
@@ -125,7 +125,7 @@
   EXPECT_EQ(host.failures[1], 1);
 }
 
-// Records what the table wants done with attempts whose holder did not run.
+// Records which waiting attempts the table queues or rejects when their holder was not executed.
 class RecordingHandler : public policy::WaiterHandler {
  public:
   void QueueWaiter(RequestId id, OpenRequest& /*request*/) override { queued.push_back(id); }
@@ -155,7 +155,7 @@
   EXPECT_EQ(parts.Emitted<Replay>().size(), 1u);
 }
 
-TEST(IdempotencyTable, FirstWaiterReplacesAHolderThatNeverRan) {
+TEST(IdempotencyTable, FirstWaiterReplacesAHolderThatWasNotExecuted) {
   PolicyParts parts;
   RecordingHandler handler;
   OpenRequest& holder = parts.Open(1, kPay);
@@ -169,7 +169,7 @@
   EXPECT_EQ(parts.Emitted<ReleaseKey>()[0].id, 1u);
 }
 
-TEST(IdempotencyTable, WaitersPastTheDrainGraceAreRejected) {
+TEST(IdempotencyTable, WaitersAfterTheDrainGracePeriodAreRejected) {
   PolicyParts parts;
   RecordingHandler handler;
   OpenRequest& holder = parts.Open(1, kPay);
--- a/tests/policy/learned_state_test.cpp
+++ b/tests/policy/learned_state_test.cpp
@@ -1,4 +1,4 @@
-// What one process hands on to the next.
+// Tests of the learned state that a process passes to its successor.
 #include <gtest/gtest.h>
 
 #include "policy_host.h"
@@ -22,8 +22,8 @@
   EXPECT_NEAR(learned.classes[0].core_time_ms, 50, 15);
 }
 
-TEST(LearnedState, ImportedCostsCountFromTheFirstRequest) {
-  // A run takes 900 of the 1,000 ms of the latency objective.
+TEST(LearnedState, ImportedCostsApplyToTheFirstRequest) {
+  // An execution takes 900 ms; the latency objective is 1,000 ms.
   Learned imported;
   imported.classes = {{"read", 900, 900, 0, 12}};
   for (const bool imports : {false, true}) {
@@ -33,12 +33,13 @@
     host.Arrive(1);
     host.now += 400;
     host.Step({});
-    // With 600 ms left it cannot meet its objective, but the initial estimate is shorter.
+    // With 600 ms left, the request misses its objective by the imported cost but not by the initial
+    // estimate.
     EXPECT_EQ(host.rejections[1], imports ? 1 : 0);
   }
 }
 
-TEST(LearnedState, NewRunsOutweighWrongImportedCosts) {
+TEST(LearnedState, NewExecutionsOutweighWrongImportedCosts) {
   Learned imported;
   imported.classes = {{"read", 10, 10, 0, 12}};
   PolicyHost host(TestSettings(), 7, imported);
@@ -51,7 +52,8 @@
     }
     return host.ExportLearned().classes.at(0).run_ms;
   };
-  EXPECT_GT(serve(12), 24);  // At least half way after as many runs as the import has samples.
+  EXPECT_GT(serve(12),
+            24);  // More than half of the way from 10 to 40 ms after as many executions as imported samples.
   EXPECT_GT(serve(40), 34);
 }
 
--- a/tests/policy/load_signal_test.cpp
+++ b/tests/policy/load_signal_test.cpp
@@ -1,4 +1,4 @@
-// The back-pressure value that callers receive.
+// Tests of LoadSignal, the back-pressure value that callers receive.
 #include "policy/load_signal.h"
 
 #include <gtest/gtest.h>
@@ -14,8 +14,9 @@
 
 using policy::LoadSignal;
 
-// Callers obey the signal for the requests of all tenants.
-TEST(LoadSignal, RejectionsOverQuotaHardlyRaiseIt) {
+// Callers apply the signal to the requests of all tenants, so one tenant above its quota must not raise it
+// much.
+TEST(LoadSignal, RejectionsOverQuotaHardlyRaiseTheSignal) {
   const auto signal_of = [](double quota) {
     Settings settings = TestSettings();
     settings.load_signal = LoadSignalKind::kThreshold;
@@ -65,13 +66,13 @@
   return settings;
 }
 
-TEST(LoadSignal, NothingIsPublishedIfItIsNotUsed) {
+TEST(LoadSignal, NoSignalIsPublishedForKindNone) {
   const Settings settings = SignalSettings(LoadSignalKind::kNone);
   LoadSignal signal(settings);
   EXPECT_FALSE(signal.OnSample(0, 1, 1, true));
 }
 
-TEST(LoadSignal, IsUpdatedFourTimesInItsLifetime) {
+TEST(LoadSignal, SignalIsUpdatedFourTimesPerLifetime) {
   const Settings settings = SignalSettings(LoadSignalKind::kThreshold);
   LoadSignal signal(settings);
   EXPECT_TRUE(signal.OnSample(0, 1, 0, false));
@@ -79,16 +80,16 @@
   EXPECT_TRUE(signal.OnSample(250, 1, 0, false));
 }
 
-TEST(LoadSignal, RisesWithRejectionsAndFallsWhileCoresAreIdle) {
+TEST(LoadSignal, SignalRisesWithRejectionsAndFallsWhileCoresAreIdle) {
   const Settings settings = SignalSettings(LoadSignalKind::kThreshold);
   LoadSignal signal(settings);
-  // A quarter of a second at 0.4 a second for each unit above the tolerated 0.02.
+  // 0.25 s x 0.4 per second x 0.5 above the tolerated fraction of 0.02.
   EXPECT_DOUBLE_EQ(signal.OnSample(0, 1, 0.52, false).value(), 0.05);
-  // And at 0.5 a second for each unit below a busy fraction of 0.9.
+  // 0.25 s x 0.5 per second x 0.2 below the busy fraction of 0.9.
   EXPECT_DOUBLE_EQ(signal.OnSample(250, 0.7, 0.52, false).value(), 0.025);
 }
 
-TEST(LoadSignal, StallRaisesItToTheMaximum) {
+TEST(LoadSignal, StallRaisesTheSignalToTheMaximum) {
   const Settings settings = SignalSettings(LoadSignalKind::kThreshold);
   LoadSignal signal(settings);
   EXPECT_DOUBLE_EQ(signal.OnSample(0, 1, 0, true).value(), 0.9);
--- a/tests/policy/load_totals_test.cpp
+++ b/tests/policy/load_totals_test.cpp
@@ -1,4 +1,4 @@
-// Sums over the requests in flight, and the limits on memory.
+// Tests of LoadTotals: sums over the requests in flight, and the limits on memory.
 #include "policy/load_totals.h"
 
 #include <gtest/gtest.h>
@@ -23,7 +23,7 @@
   EXPECT_LE(running * 40, 400);
 }
 
-TEST(LoadTotals, SiblingRunsAndMemoryCountInTheLimits) {
+TEST(LoadTotals, SiblingExecutionsAndMemoryCountTowardsTheLimits) {
   PolicyHost host;
   host.Step({SiblingLoad{{.running = 2, .memory_kb = 0, .queued_work_ms = 0}}});
   host.Arrive(1);
--- a/tests/policy/moving_fraction_test.cpp
+++ b/tests/policy/moving_fraction_test.cpp
@@ -1,4 +1,4 @@
-// Decay of moving fractions.
+// Tests of DecayTowardZero().
 #include "policy/moving_fraction.h"
 
 #include <gtest/gtest.h>
--- a/tests/policy/open_requests_test.cpp
+++ b/tests/policy/open_requests_test.cpp
@@ -1,4 +1,4 @@
-// The requests in flight.
+// Tests of OpenRequests, the requests in flight.
 #include "policy/open_requests.h"
 
 #include <gtest/gtest.h>
--- a/tests/policy/policy_host.h
+++ b/tests/policy/policy_host.h
@@ -1,4 +1,4 @@
-// A scripted host of ServerPolicy: feeds events, fires timers and counts the actions by request.
+// A test host of ServerPolicy: sends events, fires timers and counts the actions of each request.
 #ifndef HINGELINK_TESTS_POLICY_POLICY_HOST_H_
 #define HINGELINK_TESTS_POLICY_POLICY_HOST_H_
 
@@ -68,7 +68,7 @@
   return settings;
 }
 
-// Two tenants that share the servers of a fleet. What is over a quota has a small weight.
+// Two tenants that share the servers of a fleet. Requests above a quota have a small weight.
 inline Settings TwoTenantSettings() {
   Settings settings = TestSettings();
   settings.tenants = {{"large", 0.5, 100}, {"small", 0.5, 100}};
@@ -89,14 +89,14 @@
   Learned ExportLearned() const { return policy_.ExportLearned(); }
   void Reconfigure(const Settings& settings) { policy_.Reconfigure(settings); }
 
-  // Plays one batch of events at the time `now`, and counts the actions.
+  // Sends one batch of events at the time `now`, counts the actions and returns them.
   const std::vector<Action>& Step(const std::vector<Event>& events) {
     last_actions_ = policy_.Step(now, events);
     for (const Action& action : last_actions_) std::visit([this](const auto& each) { On(each); }, action);
     return last_actions_;
   }
 
-  // Lets the time pass until `until`. Timers fire when they are due, with the gauges as they are.
+  // Advances the time to `until` in ms. Timers that expire meanwhile fire with the current gauge values.
   void AdvanceTo(double until) {
     while (!timers_.empty() && timers_.begin()->first <= until) {
       now = std::max(now, timers_.begin()->first);
@@ -121,7 +121,7 @@
     Arrive(1000);
     Arrive(1001);
   }
-  // Has the busy gate decide that the server is busy, or that it is not.
+  // Sets the gauges and advances the time until the busy gate has decided whether the server is busy.
   void SetBusy(bool is_busy) {
     cpu_busy = is_busy ? 1 : 0.5;
     runnable = 4;
@@ -129,13 +129,13 @@
   }
 
   double now = 5000;
-  // The gauges.
+  // The gauge values that timer events report.
   double cpu_busy = 0.5;
   double runnable = 2;
-  // What was emitted last.
+  // The values of the last SetHealth and PublishLoadSignal actions.
   bool healthy = true;
   double published_signal = 0;
-  // How often each action was emitted for a request.
+  // The number of actions of each type, by request.
   std::map<RequestId, int> starts;
   std::map<RequestId, int> rejections;
   std::map<RequestId, int> failures;
@@ -143,7 +143,7 @@
   std::map<RequestId, int> upstream_calls;
   std::map<RequestId, int> fallbacks;
   std::map<RequestId, int> cancellations;
-  // The keys that are retained now, and until when.
+  // The expiry times of the retained keys, in ms, by request.
   std::map<RequestId, double> retained_keys;
 
  private:
--- a/tests/policy/policy_parts.h
+++ b/tests/policy/policy_parts.h
@@ -1,4 +1,4 @@
-// The parts of the policy without their coordinator, for tests of one part with real neighbors.
+// The classes that ServerPolicy consists of, connected to each other, for tests of a single class.
 #ifndef HINGELINK_TESTS_POLICY_POLICY_PARTS_H_
 #define HINGELINK_TESTS_POLICY_POLICY_PARTS_H_
 
@@ -41,7 +41,7 @@
   PolicyParts(const PolicyParts&) = delete;
   PolicyParts& operator=(const PolicyParts&) = delete;
 
-  // Opens a request with an objective and a deadline, both in ms, that is not queued yet.
+  // Opens a request that is not queued yet, with an objective and a deadline in ms.
   policy::OpenRequest& Open(RequestId id, std::size_t class_index, double objective = 1000,
                             double deadline = 4000) {
     policy::OpenRequest& request = requests.Open(id, class_index);
--- a/tests/policy/reconfigure_test.cpp
+++ b/tests/policy/reconfigure_test.cpp
@@ -1,4 +1,4 @@
-// New settings while requests are in flight.
+// Tests of Reconfigure() while requests are in flight.
 #include <gtest/gtest.h>
 
 #include <stdexcept>
@@ -9,7 +9,7 @@
 namespace hingelink {
 namespace {
 
-TEST(Reconfigure, OpenRequestsKeepTheirClassAlsoARemovedOne) {
+TEST(Reconfigure, RequestsInFlightKeepTheirClassEvenIfItIsRemoved) {
   Settings settings = TestSettings();
   settings.can_cancel_runs = true;
   PolicyHost host(settings);
@@ -23,14 +23,14 @@
                     .idempotency = Idempotency::kNotIdempotent}};
   for (int round = 0; round < 3; ++round) host.Reconfigure(other);
   host.Step({CallerDisconnected{1}, CallerDisconnected{2}});
-  EXPECT_EQ(host.cancellations[1], 1);  // Still a read, whose run may be cancelled.
+  EXPECT_EQ(host.cancellations[1], 1);  // Request 1 is still a read, so its execution may be cancelled.
   host.Arrive(4);                       // Of the class "store".
   host.Finish(1, Outcome::kCancelled);
   host.Finish(2, Outcome::kCancelled);
   EXPECT_EQ(host.starts[3] + host.starts[4], 2);
   host.Step({CallerDisconnected{4}});
   EXPECT_EQ(host.cancellations[4], 0);
-  host.Arrive(5, kOnce);  // There is no class of this index any more.
+  host.Arrive(5, kOnce);  // The new settings have no class with this index.
   EXPECT_EQ(host.starts[5] + host.rejections[5], 0);
   host.Reconfigure(settings);
   host.Finish(4);
@@ -52,7 +52,8 @@
     settings.classes.back().name = name;
     host.Reconfigure(settings);
     int count = 0;
-    for (RequestId id = 100; id < 120; ++id) host.Arrive(id, kOnce);  // The index of the reads now.
+    for (RequestId id = 100; id < 120; ++id)
+      host.Arrive(id, kOnce);  // The index of the class "read" in the new settings.
     for (const auto& [id, times] : host.rejections) count += times;
     return count;
   };
--- a/tests/policy/request_completion_test.cpp
+++ b/tests/policy/request_completion_test.cpp
@@ -1,4 +1,4 @@
-// How requests end by a disconnect, a finished run or a deadline.
+// Tests of requests that end by a disconnect, a finished execution or a deadline.
 #include "policy/request_completion.h"
 
 #include <gtest/gtest.h>
@@ -21,13 +21,13 @@
   }
 }
 
-TEST(RequestCompletion, MemoryOfAQueuedRequestIsFreeWhenItsCallerDisconnects) {
+TEST(RequestCompletion, MemoryOfAQueuedRequestIsReleasedWhenItsCallerDisconnects) {
   Settings settings = TestSettings();
   settings.memory_kb = 300;
   PolicyHost host(settings);
   host.Arrive(1000);  // Needs 40 KB while it runs.
   Arrival big = host.MakeArrival(1);
-  big.reserved_kb = 55;  // Would need 220 KB, which do not fit beside the others.
+  big.reserved_kb = 55;  // Would need 220 KB while running; too much beside the other requests.
   host.Step({host.MakeArrival(1001)});
   host.Step({big});
   EXPECT_EQ(host.starts[1], 0);
@@ -40,7 +40,7 @@
   EXPECT_EQ(host.starts[2], 1);
 }
 
-TEST(RequestCompletion, IdempotentRunIsCancelledWhenItsAnswerIsOfNoUse) {
+TEST(RequestCompletion, IdempotentExecutionIsCancelledOnDisconnectOrDeadline) {
   for (const bool can_cancel : {false, true}) {
     Settings settings = TestSettings();
     settings.can_cancel_runs = can_cancel;
@@ -49,7 +49,7 @@
     host.Arrive(2, kOnce);
     host.Step({CallerDisconnected{1}, CallerDisconnected{2}});
     EXPECT_EQ(host.cancellations[1], can_cancel ? 1 : 0);
-    EXPECT_EQ(host.cancellations[2], 0);  // It may have had an effect.
+    EXPECT_EQ(host.cancellations[2], 0);  // A request that is not idempotent is not cancelled.
     host.Finish(1, Outcome::kCancelled);
     host.Arrive(3);
     EXPECT_EQ(host.starts[3], 1);
@@ -59,7 +59,7 @@
   }
 }
 
-TEST(RequestCompletion, CancelledRunCountsUntilItHasFinishedOnce) {
+TEST(RequestCompletion, CancelledExecutionCountsAsRunningUntilItFinishes) {
   Settings settings = TestSettings();
   settings.can_cancel_runs = true;
   PolicyHost host(settings);
@@ -73,7 +73,7 @@
   host.Finish(1000, Outcome::kCancelled);
   host.Arrive(2);
   EXPECT_EQ(host.starts[2], 0);
-  host.Step({CallerDisconnected{1}});  // The cancellation is not executed; the run ends by itself.
+  host.Step({CallerDisconnected{1}});  // The execution ends without being cancelled.
   host.Finish(1);
   EXPECT_EQ(host.starts[2], 1);
   EXPECT_EQ(host.rejections.size(), 0u);
@@ -98,7 +98,7 @@
   EXPECT_EQ(parts.totals.running(), 1);
 }
 
-TEST(RequestCompletion, FinishOfAQueuedRequestIsIgnored) {
+TEST(RequestCompletion, FinishedEventOfAQueuedRequestIsIgnored) {
   PolicyParts parts;
   parts.admission.Enqueue(1, parts.Open(1, kRead));
   parts.completion.OnFinished({.id = 1}, 0);
--- a/tests/policy/request_intake_test.cpp
+++ b/tests/policy/request_intake_test.cpp
@@ -1,4 +1,4 @@
-// What is derived from an arrival.
+// Tests of RequestIntake: times, size and priority that are derived from an arrival.
 #include "policy/request_intake.h"
 
 #include <gtest/gtest.h>
@@ -33,7 +33,7 @@
   }
 }
 
-TEST(RequestIntake, ExpectedWorkScalesARequestAgainstItsClass) {
+TEST(RequestIntake, ExpectedWorkScalesTheRequiredTimeOfARequest) {
   for (const double expected_work_ms : {0.0, 20.0, 100.0, 300.0}) {
     PolicyHost host;
     for (RequestId id = 10; id < 110; ++id) {
@@ -54,7 +54,7 @@
   }
 }
 
-TEST(RequestIntake, ExpectedWorkFarOffRejectsNobodyElse) {
+TEST(RequestIntake, ExcessiveExpectedWorkCausesNoRejection) {
   Settings settings = TestSettings();
   settings.cores = 20;
   settings.memory_kb = 1e6;
--- a/tests/policy/server_policy_test.cpp
+++ b/tests/policy/server_policy_test.cpp
@@ -1,4 +1,4 @@
-// The interface as a whole: order, time, determinism and misuse.
+// Tests of ServerPolicy as a whole: timeouts, time, determinism and invalid events.
 #include <gtest/gtest.h>
 
 #include <string>
@@ -68,7 +68,7 @@
   EXPECT_EQ(host.failures[1] + host.rejections[1] + host.upstream_calls[1] + host.fallbacks[1], 0);
 }
 
-TEST(ServerPolicy, TimeGoingBackwardsIsTakenAsStandingStill) {
+TEST(ServerPolicy, BatchWithAnEarlierTimeIsDecidedAtThePreviousTime) {
   PolicyHost host;
   host.Arrive(1);
   host.now -= 1000;
--- a/tests/policy/settings_validation_test.cpp
+++ b/tests/policy/settings_validation_test.cpp
@@ -1,4 +1,4 @@
-// Settings that contradict themselves.
+// Tests of Settings::Validate().
 #include <gtest/gtest.h>
 
 #include <stdexcept>
@@ -9,7 +9,7 @@
 namespace hingelink {
 namespace {
 
-TEST(SettingsValidation, ContradictionsAreReportedByName) {
+TEST(SettingsValidation, InvalidFieldsAreReportedByName) {
   const auto error_after = [](auto change) {
     Settings settings = TestSettings();
     change(settings);
--- a/tests/policy/shared_reads_test.cpp
+++ b/tests/policy/shared_reads_test.cpp
@@ -1,4 +1,4 @@
-// Reads of one subject that share one execution.
+// Tests of reads of one subject that share one execution.
 #include <gtest/gtest.h>
 
 #include "policy_host.h"
@@ -18,7 +18,7 @@
   return arrival;
 }
 
-TEST(SharedReads, WaitForTheRunningReadAndReplayItsResult) {
+TEST(SharedReads, ReadsWaitForTheRunningReadAndAreReplayedItsResult) {
   PolicyHost host(CachingSettings());
   host.Step({MakeRead(host, 1, 0)});
   host.Step({MakeRead(host, 2, 1), MakeRead(host, 3, 1)});
@@ -32,7 +32,7 @@
   EXPECT_EQ(host.starts[4], 0);
 }
 
-TEST(SharedReads, NextWaiterRunsWhenTheReadFails) {
+TEST(SharedReads, NextWaiterStartsWhenTheReadFails) {
   PolicyHost host(CachingSettings());
   host.Step({MakeRead(host, 1, 0)});
   host.Step({MakeRead(host, 2, 1), MakeRead(host, 3, 1)});
@@ -43,7 +43,7 @@
   EXPECT_EQ(host.replays[3], 1);
 }
 
-TEST(SharedReads, NextWaiterRunsWhenTheHolderNeverRan) {
+TEST(SharedReads, NextWaiterStartsWhenTheQueuedHolderDisconnects) {
   PolicyHost host(CachingSettings());
   host.runnable = 4;
   host.FillCores();
@@ -66,7 +66,7 @@
   EXPECT_EQ(host.starts[2], 1);
 }
 
-TEST(SharedReads, WritesReadsWithoutSubjectAndUnknownOriginalsRunThemselves) {
+TEST(SharedReads, WritesReadsWithoutSubjectAndReadsOfUnknownOriginalsAreNotShared) {
   PolicyHost host(CachingSettings());
   Arrival write = MakeRead(host, 1, 0);
   write.is_write = true;
@@ -80,7 +80,7 @@
   EXPECT_EQ(host.starts[3], 1);
 }
 
-// Waiters do not count in the queue limit.
+// Waiting reads do not count towards the queue limit, so the memory limit must stop them.
 TEST(SharedReads, ReadsOfOneSubjectDoNotFillTheMemory) {
   PolicyHost host(CachingSettings());
   host.runnable = 4;
--- a/tests/policy/stall_detector_test.cpp
+++ b/tests/policy/stall_detector_test.cpp
@@ -1,4 +1,4 @@
-// Executions that make no progress.
+// Tests of StallDetector: executions that make no progress.
 #include "policy/stall_detector.h"
 
 #include <gtest/gtest.h>
@@ -8,7 +8,7 @@
 namespace hingelink {
 namespace {
 
-TEST(StallDetector, TwoLongRunsOnTwoCoresAreNoStall) {
+TEST(StallDetector, TwoLongExecutionsOnTwoCoresAreNoStall) {
   PolicyHost host;
   host.runnable = 4;
   for (RequestId id = 10; id < 110; ++id) {
@@ -24,7 +24,7 @@
   EXPECT_EQ(host.rejections[1], 0);
 }
 
-TEST(StallDetector, ShortInterruptionOfShortRunsIsNoStall) {
+TEST(StallDetector, ShortInterruptionOfShortExecutionsIsNoStall) {
   Settings settings = TestSettings();
   settings.classes.resize(1);
   PolicyHost host(settings);
@@ -42,7 +42,7 @@
   EXPECT_FALSE(host.healthy);
 }
 
-TEST(StallDetector, ReportsNoStallBeforeEnoughRunsFinished) {
+TEST(StallDetector, ReportsNoStallBeforeEnoughExecutionsFinished) {
   PolicyHost host;
   host.runnable = 4;
   for (RequestId id = 10; id < 20; ++id) {
@@ -54,7 +54,7 @@
   EXPECT_TRUE(host.healthy);
 }
 
-TEST(StallDetector, StalledServerRejectsAndIsUnhealthyUntilARunFinishes) {
+TEST(StallDetector, StalledServerRejectsAndIsUnhealthyUntilAnExecutionFinishes) {
   PolicyHost host;
   host.runnable = 4;
   for (RequestId id = 10; id < 60; ++id) {
@@ -77,7 +77,7 @@
 
 using Change = policy::StallDetector::Change;
 
-// A detector of which `count` executions have finished by the time 0.
+// Returns a detector after `count` executions that finished at the time 0.
 policy::StallDetector DetectorAfterFinishes(const Settings& settings, int count) {
   policy::StallDetector detector(settings);
   for (int i = 0; i < count; ++i) detector.OnFinished(0);
@@ -103,20 +103,20 @@
   EXPECT_FALSE(detector.is_stalled());
 }
 
-TEST(StallDetector, FreeCoreIsProgress) {
+TEST(StallDetector, FreeCoreCountsAsProgress) {
   const Settings settings = TestSettings();
   policy::StallDetector detector = DetectorAfterFinishes(settings, 34);
   EXPECT_EQ(detector.Update(10000, 1, 100), Change::kNone);
   EXPECT_EQ(detector.Update(10001, 2, 100), Change::kNone);
 }
 
-TEST(StallDetector, ReportsNothingBeforeThirtyFourFinishes) {
+TEST(StallDetector, ReportsNoStallBeforeThirtyFourFinishes) {
   const Settings settings = TestSettings();
   policy::StallDetector detector = DetectorAfterFinishes(settings, 33);
   EXPECT_EQ(detector.Update(10000, 2, 100), Change::kNone);
 }
 
-TEST(StallDetector, StallLastsAtLeastAHundredMs) {
+TEST(StallDetector, ReportsNoStallWithinAHundredMs) {
   const Settings settings = TestSettings();
   policy::StallDetector detector = DetectorAfterFinishes(settings, 34);
   EXPECT_EQ(detector.Update(100, 2, 1), Change::kNone);
--- a/tests/policy/start_queue_test.cpp
+++ b/tests/policy/start_queue_test.cpp
@@ -1,4 +1,4 @@
-// The order in which queued requests start.
+// Tests of StartQueue: the order in which queued requests start.
 #include "policy/start_queue.h"
 
 #include <gtest/gtest.h>
@@ -36,7 +36,7 @@
   EXPECT_EQ(queue.First(*lane), 2u);
 }
 
-TEST(StartQueue, LowPriorityIsNextOnlyBehindAllOthers) {
+TEST(StartQueue, LowPriorityLaneIsNextAfterAllNormalLanes) {
   StartQueue queue = QueueOfTwoClasses();
   const OpenRequest normal = QueuedRequest(1, 900);
   queue.Push(1, QueuedRequest(0, 100, true));
@@ -46,7 +46,7 @@
   EXPECT_EQ(queue.First(queue.NextLane(kNothingBlocked).value()), 1u);
 }
 
-TEST(StartQueue, BlockedClassesArePassedOver) {
+TEST(StartQueue, BlockedClassesAreSkipped) {
   StartQueue queue = QueueOfTwoClasses();
   queue.Push(1, QueuedRequest(0, 100));
   queue.Push(2, QueuedRequest(1, 900));
@@ -62,7 +62,7 @@
   EXPECT_EQ(queue.Last({0, false}), 3u);
 }
 
-TEST(StartQueue, RemovalTellsWhetherTheRequestWasQueued) {
+TEST(StartQueue, RemoveReturnsWhetherTheRequestWasQueued) {
   StartQueue queue = QueueOfTwoClasses();
   const OpenRequest request = QueuedRequest(0, 100);
   EXPECT_FALSE(queue.Remove(1, request));
--- a/tests/policy/tenant_quotas_test.cpp
+++ b/tests/policy/tenant_quotas_test.cpp
@@ -1,4 +1,4 @@
-// Requests above the quota of their tenant.
+// Tests of TenantQuotas: requests above the quota of their tenant.
 #include "policy/tenant_quotas.h"
 
 #include <gtest/gtest.h>
@@ -11,7 +11,8 @@
 namespace hingelink {
 namespace {
 
-// On one server of a large fleet a small tenant has a request every few seconds.
+// On one server of a large fleet, a small tenant sends a request only every few seconds, so its bucket is
+// often empty.
 TEST(TenantQuotas, TenantBelowItsTrafficFractionIsNotOverItsQuota) {
   Settings settings = TwoTenantSettings();
   PolicyHost host(settings);
@@ -37,7 +38,7 @@
   EXPECT_EQ(host.starts[1], 0);
 }
 
-TEST(TenantQuotas, BusyServerRejectsWhatIsOverQuota) {
+TEST(TenantQuotas, BusyServerRejectsRequestOverQuota) {
   Settings settings = TwoTenantSettings();
   PolicyHost host(settings);
   host.SetBusy(true);
@@ -53,7 +54,7 @@
   EXPECT_EQ(host.starts[2], 1);
 }
 
-// A caller that stays away does so with the requests of all its tenants.
+// A caller applies Retry-After to the requests of all its tenants.
 TEST(TenantQuotas, RejectionOverQuotaAdvisesAMinimalRetryAfter) {
   const auto longest_retry_after = [](double quota) {
     Settings settings = TwoTenantSettings();
@@ -65,7 +66,7 @@
     for (RequestId id = 10; id < 80; ++id) {
       for (const Action& action : host.Step({host.MakeArrival(id)})) {
         const auto* reject = std::get_if<Reject>(&action);
-        if (reject == nullptr || id < 40) continue;  // The first are within the tolerated deviations.
+        if (reject == nullptr || id < 40) continue;  // The first requests are within the tolerated deviation.
         EXPECT_GT(reject->retry_after_ms, 0);
         longest = std::max(longest, reject->retry_after_ms);
       }
@@ -76,7 +77,7 @@
   EXPECT_LE(longest_retry_after(0.001), 1);
 }
 
-TEST(TenantQuotas, RejectionOverQuotaAdvisesNoOtherServer) {
+TEST(TenantQuotas, RejectionOverQuotaSetsNoOtherServer) {
   Settings settings = TwoTenantSettings();
   PolicyHost host(settings);
   host.runnable = 4;
@@ -136,14 +137,14 @@
   EXPECT_GT(CountOverQuota(quotas, 50, false, 0), 40);
 }
 
-TEST(TenantQuotas, ArrivalsAtTheRateOfTheQuotaAreWithinIt) {
+TEST(TenantQuotas, ArrivalsAtTheQuotaRateAreNotOverQuota) {
   const Settings settings = SmallQuotaSettings();
   policy::TenantQuotas quotas(settings);
   quotas.Reset();
   EXPECT_EQ(CountOverQuota(quotas, 50, false, 1001), 0);
 }
 
-TEST(TenantQuotas, RetriesTakeNothingFromTheBucket) {
+TEST(TenantQuotas, RetriesTakeNoTokens) {
   const Settings settings = SmallQuotaSettings();
   policy::TenantQuotas quotas(settings);
   quotas.Reset();
@@ -153,7 +154,7 @@
   EXPECT_FALSE(quotas.IsOverQuota({.tenant = 0}, false, refilled_at));
 }
 
-TEST(TenantQuotas, NothingIsOverQuotaIfThatHasTheFullWeight) {
+TEST(TenantQuotas, NoRequestIsOverQuotaIfOverQuotaWeightIsFull) {
   Settings settings = SmallQuotaSettings();
   settings.over_quota_weight_fraction = 1;
   policy::TenantQuotas quotas(settings);
--- a/tests/policy/upstream_call_limiter_test.cpp
+++ b/tests/policy/upstream_call_limiter_test.cpp
@@ -1,4 +1,4 @@
-// How many upstream calls are in flight.
+// Tests of UpstreamCallLimiter: how many upstream calls may be in flight.
 #include "policy/upstream_call_limiter.h"
 
 #include <gtest/gtest.h>
@@ -31,7 +31,7 @@
   const int before = calls_made();
   EXPECT_GE(before, 1);
   EXPECT_LE(before, 4);
-  // The call goes on without its caller and keeps its place until its result.
+  // The call continues without its caller and counts as in flight until it ends.
   host.Step({CallerDisconnected{1}});
   host.AdvanceTo(host.now + 300);
   EXPECT_EQ(calls_made(), before);
@@ -39,7 +39,7 @@
   EXPECT_EQ(calls_made(), before + 1);
 }
 
-TEST(UpstreamCallLimiter, AbandonedCallKeepsItsPlaceForAWhile) {
+TEST(UpstreamCallLimiter, TimedOutCallDelaysTheNextCall) {
   Settings settings = TestSettings();
   settings.upstream_call_quota = 1.5;
   PolicyHost host(settings);
@@ -54,7 +54,7 @@
   EXPECT_EQ(host.upstream_calls[1] + host.upstream_calls[2], 2);
 }
 
-TEST(UpstreamCallLimiter, KeepsItsQuotaWhenDurationsVaryByChance) {
+TEST(UpstreamCallLimiter, QuotaFractionStaysHighWhenCallDurationsVaryRandomly) {
   Settings settings = TestSettings();
   settings.upstream_call_quota = 20;
   settings.cores = 1000;
@@ -76,7 +76,7 @@
     host.Step({UpstreamCallFinished{next->first, Outcome::kOk, length(draw)}});
     if (i >= 200) in_flight += static_cast<double>(host.upstream_calls.size() - done.size()) / 600;
   }
-  EXPECT_GT(in_flight, 11);  // Of a quota of 20, of which at most 14 are used.
+  EXPECT_GT(in_flight, 11);  // The quota is 20, of which at most 14 calls are used.
 }
 
 TEST(UpstreamCallLimiter, AllowsFewerCallsInFlightWhileTheyTakeLonger) {
@@ -117,7 +117,7 @@
   EXPECT_FALSE(limiter.MayStart());
 }
 
-TEST(UpstreamCallLimiter, AbandonedCallOccupiesTheUpstreamForItsTime) {
+TEST(UpstreamCallLimiter, AbandonedCallCountsAsInFlightForAbandonedCallMs) {
   const Settings settings = TestSettings();
   policy::UpstreamCallLimiter limiter(settings, 1);
   limiter.BeginStep(0);
@@ -130,7 +130,7 @@
   EXPECT_TRUE(limiter.MayStart());
 }
 
-TEST(UpstreamCallLimiter, WithoutAQuotaNothingIsLimited) {
+TEST(UpstreamCallLimiter, CallsAreUnlimitedWithoutAQuota) {
   Settings settings = TestSettings();
   settings.upstream_call_quota = 0;
   policy::UpstreamCallLimiter limiter(settings, 1);
@@ -140,7 +140,7 @@
   EXPECT_EQ(limiter.MaxCallMs(), policy::kForever);
 }
 
-TEST(UpstreamCallLimiter, IsSaturatedByMoreThanOneAndAHalfWaitingCallsPerCall) {
+TEST(UpstreamCallLimiter, IsSaturatedAboveOneAndAHalfWaitingCallsPerAllowedCall) {
   const Settings settings = TestSettings();  // Half of a quota of four.
   const policy::UpstreamCallLimiter limiter(settings, 1);
   EXPECT_FALSE(limiter.IsSaturated(3));
--- a/tests/policy/upstream_call_quota_test.cpp
+++ b/tests/policy/upstream_call_quota_test.cpp
@@ -1,4 +1,4 @@
-// Quotas below one upstream call.
+// Tests of quotas below one upstream call.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -11,7 +11,7 @@
 namespace hingelink {
 namespace {
 
-TEST(UpstreamCallQuota, QuotaBelowOneCallIsKeptAsAMean) {
+TEST(UpstreamCallQuota, QuotaBelowOneCallLimitsTheMeanCallsInFlight) {
   Settings settings = TestSettings();
   settings.upstream_call_quota = 0.5;
   settings.cores = 20;
@@ -40,7 +40,7 @@
   EXPECT_LE(in_flight_ms / (host.now - began_at), 0.5);
 }
 
-// Together the servers must stay below the sum of their quotas over the window, from the first second on.
+// All servers together must stay below the sum of their quotas over the first quota window.
 TEST(UpstreamCallQuota, FleetWithQuotasBelowOneDoesNotOverloadAHungUpstream) {
   constexpr int kServers = 60;
   Settings settings = TestSettings();
@@ -49,7 +49,7 @@
   double spent_ms = 0;
   for (int server = 0; server < kServers; ++server) {
     PolicyHost host(settings, 100 + server);
-    std::map<RequestId, double> ends;  // Of the calls in flight, by their timeouts.
+    std::map<RequestId, double> ends;  // When each call in flight times out.
     const double began_at = host.now;
     const double window_end = began_at + settings.upstream_call_quota_window_ms;
     const auto count_calls = [&](const std::vector<Action>& actions) {
--- a/tests/policy/upstream_calls_test.cpp
+++ b/tests/policy/upstream_calls_test.cpp
@@ -1,4 +1,4 @@
-// Which execution may call the upstream, and what happens when a call fails.
+// Tests of UpstreamCalls: which execution may call the upstream, and how failed calls are handled.
 #include "policy/upstream_calls.h"
 
 #include <gtest/gtest.h>
@@ -9,7 +9,7 @@
 namespace hingelink {
 namespace {
 
-TEST(UpstreamCalls, CallWithAnEffectIsRetriedOnlyIfProvenNotRun) {
+TEST(UpstreamCalls, CallThatIsNotIdempotentIsRetriedOnlyIfProvenNotRun) {
   for (const ClassIndex class_index : {kPay, kOnce}) {
     for (const Outcome outcome : {Outcome::kError, Outcome::kTimeout, Outcome::kReset}) {
       PolicyHost host;
@@ -31,7 +31,7 @@
   }
 }
 
-// An upstream that rejects calls does so for a while.
+// An upstream that rejects a call is likely to reject an immediate retry too.
 TEST(UpstreamCalls, RejectedCallIsRetriedLaterNotAtOnce) {
   Settings settings = TestSettings();
   settings.upstream_call_quota = 1.5;  // One call at a time.
@@ -48,7 +48,7 @@
   EXPECT_EQ(host.failures[1], 0);
 }
 
-TEST(UpstreamCalls, FallbackLeavesTheCallsToThoseThatGainMost) {
+TEST(UpstreamCalls, LeastValuableWaitingCallFallsBackWhenTooManyWait) {
   Settings settings = TestSettings();
   settings.upstream_call_quota = 1;
   settings.cores = 8;
@@ -60,13 +60,13 @@
   }
   host.Arrive(3, kPay);
   host.Step({UpstreamCallRequested{3}});
-  // One call is in flight, and two requests wait, which is one too many.
+  // One call is in flight and two calls wait, of which one is above the limit.
   EXPECT_EQ(host.upstream_calls[1], 1);
   EXPECT_EQ(host.fallbacks[2], 1);
   EXPECT_EQ(host.fallbacks[3] + host.failures[3], 0);
 }
 
-TEST(UpstreamCalls, TimeoutLeadsToTheFallbackIfItHasAWeight) {
+TEST(UpstreamCalls, TimedOutCallUsesTheFallbackIfItHasAWeight) {
   PolicyHost host;
   host.Arrive(1, kFind);
   host.Step({UpstreamCallRequested{1}});
@@ -85,7 +85,7 @@
   EXPECT_EQ(host.upstream_calls[1], 1);
 }
 
-TEST(UpstreamCalls, CallThatGainsMostStartsFirst) {
+TEST(UpstreamCalls, MostValuableCallStartsFirst) {
   Settings settings = TestSettings();
   settings.upstream_call_quota = 2;  // One call at a time.
   PolicyParts parts(settings);
@@ -98,17 +98,17 @@
   EXPECT_EQ(parts.Emitted<StartUpstreamCall>()[0].id, 2u);
 }
 
-TEST(UpstreamCalls, CallWithAFallbackEndsInTimeForTheObjective) {
+TEST(UpstreamCalls, TimeoutOfACallWithFallbackLeavesTimeForTheObjective) {
   PolicyParts parts;
   parts.Open(1, kFind).state = policy::RequestState::kRunning;
   parts.calls.OnRequested({.id = 1}, 0);
   parts.calls.StartWaiting(0);
   ASSERT_EQ(parts.Emitted<StartUpstreamCall>().size(), 1u);
-  // The objective of 1,000 ms less four fifths of the estimated 150 ms of an execution.
+  // The objective of 1,000 ms minus 0.8 of the estimated duration of 150 ms.
   EXPECT_DOUBLE_EQ(parts.Emitted<StartUpstreamCall>()[0].timeout_ms, 880);
 }
 
-TEST(UpstreamCalls, CallOfAnAnsweredRequestIsFailed) {
+TEST(UpstreamCalls, CallOfAnAnsweredRequestFailsWithoutStarting) {
   PolicyParts parts;
   policy::OpenRequest& request = parts.Open(1, kPay);
   request.state = policy::RequestState::kRunning;
