--- a/include/hingelink/server_policy.h
+++ b/include/hingelink/server_policy.h
@@ -27,8 +27,8 @@
 
 // Whether a request may be executed more than once.
 enum class Idempotency {
-  kIdempotent,  // Repeated execution is harmless.
-  kKeyed,       // Attempts share an idempotency key; the result of the first execution answers all of them.
+  kIdempotent,     // Repeated execution is harmless.
+  kKeyed,          // Attempts share a key; the result of the first execution answers all of them.
   kNotIdempotent,  // The request must never be executed twice.
 };
 
@@ -95,7 +95,7 @@
   double idempotency_key_kb = 0;
   // How long the result of a read can answer other reads of the same subject. 0: results are not shared.
   double read_cache_ttl_ms = 0;
-  // Whether the server has only started and does not run at full speed yet.
+  // Whether the server started recently and does not run at full speed yet.
   bool warming_up = false;
   // Lower bound of the speed while the server is warming up, as a fraction of the full speed.
   double warm_up_speed_fraction = 1;
--- a/src/policy/concurrency_limiter.h
+++ b/src/policy/concurrency_limiter.h
@@ -2,8 +2,8 @@
 //
 // A proportional controller: each gauge sample adjusts the limit so that the number of runnable threads
 // approaches the number of cores plus kSpareRunnable. The limit rises only while requests are queued and the
-// executions have reached the limit. It never exceeds the sustainable number of executions (see
-// Settings::max_running_per_core).
+// number of executions is at most one below the limit. The limit never exceeds the sustainable number of
+// executions (see Settings::max_running_per_core).
 #ifndef HINGELINK_POLICY_CONCURRENCY_LIMITER_H_
 #define HINGELINK_POLICY_CONCURRENCY_LIMITER_H_
 
--- a/tests/policy/dispatch_test.cpp
+++ b/tests/policy/dispatch_test.cpp
@@ -30,8 +30,7 @@
   host.FillCores();
   host.SetBusy(true);
   host.Arrive(1);
-  host.AdvanceTo(host.now +
-                 980);  // Too little time is left until the objective; a late answer has no weight.
+  host.AdvanceTo(host.now + 980);  // The objective can no longer be met; a late answer has no weight.
   host.Finish(1000);
   EXPECT_EQ(host.starts[1], 0);
   EXPECT_EQ(host.rejections[1], 1);
--- a/tests/policy/learned_state_test.cpp
+++ b/tests/policy/learned_state_test.cpp
@@ -52,8 +52,8 @@
     }
     return host.ExportLearned().classes.at(0).run_ms;
   };
-  EXPECT_GT(serve(12),
-            24);  // More than half of the way from 10 to 40 ms after as many executions as imported samples.
+  // As many executions as imported samples move the mean at least about half of the way from 10 to 40 ms.
+  EXPECT_GT(serve(12), 24);
   EXPECT_GT(serve(40), 34);
 }
 
--- a/tests/policy/reconfigure_test.cpp
+++ b/tests/policy/reconfigure_test.cpp
@@ -52,8 +52,8 @@
     settings.classes.back().name = name;
     host.Reconfigure(settings);
     int count = 0;
-    for (RequestId id = 100; id < 120; ++id)
-      host.Arrive(id, kOnce);  // The index of the class "read" in the new settings.
+    // kOnce is the index of the class "read" in the new settings.
+    for (RequestId id = 100; id < 120; ++id) host.Arrive(id, kOnce);
     for (const auto& [id, times] : host.rejections) count += times;
     return count;
   };
--- a/tests/policy/request_completion_test.cpp
+++ b/tests/policy/request_completion_test.cpp
@@ -49,7 +49,7 @@
     host.Arrive(2, kOnce);
     host.Step({CallerDisconnected{1}, CallerDisconnected{2}});
     EXPECT_EQ(host.cancellations[1], can_cancel ? 1 : 0);
-    EXPECT_EQ(host.cancellations[2], 0);  // A request that is not idempotent is not cancelled.
+    EXPECT_EQ(host.cancellations[2], 0);  // Not idempotent; the execution may have had an effect.
     host.Finish(1, Outcome::kCancelled);
     host.Arrive(3);
     EXPECT_EQ(host.starts[3], 1);
@@ -73,7 +73,7 @@
   host.Finish(1000, Outcome::kCancelled);
   host.Arrive(2);
   EXPECT_EQ(host.starts[2], 0);
-  host.Step({CallerDisconnected{1}});  // The execution ends without being cancelled.
+  host.Step({CallerDisconnected{1}});  // The host ignores the cancellation.
   host.Finish(1);
   EXPECT_EQ(host.starts[2], 1);
   EXPECT_EQ(host.rejections.size(), 0u);
