--- a/src/net/connection_set.cpp
+++ b/src/net/connection_set.cpp
@@ -11,16 +11,16 @@
 
 using namespace std::chrono_literals;
 
-// Slow peers are given up by looks, not by the clock: a pause of the whole machine then counts as one look.
-constexpr auto kLook = 250ms;
-// Without a byte either way behind the wish for no more, after which a connection is ended. Twice the time
-// within which a request that crosses the close is sent again.
-constexpr auto kQuiet = 100ms;
-constexpr auto kQuietSweep = 25ms;
-
-// Whether the peer may still have answers to read, or something on its way, so that the connection is not to
-// be reset under it. The others are over on the peer's side, or their descriptor is needed at once.
-bool Lingers(EndReason reason) {
+// Timeouts count these checks instead of elapsed time, so that a pause of the whole machine counts only once.
+constexpr auto kTimeoutCheckInterval = 250ms;
+// During a handover, a connection without traffic for this long is closed. It is twice the time within which
+// a client resends a request that crosses the close.
+constexpr auto kHandoverIdleTime = 100ms;
+constexpr auto kHandoverSweepInterval = 25ms;
+
+// Whether the socket is closed by the LingeringCloser, because the peer may still have answers to read or
+// data in transit and must not see a reset. Otherwise the peer is gone or the descriptor is needed at once.
+bool ShouldLinger(EndReason reason) {
   switch (reason) {
     case EndReason::kFraming:
     case EndReason::kSilent:
@@ -46,10 +46,10 @@
     : base_(base),
       events_(std::move(events)),
       idle_sweep_(base, [this] { SweepIdle(); }),
-      look_(base, [this] { LookForSlow(); }),
-      quiet_sweep_(base, [this] { CloseIdleForHandover(); }),
+      timeout_check_(base, [this] { CloseTimedOut(); }),
+      handover_sweep_(base, [this] { CloseIdleForHandover(); }),
       lingering_(base, events_.closed) {
-  look_.Start(kLook);
+  timeout_check_.Start(kTimeoutCheckInterval);
 }
 
 ConnectionSet::~ConnectionSet() { Shutdown({}); }
@@ -58,7 +58,7 @@
   std::vector<Snapshot> seen;
   for (const auto& [id, connection] : connections_) {
     if (seen.size() >= most) break;
-    seen.push_back(connection->AsSeen());
+    seen.push_back(connection->TakeSnapshot());
   }
   return seen;
 }
@@ -78,64 +78,66 @@
   connections_.emplace(id, std::make_unique<Connection>(*this, id, fd, accepted));
 }
 
-// Guards against connections of clients that never close: they would hold descriptors that the successor
-// needs, and this process for as long as it may live.
+// Clients that never close would hold descriptors that the successor needs, and would keep this process alive
+// up to its maximum lifetime.
 void ConnectionSet::CloseIdleForHandover() {
-  const Steady::time_point limit = Steady::now() - kQuiet;
+  const Steady::time_point limit = Steady::now() - kHandoverIdleTime;
   std::vector<std::uint64_t> quiet;
   for (const auto& [id, connection] : connections_) {
-    if (connection->last_used() < limit && connection->Spare()) quiet.push_back(id);
+    if (connection->last_used() < limit && connection->IsEvictable()) quiet.push_back(id);
   }
   for (const std::uint64_t id : quiet) End(id, EndReason::kHandedOver);
-  quiet_sweep_.Start(kQuietSweep);
+  handover_sweep_.Start(kHandoverSweepInterval);
 }
 
-ConnectionSet::Connections::const_iterator ConnectionSet::FindLeastUseful() const {
+ConnectionSet::Connections::const_iterator ConnectionSet::FindEvictionCandidate() const {
   for (;;) {
     auto least = connections_.end();
     for (auto it = connections_.begin(); it != connections_.end(); ++it) {
-      const bool less = least == connections_.end() || it->second->usefulness() < least->second->usefulness();
-      if (less && it->second->MayBeSpare()) least = it;
+      const bool less =
+          least == connections_.end() || it->second->eviction_value() < least->second->eviction_value();
+      if (less && it->second->MayBeEvictable()) least = it;
     }
-    // Only the least useful one is asked for bytes unread; where it has some, it is passed over from now on.
-    if (least == connections_.end() || least->second->Spare()) return least;
-    if (least->second->MayBeSpare()) return connections_.end();
+    // Only the connection with the smallest value is checked for unread bytes. If it has some,
+    // MayBeEvictable() excludes it from then on.
+    if (least == connections_.end() || least->second->IsEvictable()) return least;
+    if (least->second->MayBeEvictable()) return connections_.end();
   }
 }
 
 std::optional<decide::ConnectionValue> ConnectionSet::EvictionCandidate() const {
-  constexpr int kOfNoUse = -1;  // Less than any connection that stands.
-  if (lingering_.size() > 0) return decide::ConnectionValue{kOfNoUse, std::chrono::nanoseconds(0)};
-  const auto least = FindLeastUseful();
-  return least == connections_.end() ? std::nullopt : std::optional(least->second->usefulness());
+  constexpr int kLingeringValue = -1;  // Less than the value of any open connection.
+  if (lingering_.size() > 0) return decide::ConnectionValue{kLingeringValue, std::chrono::nanoseconds(0)};
+  const auto least = FindEvictionCandidate();
+  return least == connections_.end() ? std::nullopt : std::optional(least->second->eviction_value());
 }
 
-// Guards against peers that take up all connections and ask nothing, so that no gateway gets one.
+// Prevents peers that send no requests from occupying all connections.
 bool ConnectionSet::EvictOne() {
   if (lingering_.CloseOldest()) return true;
-  const auto least = FindLeastUseful();
+  const auto least = FindEvictionCandidate();
   if (least == connections_.end()) return false;
   End(least->first, EndReason::kEvicted);
   return true;
 }
 
-void ConnectionSet::LookForSlow() {
+void ConnectionSet::CloseTimedOut() {
   std::vector<std::pair<std::uint64_t, EndReason>> over;
   for (const auto& [id, connection] : connections_) {
-    if (const auto reason = connection->Look()) over.emplace_back(id, *reason);
+    if (const auto reason = connection->CheckTimeouts()) over.emplace_back(id, *reason);
   }
   for (const auto& [id, reason] : over) End(id, reason);
-  look_.Start(kLook);
+  timeout_check_.Start(kTimeoutCheckInterval);
 }
 
 void ConnectionSet::End(std::uint64_t id, EndReason reason) {
   const auto it = connections_.find(id);
   if (it == connections_.end()) return;
-  if (asked_for_no_more_ && reason == EndReason::kPeerClosed) reason = EndReason::kDrained;
+  if (stop_sent_ && reason == EndReason::kPeerClosed) reason = EndReason::kDrained;
   ended_.push_back(std::move(it->second));
   connections_.erase(it);
-  Descriptor socket = ended_.back()->Detach(reason);
-  if (Lingers(reason)) {
+  Descriptor socket = ended_.back()->ReleaseSocket(reason);
+  if (ShouldLinger(reason)) {
     lingering_.Add(id, std::move(socket));
     return;
   }
@@ -149,14 +151,14 @@
   const auto it = connections_.find(to.connection);
   if (it == connections_.end()) return;
   it->second->Deliver(to.stream, answer);
-  if (it->second->given_up()) End(to.connection, EndReason::kSlowReader);
+  if (it->second->output_overflowed()) End(to.connection, EndReason::kSlowReader);
 }
 
 void ConnectionSet::AnswerHealthCheck(core::StreamAddress to, bool good) {
   const auto it = connections_.find(to.connection);
   if (it == connections_.end()) return;
   it->second->AnswerHealthCheck(to.stream, good);
-  if (it->second->given_up()) End(to.connection, EndReason::kSlowReader);
+  if (it->second->output_overflowed()) End(to.connection, EndReason::kSlowReader);
 }
 
 void ConnectionSet::CloseIdle(std::chrono::milliseconds after) {
@@ -169,25 +171,25 @@
   const Steady::time_point limit = Steady::now() - idle_after_;
   std::vector<std::uint64_t> idle;
   for (const auto& [id, connection] : connections_) {
-    if (connection->last_used() < limit && connection->Resting()) idle.push_back(id);
+    if (connection->last_used() < limit && connection->CanCloseWithoutLoss()) idle.push_back(id);
   }
   for (const std::uint64_t id : idle) End(id, EndReason::kIdle);
   idle_sweep_.Start(std::clamp(idle_after_ / 4, 10ms, 1000ms));
 }
 
 void ConnectionSet::StopNewRequests() {
-  asked_for_no_more_ = true;
+  stop_sent_ = true;
   for (const auto& [id, connection] : connections_) connection->StopNewRequests();
 }
 
 void ConnectionSet::CancelDrain() {
-  asked_for_no_more_ = false;
-  quiet_sweep_.Stop();
+  stop_sent_ = false;
+  handover_sweep_.Stop();
 }
 
-// Each that is still refused puts itself on the list again.
+// A connection whose reads are deferred again re-adds itself to the list.
 void ConnectionSet::ResumeReading() {
-  for (const std::uint64_t id : std::exchange(held_back_, {})) {
+  for (const std::uint64_t id : std::exchange(deferred_reads_, {})) {
     if (const auto it = connections_.find(id); it != connections_.end()) it->second->ResumeReading();
   }
 }
@@ -195,19 +197,19 @@
 std::optional<ConnectionSet::TransferState> ConnectionSet::Release(std::uint64_t id) {
   const auto it = connections_.find(id);
   if (it == connections_.end()) return std::nullopt;
-  std::optional<TransferState> moving = it->second->Release();
-  if (moving) {
+  std::optional<TransferState> state = it->second->Release();
+  if (state) {
     ended_.push_back(std::move(it->second));
     connections_.erase(it);
   }
-  return moving;
+  return state;
 }
 
-void ConnectionSet::Adopt(TransferState moving) {
-  const std::uint64_t id = moving.id;
-  const evutil_socket_t fd = moving.socket.release();
+void ConnectionSet::Adopt(TransferState state) {
+  const std::uint64_t id = state.id;
+  const evutil_socket_t fd = state.socket.release();
   const auto it = connections_.emplace(id, std::make_unique<Connection>(*this, id, fd, Steady::now())).first;
-  it->second->TakeOver(std::move(moving));
+  it->second->RestoreState(std::move(state));
 }
 
 std::uint64_t ConnectionSet::TakeFrameCounts(
@@ -215,7 +217,7 @@
   std::uint64_t sum = 0;
   std::vector<std::pair<std::uint64_t, std::uint64_t>> worked;  // Work and id.
   for (const auto& [id, connection] : connections_) {
-    const std::uint64_t work = connection->TakeFrameCounts();
+    const std::uint64_t work = connection->TakeFrameCount();
     sum += work;
     if (work > 0) worked.emplace_back(work, id);
   }
@@ -228,7 +230,7 @@
 
 bool ConnectionSet::AllSent() const {
   return std::all_of(connections_.begin(), connections_.end(),
-                     [](const auto& entry) { return entry.second->sent(); });
+                     [](const auto& entry) { return entry.second->all_sent(); });
 }
 
 }  // namespace hingelink::net
--- a/src/net/connection_set.h
+++ b/src/net/connection_set.h
@@ -1,4 +1,5 @@
-// The gateways' connections on one event loop, which speak frames. All of it on that loop's thread.
+// The gateway connections of one event loop, which use the frame protocol. Owns the connections. All methods
+// and callbacks run on the thread of that loop.
 #ifndef HINGELINK_NET_CONNECTION_SET_H_
 #define HINGELINK_NET_CONNECTION_SET_H_
 
@@ -41,50 +42,51 @@
   struct Events {
     std::function<void(const core::IncomingRequest&)> request;
     std::function<void(core::StreamAddress)>
-        disconnected;  // Nobody waits for this answer any more, or that of a check.
-    std::function<void(core::StreamAddress)> deep_check;  // A deep check. Empty: none is told.
-    // The counts of a class by its name, or null. Each answer is counted there as it is written.
+        disconnected;  // The caller of this request or health check no longer waits for the answer.
+    std::function<void(core::StreamAddress)>
+        deep_check;  // A deep check. May be empty: all checks are shallow.
+    // Returns the counters of a class by its name, or null. Each answer is counted there when it is written.
     std::function<core::ClassCountsPtr(std::string_view class_name)> class_counts;
-    // Its descriptor is free; after its last `gone`. May be empty.
+    // The descriptor of a connection was closed; called after its last `disconnected`. May be empty.
     std::function<void(std::uint64_t id)> closed;
-    // Whether one more frame may be read. Where it says no, all is left unread until ResumeReading(). May be
+    // Whether another frame may be read. If false, all input stays unread until ResumeReading(). May be
     // empty.
     std::function<bool()> may_read_frame;
-    std::function<void(std::uint64_t id)> before_read;  // Before it reads a connection. May be empty.
+    std::function<void(std::uint64_t id)> before_read;  // Called before a connection is read. May be empty.
   };
 
   ConnectionSet(event_base* base, Events events);
   ~ConnectionSet();
 
-  // Takes a connected socket, under a name that no other connection ever has.
+  // Takes ownership of a connected socket. `id` must never have been used for another connection.
   void Add(std::uint64_t id, evutil_socket_t fd, Steady::time_point accepted = Steady::now());
   void Deliver(core::StreamAddress to, const core::FinalAnswer& answer);
   void SetHealth(bool good, bool shallow) {
     healthy_ = good;
-    deep_ = !shallow;
+    deep_checks_ = !shallow;
   }
-  // Does nothing where the check's connection has ended.
+  // Does nothing if the connection of the health check is closed.
   void AnswerHealthCheck(core::StreamAddress to, bool good);
-  void SetLoadSignal(std::optional<double> value) { signal_ = value; }
+  void SetLoadSignal(std::optional<double> value) { load_signal_ = value; }
   void CloseIdle(std::chrono::milliseconds after);
-  // Asks for no new request on any connection that stands and has not been asked.
+  // Sends a stop-new-requests frame on each open connection that has not had one.
   void StopNewRequests();
-  // Connections are wanted again, behind StopNewRequests() and CloseIdleForHandover().
+  // Reverts to normal operation after StopNewRequests() and CloseIdleForHandover().
   void CancelDrain();
-  // From now on, until CancelDrain(): ends connections that have been asked for no more and are quiet.
+  // Until CancelDrain(), periodically closes connections that are idle. Call StopNewRequests() first.
   void CloseIdleForHandover();
-  // The least useful connection with which nothing is lost, if there is one.
+  // The value of the connection that EvictOne() would close, or nothing if none can be closed without loss.
   std::optional<decide::ConnectionValue> EvictionCandidate() const;
-  // Ends it. False where there is none.
+  // Closes that connection. Returns false if there is none.
   bool EvictOne();
-  // Reads on where `may_read` said no.
+  // Resumes reading on connections for which `may_read_frame` returned false.
   void ResumeReading();
 
-  // A connection on its way to another loop: between whole frames, with what it owes and is owed.
+  // The state of a connection that moves to another loop. It moves only between complete frames.
   struct TransferState {
     struct OpenRequest {
       std::uint32_t stream = 0;
-      std::string class_name;  // The name of its class; empty where it was none.
+      std::string class_name;  // Empty if the request had no known class.
       core::ClassCountsPtr counts;
     };
     std::uint64_t id = 0;
@@ -93,23 +95,23 @@
     std::string unsent_output;
     std::uint64_t request_count = 0;
     int malformed_count = 0;
-    bool has_served = false;  // It has been served.
+    bool has_served = false;  // A request was served on the connection.
     bool stop_sent = false;
   };
-  // Takes it out, without a word to `gone` or `ended`. Nothing where it does not stand, is ending, or has
-  // read a part of a frame.
+  // Removes a connection without calling `disconnected` or `closed`. Returns nothing if the connection does
+  // not exist, is closing, has a pending deep check, or has read a partial frame.
   std::optional<TransferState> Release(std::uint64_t id);
-  void Adopt(TransferState moving);
+  void Adopt(TransferState state);
 
-  // Frees the connections that ended since the last call. Not to be called from within a callback.
+  // Deletes the connections that were closed since the last call. Must not be called from a callback.
   void Sweep();
-  // Ends all connections, and waits for the peers to close as well, until then at most. Not to be called from
-  // within a callback.
+  // Closes all connections and waits until the peers have closed too, at most until `until`. Must not be
+  // called from a callback.
   void Shutdown(Steady::time_point until);
 
-  // Those that hold a descriptor: connections that stand, and those that wait for the peer to close.
+  // Connections that hold a descriptor: open ones, and those that wait for the peer to close.
   std::size_t size() const { return connections_.size() + lingering_.size(); }
-  // One connection as it stands.
+  // Statistics of one connection, for diagnosis.
   struct Snapshot {
     std::uint64_t id = 0;
     std::uint64_t requests = 0;
@@ -117,11 +119,11 @@
     std::size_t unsent_bytes = 0;
     Steady::duration idle_time{};
   };
-  // At most so many of those that stand.
+  // Statistics of at most `most` open connections, in no particular order.
   std::vector<Snapshot> TakeSnapshots(std::size_t most) const;
   bool AllSent() const;
-  // Frames read and answers written since the last call, in all; and of those connections that had most, most
-  // first, at most so many.
+  // Returns the number of frames read and answers written since the last call. Calls `heaviest` for at most
+  // `most` connections, in descending order of their own count.
   std::uint64_t TakeFrameCounts(std::size_t most,
                                 const std::function<void(std::uint64_t id, std::uint64_t work)>& heaviest);
 
@@ -130,25 +132,25 @@
 
   using Connections = std::unordered_map<std::uint64_t, std::unique_ptr<Connection>>;
 
-  Connections::const_iterator FindLeastUseful() const;
+  Connections::const_iterator FindEvictionCandidate() const;
   void End(std::uint64_t id, EndReason reason);
   void SweepIdle();
-  void LookForSlow();
+  void CloseTimedOut();
 
   event_base* base_;
   Events events_;
   Timer idle_sweep_;
-  Timer look_;
-  Timer quiet_sweep_;
+  Timer timeout_check_;
+  Timer handover_sweep_;
   std::chrono::milliseconds idle_after_{0};
   bool healthy_ = true;
-  bool deep_ = false;  // Deep checks are told, and wait.
-  bool asked_for_no_more_ = false;
-  std::optional<double> signal_;
+  bool deep_checks_ = false;  // Deep checks are passed to Events::deep_check.
+  bool stop_sent_ = false;
+  std::optional<double> load_signal_;
   Connections connections_;
   std::vector<std::unique_ptr<Connection>> ended_;
   LingeringCloser lingering_;
-  std::vector<std::uint64_t> held_back_;  // With whole frames that `may_read` has left unread.
+  std::vector<std::uint64_t> deferred_reads_;  // Connections that wait for ResumeReading().
 };
 
 }  // namespace hingelink::net
--- a/src/net/gateway/connection.h
+++ b/src/net/gateway/connection.h
@@ -1,4 +1,5 @@
-// One connection of a gateway: frames in, answers out, and when it is to be ended. A part of the set.
+// One connection of a gateway: parses frames, writes answers and enforces timeouts. Owned by its
+// ConnectionSet and used on the thread of its event loop only.
 #ifndef HINGELINK_NET_GATEWAY_CONNECTION_H_
 #define HINGELINK_NET_GATEWAY_CONNECTION_H_
 
@@ -22,86 +23,87 @@
   void AnswerHealthCheck(std::uint32_t stream, bool good);
 
   void StopNewRequests();
-  ConnectionSet::Snapshot AsSeen() const;
+  ConnectionSet::Snapshot TakeSnapshot() const;
 
-  std::uint64_t TakeFrameCounts() { return std::exchange(work_, 0); }
+  std::uint64_t TakeFrameCount() { return std::exchange(frame_count_, 0); }
 
-  // Reads on behind a `may_read` that said no.
+  // Resumes reading after Events::may_read_frame returned false.
   void ResumeReading();
   std::optional<ConnectionSet::TransferState> Release();
 
-  void TakeOver(ConnectionSet::TransferState moving);
+  void RestoreState(ConnectionSet::TransferState state);
   bool idle() const;
-  bool given_up() const { return given_up_; }
-  bool sent() const { return UnsentBytes(bev_.get()) == 0; }
+  bool output_overflowed() const { return output_overflowed_; }
+  bool all_sent() const { return UnsentBytes(bev_.get()) == 0; }
   Steady::time_point last_used() const { return last_used_; }
 
-  // Nothing is open on it, nothing is unsent, and nothing that the peer has sent is left to read, not even a
-  // part of a frame: it can be closed without loss.
-  bool Resting() const;
-  // Least first: what is to be ended first to make room.
-  decide::ConnectionValue usefulness() const;
-  // Whether it may be ended to make room: it rests, or has stood in its first frame for a while. Guards
-  // against half frames that take all descriptors.
-  bool Spare() const;
-  // Whether it may be, as far as that is known without a system call; where it says no, Spare() does.
-  bool MayBeSpare() const;
-
-  // Why it is to be ended by now. Guards against peers that say nothing, stop in the middle of a frame, take
-  // no answers, or do not close after a fault.
-  std::optional<EndReason> Look();
-
-  // Stops all callbacks and tells of the requests that nobody can be answered any more. Gives the socket,
-  // which is still to be closed.
-  Descriptor Detach(EndReason reason);
+  // True if no request or check is open, no output is unsent, and no input is unread, not even a partial
+  // frame. Asks the kernel for unread bytes.
+  bool CanCloseWithoutLoss() const;
+  // The connection with the smallest value is evicted first.
+  decide::ConnectionValue eviction_value() const;
+  // Whether the connection may be evicted: it can be closed without loss, or has not completed its first
+  // frame for some time. The latter prevents clients with partial frames from using up all descriptors.
+  bool IsEvictable() const;
+  // Like IsEvictable(), but without a system call: false implies that IsEvictable() is false as well.
+  bool MayBeEvictable() const;
+
+  // Called periodically. Returns the reason to close the connection if a limit is exceeded: the peer is
+  // silent, stops within a frame, does not read answers, or does not close after a framing error.
+  std::optional<EndReason> CheckTimeouts();
+
+  // Disables all callbacks and reports open requests and checks as disconnected. Returns the socket, which
+  // the caller has to close.
+  Descriptor ReleaseSocket(EndReason reason);
 
  private:
-  // What it has been good for, least first.
-  enum class Use { kNone, kFrames, kServed };
-  // No part of a frame has been read.
+  // The most valuable use of the connection so far, in ascending order of value.
+  enum class Usage { kNone, kFrames, kServed };
+  // True if the connection is idle and no part of a frame has been read.
   bool BetweenFrames() const;
   bool StuckInFirstFrame() const;
-  void Read();
+  void ReadFrames();
 
-  void Take(const proto::FrameHeader& head, std::string_view payload, bool too_long);
-  void TakeCheck(std::uint32_t stream, std::string_view payload);
+  void HandleFrame(const proto::FrameHeader& head, std::string_view payload, bool too_long);
+  void HandleHealthCheck(std::uint32_t stream, std::string_view payload);
 
-  void TakeRequest(std::uint32_t stream, std::string_view payload, bool too_long);
+  void HandleRequest(std::uint32_t stream, std::string_view payload, bool too_long);
 
-  // Every final answer passes here, also those to requests that the node never took.
+  // Writes and counts every final answer, including those to requests that were rejected here.
   void Answer(std::uint32_t stream, core::ClassCounts* counts, const core::FinalAnswer& answer);
   void Write(std::string_view bytes);
 
-  void Written();
+  void OnOutputSent();
 
-  // What follows cannot be read: what is open is failed, stream 0 tells of the error, and the connection ends
-  // once the peer closes or its time is over. Guards the error on its way: a close with bytes unread resets.
-  void Fault(const char* what);
-  void LetGo();
+  // Handles input that cannot be parsed any further: fails all open requests and sends an error on stream 0.
+  // The connection is closed once the peer closes or the time limit expires, because closing the socket with
+  // unread input would reset it and could destroy the error frame.
+  void FailFraming(const char* what);
+  void DiscardInput();
 
-  void Event(short what);
+  void OnEvent(short what);
 
   ConnectionSet& set_;
   std::uint64_t id_;
   BufferPtr bev_;
-  std::unordered_map<std::uint32_t, core::ClassCountsPtr> open_;  // Streams that are owed an answer.
-  std::set<std::uint32_t> checks_;                                // Streams whose deep checks wait.
-  std::size_t skip_ = 0;                                          // Bytes of an overlong frame still to come.
-  std::size_t let_go_ = 0;                                        // Bytes that came behind a fault.
-  std::uint64_t requests_ = 0;
-  std::uint64_t work_ = 0;     // Frames read and answers written, since it was last asked.
-  std::uint64_t written_ = 0;  // Bytes of answers in all, and how many the peer had taken at the last look.
-  std::uint64_t taken_ = 0;
-  int malformed_ = 0;
-  int frame_looks_ = 0, quiet_looks_ = 0, fault_looks_ = 0, stalled_looks_ = 0;
-  Use use_ = Use::kNone;
-  const char* fault_ = nullptr;
-  bool ending_ = false;
+  std::unordered_map<std::uint32_t, core::ClassCountsPtr> open_;  // Streams with an unanswered request.
+  std::set<std::uint32_t> health_checks_;                         // Streams with a pending deep check.
+  std::size_t bytes_to_skip_ = 0;                                 // Outstanding bytes of an overlong frame.
+  std::size_t discarded_bytes_ = 0;                               // Bytes received after a framing error.
+  std::uint64_t request_count_ = 0;
+  std::uint64_t frame_count_ = 0;   // Frames read and answers written since TakeFrameCount().
+  std::uint64_t output_bytes_ = 0;  // Bytes written in total; next: those sent by the last check.
+  std::uint64_t last_sent_bytes_ = 0;
+  int malformed_count_ = 0;
+  int frame_checks_ = 0, silence_checks_ = 0, framing_error_checks_ = 0, stalled_output_checks_ = 0;
+  Usage usage_ = Usage::kNone;
+  const char* framing_error_ = nullptr;
+  bool closing_ = false;
   bool reading_paused_ = false;
-  mutable bool known_unread_ = false;  // Bytes lie unread in the kernel; stays so until Read().
-  bool held_back_ = false;
-  bool given_up_ = false;
-  bool asked_for_no_more_ = false;
+  mutable bool has_unread_bytes_ = false;  // The kernel holds unread bytes; reset by ReadFrames().
+  bool read_deferred_ = false;
+  bool output_overflowed_ = false;
+  bool stop_sent_ = false;
   Steady::time_point last_used_;
 };
 
--- a/src/net/lingering_closer.cpp
+++ b/src/net/lingering_closer.cpp
@@ -9,13 +9,13 @@
 namespace hingelink::net {
 namespace {
 
-// Read in one callback, so that a peer that floods leaves the other sockets their turn.
-constexpr std::size_t kBytesAtOnce = std::size_t{16} * 1024;
+// Maximum read in one callback, so that a peer that floods does not starve the other sockets.
+constexpr std::size_t kMaxReadBytes = std::size_t{16} * 1024;
 
 }  // namespace
 
-LingeringCloser::LingeringCloser(event_base* base, Closed closed)
-    : base_(base), closed_(std::move(closed)), overdue_(base, [this] { CloseOverdue(); }) {}
+LingeringCloser::LingeringCloser(event_base* base, ClosedCallback closed)
+    : base_(base), closed_(std::move(closed)), deadline_timer_(base, [this] { CloseExpired(); }) {}
 
 void LingeringCloser::Add(std::uint64_t id, Descriptor descriptor) {
   const bool half_closed = shutdown(descriptor.get(), SHUT_WR) == 0;
@@ -23,20 +23,20 @@
   socket.owner = this;
   socket.id = id;
   socket.descriptor = std::move(descriptor);
-  socket.until = Steady::now() + kLingerTime;
+  socket.deadline = Steady::now() + kLingerTime;
   socket.self = std::prev(sockets_.end());
   if (half_closed) {
     socket.readable.reset(event_new(
         base_, socket.descriptor.get(), EV_READ | EV_PERSIST,
         [](evutil_socket_t, short, void* self) {
           auto& readable = *static_cast<Socket*>(self);
-          readable.owner->Drop(readable);
+          readable.owner->DiscardInput(readable);
         },
         &socket));
   }
-  // The peer has reset it, or there is no memory to wait for its end.
+  // The peer has reset the connection, or libevent could not allocate or add the event.
   if (!socket.readable || event_add(socket.readable.get(), nullptr) != 0) return Close(socket.self);
-  if (sockets_.size() == 1) overdue_.Start(kLingerTime);
+  if (sockets_.size() == 1) deadline_timer_.Start(kLingerTime);
 }
 
 bool LingeringCloser::CloseOldest() {
@@ -45,13 +45,13 @@
   return true;
 }
 
-void LingeringCloser::Drop(Socket& socket) {
-  std::array<char, kBytesAtOnce> dropped;
-  const ssize_t got = recv(socket.descriptor.get(), dropped.data(), dropped.size(), MSG_DONTWAIT);
+void LingeringCloser::DiscardInput(Socket& socket) {
+  std::array<char, kMaxReadBytes> discarded;
+  const ssize_t got = recv(socket.descriptor.get(), discarded.data(), discarded.size(), MSG_DONTWAIT);
   if (got < 0 && (errno == EAGAIN || errno == EINTR)) return;
   if (got > 0) {
-    socket.dropped_bytes += static_cast<std::size_t>(got);
-    if (socket.dropped_bytes <= kLingerBytes) return;
+    socket.discarded_bytes += static_cast<std::size_t>(got);
+    if (socket.discarded_bytes <= kLingerBytes) return;
   }
   Close(socket.self);
 }
@@ -62,10 +62,10 @@
   if (closed_) closed_(id);
 }
 
-void LingeringCloser::CloseOverdue() {
+void LingeringCloser::CloseExpired() {
   const Steady::time_point now = Steady::now();
-  while (!sockets_.empty() && sockets_.front().until <= now) Close(sockets_.begin());
-  if (!sockets_.empty()) overdue_.Start(sockets_.front().until - now);
+  while (!sockets_.empty() && sockets_.front().deadline <= now) Close(sockets_.begin());
+  if (!sockets_.empty()) deadline_timer_.Start(sockets_.front().deadline - now);
 }
 
 }  // namespace hingelink::net
--- a/src/net/lingering_closer.h
+++ b/src/net/lingering_closer.h
@@ -1,9 +1,7 @@
-// Ends connections in good order: half-closes the socket, reads and drops what still arrives until the peer
-// closes too, and closes only then. A close over unread bytes would reset the connection, and answers that
-// the peer has not read yet would be lost with it.
-//
-// Bounds: each socket lingers for at most kLingerTime and kLingerBytes. All of them hold descriptors, which
-// the owner counts by size() and may take back by CloseOldest().
+// Closes sockets gracefully: half-closes the socket, discards further input until the peer closes too, and
+// closes it only then. Closing a socket with unread input would reset the connection, and the peer would lose
+// answers that it has not read yet. Each socket lingers for at most kLingerTime and kLingerBytes of input.
+// Lingering sockets hold descriptors: the owner counts them by size() and can free one by CloseOldest().
 #ifndef HINGELINK_NET_LINGERING_CLOSER_H_
 #define HINGELINK_NET_LINGERING_CLOSER_H_
 
@@ -23,11 +21,11 @@
   static constexpr std::size_t kLingerBytes = 4 << 20;
 
   // `closed` is called with the id of a socket once its descriptor is free. It may be empty.
-  using Closed = std::function<void(std::uint64_t id)>;
-  LingeringCloser(event_base* base, Closed closed);
+  using ClosedCallback = std::function<void(std::uint64_t id)>;
+  LingeringCloser(event_base* base, ClosedCallback closed);
 
   void Add(std::uint64_t id, Descriptor socket);
-  // Closes the socket that has lingered longest. False where there is none.
+  // Closes the socket that has lingered longest. Returns false if there is none.
   bool CloseOldest();
   std::size_t size() const { return sockets_.size(); }
 
@@ -37,19 +35,19 @@
     std::uint64_t id = 0;
     Descriptor descriptor;
     EventPtr readable;
-    std::size_t dropped_bytes = 0;
-    Steady::time_point until{};
+    std::size_t discarded_bytes = 0;
+    Steady::time_point deadline{};
     std::list<Socket>::iterator self{};
   };
 
-  void Drop(Socket& socket);
+  void DiscardInput(Socket& socket);
   void Close(std::list<Socket>::iterator socket);
-  void CloseOverdue();
+  void CloseExpired();
 
   event_base* base_;
-  Closed closed_;
-  std::list<Socket> sockets_;  // In the order of their ends.
-  Timer overdue_;
+  ClosedCallback closed_;
+  std::list<Socket> sockets_;  // In the order of their deadlines.
+  Timer deadline_timer_;
 };
 
 }  // namespace hingelink::net
--- a/src/net/listener.cpp
+++ b/src/net/listener.cpp
@@ -17,15 +17,15 @@
 
 using namespace std::chrono_literals;
 
-constexpr auto kAgain = 50ms;
+constexpr auto kAcceptRetryDelay = 50ms;  // After a failed accept.
 constexpr int kBacklog = 1024;
-// Connections accepted before the others, which may have sent something by now, have their turn. Guards
-// against a flood that fills the descriptors with connections of which none has been read yet.
-constexpr int kAcceptedAtOnce = 16;
+// Connections accepted before the events of other connections are handled. Otherwise a flood of new
+// connections could use up the descriptors before any connection has been read.
+constexpr int kMaxAcceptsPerTurn = 16;
 
-// The kernel drops every packet to this socket itself, so that no handshake begins or ends on it: whoever
-// comes now is refused once the socket is closed. Where the system does not allow it, a connection may still
-// slip in.
+// Attaches a packet filter that drops every packet to the listening socket, so that no TCP handshake starts
+// or completes. New clients are refused once the socket is closed. If the system does not allow the filter, a
+// connection may still be established and reset.
 void RefuseHandshakes(evutil_socket_t listener) {
   sock_filter drop_all[] = {BPF_STMT(BPF_RET | BPF_K, 0)};
   const sock_fprog program{std::size(drop_all), drop_all};
@@ -34,8 +34,9 @@
 
 }  // namespace
 
-Listener::Listener(event_base* base, const sockaddr_in& address, Descriptor handed_over, Accepted accepted)
-    : accepted_(std::move(accepted)), again_(base, [this] {
+Listener::Listener(event_base* base, const sockaddr_in& address, Descriptor handed_over,
+                   AcceptCallback on_accept)
+    : on_accept_(std::move(on_accept)), retry_timer_(base, [this] {
         if (listener_ && !paused_) evconnlistener_enable(listener_.get());
       }) {
   const auto accept = [](evconnlistener*, evutil_socket_t fd, sockaddr*, int, void* self) {
@@ -48,26 +49,26 @@
         evconnlistener_new(base, accept, this, kOptions | LEV_OPT_DISABLED, 0, handed_over.get()));
     if (listener_) handed_over.release();
   } else {
-    // Shares the port, so that another process can listen even where the handover of the socket fails.
+    // Shares the port, so that another process can listen even if the handover of the socket fails.
     listener_.reset(evconnlistener_new_bind(base, accept, this,
                                             kOptions | LEV_OPT_REUSEABLE | LEV_OPT_REUSEABLE_PORT, kBacklog,
                                             reinterpret_cast<const sockaddr*>(&address), sizeof address));
   }
   if (!listener_) throw std::runtime_error(std::string("cannot listen: ") + std::strerror(errno));
-  // Guards against a loop that spins on a listener whose accept fails for want of descriptors.
+  // Pauses after a failed accept. Otherwise the loop would spin while no descriptors are available.
   evconnlistener_set_error_cb(listener_.get(), [](evconnlistener* listener, void* self) {
     log::Warn("accept-failed", {{"error", std::strerror(errno)}});
     evconnlistener_disable(listener);
-    static_cast<Listener*>(self)->again_.Start(kAgain);
+    static_cast<Listener*>(self)->retry_timer_.Start(kAcceptRetryDelay);
   });
 }
 
 void Listener::Accept(evutil_socket_t fd) {
-  accepted_(fd);
-  if (paused_ || ++accepted_at_once_ < kAcceptedAtOnce) return;
-  accepted_at_once_ = 0;
+  on_accept_(fd);
+  if (paused_ || ++accepts_this_turn_ < kMaxAcceptsPerTurn) return;
+  accepts_this_turn_ = 0;
   evconnlistener_disable(listener_.get());
-  again_.Start(0ms);
+  retry_timer_.Start(0ms);
 }
 
 void Listener::Pause() {
@@ -82,22 +83,22 @@
 
 void Listener::Stop(const std::function<void()>& before_close) {
   if (!listener_) return;
-  // A connection that the kernel has accepted may hold a request already: closing the listener would reset
-  // it and lose the request. No further one is accepted from here on, not even between the last look and the
+  // A connection in the kernel's queue may already contain a request: closing the listener would reset the
+  // connection and lose the request. The filter keeps new connections out between the last accept and the
   // close.
   RefuseHandshakes(fd());
-  TakeQueued();
+  AcceptQueued();
   if (before_close) before_close();
   listener_.reset();
 }
 
-void Listener::TakeQueued() {
+void Listener::AcceptQueued() {
   for (;;) {
-    const evutil_socket_t taken = accept4(fd(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
-    if (taken >= 0) {
-      accepted_(taken);
+    const evutil_socket_t accepted = accept4(fd(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
+    if (accepted >= 0) {
+      on_accept_(accepted);
     } else if (errno != ECONNABORTED && errno != EINTR) {
-      // Those that wait behind a fault of one connection are taken all the same.
+      // The queue is empty. The errors excluded above concern one connection, and others may wait behind it.
       return;
     }
   }
--- a/src/net/listener.h
+++ b/src/net/listener.h
@@ -1,5 +1,5 @@
-// The listening socket of a node, its own or handed over. It knows nothing of what becomes of the
-// connections.
+// The listening socket of a node, opened here or handed over by another process. AcceptCallback sockets are
+// passed to a callback, which owns them.
 #ifndef HINGELINK_NET_LISTENER_H_
 #define HINGELINK_NET_LISTENER_H_
 
@@ -12,18 +12,17 @@
 
 class Listener {
  public:
-  using Accepted = std::function<void(evutil_socket_t)>;
+  using AcceptCallback = std::function<void(evutil_socket_t)>;
 
-  // Listens at once; on a socket that was handed over, from Resume() on. Throws std::runtime_error where it
-  // cannot.
-  Listener(event_base* base, const sockaddr_in& address, Descriptor handed_over, Accepted accepted);
+  // Listens at once, or from Resume() on if the socket was handed over. Throws std::runtime_error if it
+  // cannot listen.
+  Listener(event_base* base, const sockaddr_in& address, Descriptor handed_over, AcceptCallback on_accept);
 
-  // Accepts no more for the time being. What waits in the queue stays there, for another process or for
-  // later.
+  // Pauses accepting. Connections stay in the kernel's queue until Resume(), or for another process.
   void Pause();
   void Resume();
-  // Takes in what the kernel has accepted already, and then listens no more. `before_close` is called in
-  // between; it is there for tests.
+  // Accepts the connections in the kernel's queue and closes the socket. `before_close` is called between
+  // both steps, for tests.
   void Stop(const std::function<void()>& before_close = {});
 
   evutil_socket_t fd() const { return listener_ ? evconnlistener_get_fd(listener_.get()) : -1; }
@@ -31,13 +30,13 @@
 
  private:
   void Accept(evutil_socket_t fd);
-  void TakeQueued();
+  void AcceptQueued();
 
-  Accepted accepted_;
-  Timer again_;
+  AcceptCallback on_accept_;
+  Timer retry_timer_;
   ListenerPtr listener_;
   bool paused_ = false;
-  int accepted_at_once_ = 0;
+  int accepts_this_turn_ = 0;
 };
 
 }  // namespace hingelink::net
--- a/src/net/single_loop_front_end.cpp
+++ b/src/net/single_loop_front_end.cpp
@@ -9,13 +9,13 @@
 
 using namespace std::chrono_literals;
 
-// Between looks whether there is room again for what waits in the queue.
-constexpr auto kRoomLook = 20ms;
+// Interval of checks whether connections can be accepted again.
+constexpr auto kRetryInterval = 20ms;
 
 }  // namespace
 
 SingleLoopFrontEnd::SingleLoopFrontEnd(event_base* base, const sockaddr_in& listen, Descriptor handed_over,
-                                       std::size_t most_connections, core::FrontEndEvents events)
+                                       std::size_t max_connections, core::FrontEndEvents events)
     : set_(base, {.request = std::move(events.request),
                   .disconnected = std::move(events.disconnected),
                   .deep_check = std::move(events.deep_check),
@@ -23,19 +23,19 @@
                   .closed = {},
                   .may_read_frame = {},
                   .before_read = {}}),
-      most_connections_(most_connections),
+      max_connections_(max_connections),
       listener_(base, listen, std::move(handed_over), [this](evutil_socket_t fd) { Accept(fd); }),
-      room_(base, [this] { AwaitRoom(); }) {}
+      retry_timer_(base, [this] { RetryAccept(); }) {}
 
 void SingleLoopFrontEnd::Accept(evutil_socket_t fd) {
   Descriptor accepted(fd);
-  // Guards the descriptors that the pool link and the registry need.
-  if (set_.size() < most_connections_ || set_.EvictOne()) {
+  // The limit reserves descriptors for the pool link and the registry.
+  if (set_.size() < max_connections_ || set_.EvictOne()) {
     set_.Add(++last_id_, accepted.release());
-    if (shared_ && set_.size() >= most_connections_) Rest();
+    if (shared_ && set_.size() >= max_connections_) PauseAtLimit();
   } else if (!stopping_) {
     pending_ = std::move(accepted);
-    Rest();
+    PauseAtLimit();
   } else {
     log::PeerEvent(
         "connection-end",
@@ -43,21 +43,21 @@
   }
 }
 
-void SingleLoopFrontEnd::Rest() {
+void SingleLoopFrontEnd::PauseAtLimit() {
   listener_.Pause();
-  awaiting_room_ = true;
-  room_.Start(kRoomLook);
+  paused_at_limit_ = true;
+  retry_timer_.Start(kRetryInterval);
 }
 
-// Guards clients that come while all connections have something open, or a predecessor still holds most
-// descriptors: one waits here and the others in the kernel's queue, where they would be closed with what they
-// have sent unread.
-void SingleLoopFrontEnd::AwaitRoom() {
-  if (!awaiting_room_) return;
-  const bool full = set_.size() >= most_connections_;
-  awaiting_room_ = full && (shared_ || pending_.get() >= 0) && !set_.EvictOne();
-  if (awaiting_room_) {
-    room_.Start(kRoomLook);
+// Runs while no connection can be accepted, because all connections are in use or a predecessor process holds
+// most descriptors. One new connection waits in pending_ and the others in the kernel's queue. Closing them
+// instead would drop the requests that the clients have already sent.
+void SingleLoopFrontEnd::RetryAccept() {
+  if (!paused_at_limit_) return;
+  const bool full = set_.size() >= max_connections_;
+  paused_at_limit_ = full && (shared_ || pending_.get() >= 0) && !set_.EvictOne();
+  if (paused_at_limit_) {
+    retry_timer_.Start(kRetryInterval);
     return;
   }
   if (!paused_) listener_.Resume();
@@ -65,16 +65,16 @@
 }
 
 void SingleLoopFrontEnd::StopListening() {
-  // Nobody comes behind it any more: it takes a descriptor of the reserve.
+  // No further connection follows, so the pending one may use a reserved descriptor.
   if (pending_.get() >= 0) set_.Add(++last_id_, pending_.release());
   stopping_ = true;
   listener_.Stop();
 }
 
-void SingleLoopFrontEnd::SetMaxConnections(std::size_t most, bool shared) {
-  most_connections_ = most;
+void SingleLoopFrontEnd::SetMaxConnections(std::size_t max_connections, bool shared) {
+  max_connections_ = max_connections;
   shared_ = shared;
-  AwaitRoom();
+  RetryAccept();
 }
 
 void SingleLoopFrontEnd::PauseListening() {
@@ -85,7 +85,7 @@
 void SingleLoopFrontEnd::ResumeListening() {
   paused_ = false;
   set_.CancelDrain();
-  if (!awaiting_room_) listener_.Resume();
+  if (!paused_at_limit_) listener_.Resume();
 }
 
 }  // namespace hingelink::net
--- a/src/net/single_loop_front_end.h
+++ b/src/net/single_loop_front_end.h
@@ -1,4 +1,4 @@
-// The gateways' side on one loop, the node's own: the listener and its connections.
+// Serves all gateway connections on the node's own event loop. Owns the listener and the connections.
 #ifndef HINGELINK_NET_SINGLE_LOOP_FRONT_END_H_
 #define HINGELINK_NET_SINGLE_LOOP_FRONT_END_H_
 
@@ -9,10 +9,10 @@
 
 class SingleLoopFrontEnd : public GatewayFrontEnd {
  public:
-  // Listens at once; on a socket that was handed over, from ResumeListening() on. Throws std::runtime_error
-  // where it cannot.
+  // Listens at once, or from ResumeListening() on if the socket was handed over. Throws std::runtime_error if
+  // it cannot listen.
   SingleLoopFrontEnd(event_base* base, const sockaddr_in& listen, Descriptor handed_over,
-                     std::size_t most_connections, core::FrontEndEvents events);
+                     std::size_t max_connections, core::FrontEndEvents events);
 
   void Deliver(core::StreamAddress to, const core::FinalAnswer& answer) override { set_.Deliver(to, answer); }
   void SetHealth(bool good, bool shallow) override { set_.SetHealth(good, shallow); }
@@ -20,13 +20,13 @@
   void SetLoadSignal(double value) override { set_.SetLoadSignal(value); }
   void CloseIdle(std::chrono::milliseconds after) override { set_.CloseIdle(after); }
   void StopNewRequests() override { set_.StopNewRequests(); }
-  void SetMaxConnections(std::size_t most, bool shared) override;
+  void SetMaxConnections(std::size_t max_connections, bool shared) override;
   void PauseListening() override;
   void ResumeListening() override;
   void CloseIdleForHandover() override { set_.CloseIdleForHandover(); }
   void StopListening() override;
   void ClassesChanged() override {}
-  // What is read is told at once here, so that it is turned away at once.
+  // Requests are reported as soon as they are read, so the node rejects new ones by itself.
   void StopReading() override {}
   void Sweep() override { set_.Sweep(); }
   void Shutdown(Steady::time_point until) override { set_.Shutdown(until); }
@@ -43,19 +43,19 @@
 
  private:
   void Accept(evutil_socket_t fd);
-  // Accepts no more until there is room again.
-  void Rest();
-  void AwaitRoom();
+  // Pauses the listener until the number of connections is below the limit.
+  void PauseAtLimit();
+  void RetryAccept();
 
   ConnectionSet set_;
-  std::size_t most_connections_;
+  std::size_t max_connections_;
   Listener listener_;
-  Timer room_;
+  Timer retry_timer_;
   bool paused_ = false;
   bool shared_ = false;
-  bool awaiting_room_ = false;
+  bool paused_at_limit_ = false;
   bool stopping_ = false;
-  Descriptor pending_;  // Accepted at the limit, without room; unread.
+  Descriptor pending_;  // Accepted at the connection limit; not read yet.
   std::uint64_t last_id_ = 0;
 };
 
--- a/tests/net/connection_lifecycle_test.cpp
+++ b/tests/net/connection_lifecycle_test.cpp
@@ -1,6 +1,6 @@
-// The ends of gateways' connections, each forced at the instant in which something is still owed: the test
-// holds both ends of the socket and turns the loop itself, so that bytes lie unread exactly where it wants
-// them.
+// Tests how gateway connections are closed while requests, answers or bytes are still outstanding. The tests
+// hold both ends of each socket and run the event loop step by step, so that they control which bytes are
+// unread.
 #include <gtest/gtest.h>
 
 #include <functional>
@@ -24,7 +24,7 @@
 
 const std::string kCheck = Gateway::Encode(6, 1, std::string(1, '\0'));
 
-// A set of connections on a loop that goes round only when the test says so.
+// A connection set on an event loop that runs only in RunReadyEvents() and RunUntil().
 class ConnectionLifecycleTest : public testing::Test {
  protected:
   struct Peer {
@@ -32,11 +32,11 @@
     std::uint64_t id = 0;
   };
 
-  // A connection as it stands right behind the accept.
+  // A new connection right after the accept.
   Peer Connect() {
     Gateway gateway(port_.number());
     const int accepted = port_.Accept();
-    // Buffers that the kernel makes as small as it can, so that a test can fill them.
+    // The kernel raises these to its minimum buffer sizes, which a test can fill.
     const int least = 1;
     setsockopt(accepted, SOL_SOCKET, SO_SNDBUF, &least, sizeof least);
     setsockopt(gateway.socket().fd(), SOL_SOCKET, SO_RCVBUF, &least, sizeof least);
@@ -44,24 +44,24 @@
     return {std::move(gateway), last_id_};
   }
 
-  // One that has sent a whole frame and has read its answer.
+  // A connection that has sent a complete frame and read the answer.
   Peer ConnectUsed() {
     Peer peer = Connect();
     peer.gateway.Write(kCheck);
-    Turn();
+    RunReadyEvents();
     EXPECT_EQ(peer.gateway.Read().type, 7);
     return peer;
   }
 
-  // Runs all that is ready.
-  void Turn() {
+  // Runs all events that are ready.
+  void RunReadyEvents() {
     event_base_loop(base_.get(), EVLOOP_NONBLOCK);
     set_->Sweep();
   }
 
-  // Runs the loop until it holds.
+  // Runs the loop until the condition holds, at most 20 s.
   template <class Condition>
-  void TurnUntil(const Condition& holds) {
+  void RunUntil(const Condition& holds) {
     const auto until = Steady::now() + 20s;
     while (!holds() && Steady::now() < until) {
       tick_.Start(1ms);
@@ -71,22 +71,22 @@
     EXPECT_TRUE(holds());
   }
 
-  // Every connection has been quiet for longer than `span` behind this.
-  static void LetPass(std::chrono::milliseconds span) {
+  // Waits until every connection has been idle for longer than `span`.
+  static void WaitIdle(std::chrono::milliseconds span) {
     const auto until = Steady::now() + span + 1ms;
     while (Steady::now() < until) {
     }
   }
 
   void CloseIdleNow() {
-    LetPass(2ms);
+    WaitIdle(2ms);
     set_->CloseIdle(1ms);
-    set_->CloseIdle(0ms);  // The sweeps that would follow are off again.
+    set_->CloseIdle(0ms);  // Disables the periodic sweeps again.
   }
 
   void Answer(std::size_t request, std::string_view result) {
     set_->Deliver(requests_.at(request), core::Served(result));
-    Turn();
+    RunReadyEvents();
   }
 
   class ListeningPort {
@@ -105,15 +105,15 @@
 
   BasePtr base_ = MakeBase();
   std::vector<core::StreamAddress> requests_;
-  std::vector<core::StreamAddress> gone_;
-  std::vector<std::uint64_t> freed_;
+  std::vector<core::StreamAddress> disconnected_;
+  std::vector<std::uint64_t> closed_;
   std::unique_ptr<ConnectionSet> set_ = std::make_unique<ConnectionSet>(
       base_.get(), ConnectionSet::Events{
                        .request = [this](const core::IncomingRequest& r) { requests_.push_back(r.reply_to); },
-                       .disconnected = [this](core::StreamAddress from) { gone_.push_back(from); },
+                       .disconnected = [this](core::StreamAddress from) { disconnected_.push_back(from); },
                        .deep_check = {},
                        .class_counts = [](std::string_view) { return core::ClassCountsPtr(); },
-                       .closed = [this](std::uint64_t id) { freed_.push_back(id); },
+                       .closed = [this](std::uint64_t id) { closed_.push_back(id); },
                        .may_read_frame = {},
                        .before_read = {}});
 
@@ -125,69 +125,69 @@
 
 // ---- Idle close ----
 
-// Both orders of a request and the idle sweep, with the request split at each byte: what lies unread, or is
-// half read, keeps the connection, and the request is answered whole.
-TEST_F(ConnectionLifecycleTest, IdleCloseSparesARequestThatLiesUnreadAtEachSplit) {
+// An idle sweep while a request, split at each byte, is unread in the kernel or partially read: the
+// connection stays open and the request is answered.
+TEST_F(ConnectionLifecycleTest, IdleCloseKeepsConnectionWithUnreadRequestAtEachSplit) {
   const std::string request = Gateway::Request(7, "00000000000000a1", "body");
   for (std::size_t split = 1; split <= request.size(); ++split) {
     Peer peer = ConnectUsed();
     const std::size_t before = requests_.size();
     peer.gateway.Write(request.substr(0, split));
-    CloseIdleNow();  // The bytes lie in the kernel's buffer.
-    Turn();
-    CloseIdleNow();  // They lie in this side's buffer.
+    CloseIdleNow();  // The bytes are in the kernel's buffer.
+    RunReadyEvents();
+    CloseIdleNow();  // The bytes are in the input buffer of the connection.
     peer.gateway.Write(request.substr(split));
-    TurnUntil([&] { return requests_.size() == before + 1; });
+    RunUntil([&] { return requests_.size() == before + 1; });
     Answer(before, "result");
     ASSERT_EQ(peer.gateway.ReadAnswer(7, 0).body, "result") << split;
   }
 }
 
-// The other order: the close is under way when the request is sent. It is never told to the node, and the
-// peer sees the end of the stream, not a reset.
-TEST_F(ConnectionLifecycleTest, ARequestBehindTheIdleCloseIsDroppedWithoutAReset) {
+// The request is sent after the idle close has started: it is not reported to the node, and the peer sees the
+// end of the stream instead of a reset.
+TEST_F(ConnectionLifecycleTest, RequestAfterIdleCloseIsDiscardedWithoutReset) {
   const std::string request = Gateway::Request(7, "00000000000000a1", "body");
   for (std::size_t split = 1; split <= request.size(); ++split) {
     Peer peer = ConnectUsed();
     CloseIdleNow();
     peer.gateway.Write(request.substr(0, split));
-    Turn();
+    RunReadyEvents();
     if (split < request.size()) peer.gateway.Write(request.substr(split));
-    Turn();
+    RunReadyEvents();
     ASSERT_TRUE(peer.gateway.socket().Finished()) << split;
-    ASSERT_EQ(set_->size(), 1u);  // Its descriptor counts until the peer has closed.
+    ASSERT_EQ(set_->size(), 1u);  // The descriptor counts until the peer has closed.
     peer.gateway.socket().Close();
-    TurnUntil([&] { return set_->size() == 0; });
-    ASSERT_EQ(freed_.back(), peer.id);
+    RunUntil([&] { return set_->size() == 0; });
+    ASSERT_EQ(closed_.back(), peer.id);
   }
   EXPECT_TRUE(requests_.empty());
 }
 
-// An answer that the peer has not read yet survives an idle close with bytes on their way.
-TEST_F(ConnectionLifecycleTest, AnUnreadAnswerSurvivesTheIdleClose) {
+// The peer can read an outstanding answer after an idle close, even if it sends further bytes.
+TEST_F(ConnectionLifecycleTest, UnreadAnswerIsReadableAfterIdleClose) {
   Peer peer = Connect();
   peer.gateway.Write(Gateway::Request(7, "00000000000000a1", "body"));
-  Turn();
+  RunReadyEvents();
   Answer(0, std::string(4096, 'r'));
   CloseIdleNow();
   peer.gateway.Write(kCheck);
-  Turn();
+  RunReadyEvents();
   EXPECT_EQ(peer.gateway.ReadAnswer(7, 0).body.size(), 4096u);
   EXPECT_TRUE(peer.gateway.socket().Finished());
 }
 
 // ---- Lingering ----
 
-TEST_F(ConnectionLifecycleTest, APeerThatNeverClosesIsClosedInTime) {
+TEST_F(ConnectionLifecycleTest, PeerThatNeverClosesIsClosedAfterLingerTime) {
   Peer peer = ConnectUsed();
   const auto began = Steady::now();
   CloseIdleNow();
-  TurnUntil([&] { return set_->size() == 0; });
+  RunUntil([&] { return set_->size() == 0; });
   EXPECT_GE(Steady::now() - began, LingeringCloser::kLingerTime);
   EXPECT_TRUE(peer.gateway.socket().Finished());
 }
 
-TEST_F(ConnectionLifecycleTest, APeerThatFloodsIsClosedByItsBytes) {
+TEST_F(ConnectionLifecycleTest, FloodingPeerIsClosedAfterLingerBytes) {
   Peer peer = ConnectUsed();
   const auto began = Steady::now();
   CloseIdleNow();
@@ -197,98 +197,99 @@
     const ssize_t part =
         send(peer.gateway.socket().fd(), flood.data(), flood.size(), MSG_NOSIGNAL | MSG_DONTWAIT);
     if (part > 0) sent += static_cast<std::size_t>(part);
-    Turn();
+    RunReadyEvents();
   }
   EXPECT_EQ(set_->size(), 0u);
   EXPECT_GT(sent, LingeringCloser::kLingerBytes);
   EXPECT_LT(Steady::now() - began, LingeringCloser::kLingerTime);
 }
 
-TEST_F(ConnectionLifecycleTest, APeerThatResetsWhileItLingersFreesTheDescriptor) {
+TEST_F(ConnectionLifecycleTest, ResetOfLingeringConnectionFreesDescriptor) {
   Peer peer = ConnectUsed();
   CloseIdleNow();
   peer.gateway.socket().Reset();
-  TurnUntil([&] { return set_->size() == 0; });
+  RunUntil([&] { return set_->size() == 0; });
 }
 
 // ---- Eviction at the descriptor limit ----
 
-TEST_F(ConnectionLifecycleTest, EvictionTakesLingeringSocketsFirst) {
+TEST_F(ConnectionLifecycleTest, EvictionClosesLingeringSocketsFirst) {
   Peer lingering = ConnectUsed();
   CloseIdleNow();
   Peer fresh = ConnectUsed();
   EXPECT_TRUE(set_->EvictOne());
-  EXPECT_EQ(freed_, std::vector<std::uint64_t>{lingering.id});
+  EXPECT_EQ(closed_, std::vector<std::uint64_t>{lingering.id});
   EXPECT_TRUE(set_->EvictOne());
-  EXPECT_EQ(freed_.back(), fresh.id);
+  EXPECT_EQ(closed_.back(), fresh.id);
   EXPECT_FALSE(set_->EvictOne());
 }
 
-TEST_F(ConnectionLifecycleTest, EvictionSparesARequestThatLiesUnreadAtEachSplit) {
+TEST_F(ConnectionLifecycleTest, EvictionKeepsConnectionWithUnreadRequestAtEachSplit) {
   const std::string request = Gateway::Request(7, "00000000000000a1", "body");
   for (std::size_t split = 1; split <= request.size(); ++split) {
     Peer peer = ConnectUsed();
     peer.gateway.Write(request.substr(0, split));
     ASSERT_FALSE(set_->EvictOne()) << split;
-    Turn();
+    RunReadyEvents();
     ASSERT_FALSE(set_->EvictOne()) << split;
     peer.gateway.socket().Reset();
-    TurnUntil([&] { return set_->size() == 0; });
+    RunUntil([&] { return set_->size() == 0; });
   }
 }
 
-TEST_F(ConnectionLifecycleTest, EvictionSparesAnOverlongFrameThatIsBeingSkipped) {
+TEST_F(ConnectionLifecycleTest, EvictionKeepsConnectionThatSkipsOverlongFrame) {
   Peer peer = ConnectUsed();
   peer.gateway.Write(peers::Number(200'000, 4) + peers::Number(0, 1) + peers::Number(9, 4) +
                      std::string(100, 'x'));
-  Turn();
+  RunReadyEvents();
   peer.gateway.ReadAnswer(9, 1);
   EXPECT_FALSE(set_->EvictOne());
   CloseIdleNow();
   peer.gateway.Write(std::string(200'000 - 5 - 100, 'x') + kCheck);
   std::optional<Frame> answer;
-  TurnUntil([&] { return peer.gateway.socket().Ready(0); });
+  RunUntil([&] { return peer.gateway.socket().Ready(0); });
   EXPECT_EQ(peer.gateway.Read().type, 7);
 }
 
 // ---- Handover: quiet connections ----
 
-TEST_F(ConnectionLifecycleTest, AHandoverSparesARequestThatLiesUnread) {
+TEST_F(ConnectionLifecycleTest, HandoverKeepsConnectionWithUnreadRequest) {
   Peer peer = ConnectUsed();
   set_->StopNewRequests();
-  Turn();
+  RunReadyEvents();
   EXPECT_EQ(peer.gateway.Read().type, 9);
-  LetPass(110ms);
+  WaitIdle(110ms);
   peer.gateway.Write(Gateway::Request(7, "00000000000000a1", "crossed"));
   set_->CloseIdleForHandover();
-  TurnUntil([&] { return requests_.size() == 1; });
+  RunUntil([&] { return requests_.size() == 1; });
   Answer(0, "result");
   EXPECT_EQ(peer.gateway.ReadAnswer(7, 0).body, "result");
-  LetPass(110ms);
+  WaitIdle(110ms);
   set_->CloseIdleForHandover();
-  peer.gateway.Write(kCheck);  // Behind the close: no reset.
-  Turn();
+  peer.gateway.Write(kCheck);  // Sent after the close: no reset.
+  RunReadyEvents();
   EXPECT_TRUE(peer.gateway.socket().Finished());
   EXPECT_EQ(set_->size(), 1u);
 }
 
 // ---- Exit ----
 
-// The last answers are with the peer's kernel, unread, and further bytes have come: both arrive at the peer.
-TEST_F(ConnectionLifecycleTest, AnswersSurviveTheExitWithBytesUnread) {
+// The process exits while an answer is unread in the peer's kernel and input is unread here. The peer still
+// reads the answer and the end of the stream.
+TEST_F(ConnectionLifecycleTest, AnswersAreReadableAfterShutdownWithUnreadInput) {
   Peer peer = Connect();
   peer.gateway.Write(Gateway::Request(7, "00000000000000a1", "body"));
-  Turn();
+  RunReadyEvents();
   Answer(0, std::string(4096, 'r'));
   peer.gateway.Write(Gateway::Request(8, "00000000000000a2", "late"));
   set_->Shutdown(Steady::now() + 20ms);
   EXPECT_EQ(peer.gateway.ReadAnswer(7, 0).body.size(), 4096u);
   EXPECT_TRUE(peer.gateway.socket().Finished());
-  EXPECT_EQ(requests_.size(), 1u);  // The late one was not told, and so never runs.
+  EXPECT_EQ(requests_.size(), 1u);  // The late request was not reported, so it never runs.
   EXPECT_EQ(set_->size(), 0u);
 }
 
-TEST_F(ConnectionLifecycleTest, TheExitDoesNotWaitLongerThanToldForPeersThatStay) {
+TEST_F(ConnectionLifecycleTest, ShutdownWaitsForOpenPeersUntilDeadlineOnly) {
   Peer peer = ConnectUsed();
   const auto until = Steady::now() + 20ms;
   set_->Shutdown(until);
@@ -299,76 +300,76 @@
 
 // ---- The peer's end ----
 
-// A caller that closes has left (docs/clients.md), in either order of its last frame and the end of the
-// stream.
-TEST_F(ConnectionLifecycleTest, ARequestWithTheEndOfTheStreamIsReadAndThenGone) {
+// A caller that closes its stream no longer waits for answers (docs/clients.md). A request that arrives
+// together with the end of the stream is read and then reported as disconnected.
+TEST_F(ConnectionLifecycleTest, RequestBeforeEndOfStreamIsReportedThenDisconnected) {
   Peer peer = Connect();
   peer.gateway.Write(Gateway::Request(7, "00000000000000a1", "body"));
   shutdown(peer.gateway.socket().fd(), SHUT_WR);
-  TurnUntil([&] { return set_->size() == 0; });
+  RunUntil([&] { return set_->size() == 0; });
   ASSERT_EQ(requests_.size(), 1u);
-  EXPECT_EQ(gone_, requests_);
+  EXPECT_EQ(disconnected_, requests_);
 }
 
-TEST_F(ConnectionLifecycleTest, AResetAtEachByteOfARequestDisturbsNoOther) {
+TEST_F(ConnectionLifecycleTest, ResetAtEachByteOfRequestLeavesOtherConnectionsWorking) {
   const std::string request = Gateway::Request(7, "00000000000000a1", "body");
   Peer good = ConnectUsed();
   for (std::size_t split = 1; split <= request.size(); ++split) {
     Peer peer = Connect();
     peer.gateway.Write(request.substr(0, split));
-    if (split % 2 == 0) Turn();
+    if (split % 2 == 0) RunReadyEvents();
     peer.gateway.socket().Reset();
-    TurnUntil([&] { return set_->size() == 1; });
+    RunUntil([&] { return set_->size() == 1; });
   }
-  EXPECT_EQ(gone_.size(), requests_.size());
+  EXPECT_EQ(disconnected_.size(), requests_.size());
   good.gateway.Write(kCheck);
-  Turn();
+  RunReadyEvents();
   EXPECT_EQ(good.gateway.Read().type, 7);
 }
 
 // ---- Framing faults ----
 
-// The error reaches the peer however much of what it sent lies unread, and its open request is answered
-// first.
-TEST_F(ConnectionLifecycleTest, TheErrorOfAFramingFaultIsReadWithBytesUnread) {
+// After a framing error the peer reads the answer to its open request and then the error, however many of its
+// bytes are unread.
+TEST_F(ConnectionLifecycleTest, FramingErrorIsReadableWithUnreadInput) {
   Peer peer = Connect();
   peer.gateway.Write(Gateway::Request(7, "00000000000000a1", "body"));
-  Turn();
+  RunReadyEvents();
   peer.gateway.Write(Gateway::Encode(3, 1, ""));
-  Turn();
+  RunReadyEvents();
   peer.gateway.Write(std::string(100'000, 'x'));
-  Turn();
+  RunReadyEvents();
   peer.gateway.ReadAnswer(7, 2);
   peer.gateway.ReadAnswer(0, 2);
   EXPECT_TRUE(peer.gateway.socket().Finished());
-  EXPECT_EQ(gone_, requests_);
+  EXPECT_EQ(disconnected_, requests_);
 }
 
 // ---- A peer that reads nothing ----
 
-TEST_F(ConnectionLifecycleTest, APeerThatTakesNoAnswersIsEndedAndItsRequestsAreGone) {
-  constexpr std::uint32_t kOpen = 32;
+TEST_F(ConnectionLifecycleTest, PeerThatReadsNoAnswersIsClosedAndItsRequestsDisconnected) {
+  constexpr std::uint32_t kMaxOpenRequests = 32;
   Peer peer = Connect();
   std::string requests;
-  for (std::uint32_t stream = 1; stream <= kOpen; ++stream) {
+  for (std::uint32_t stream = 1; stream <= kMaxOpenRequests; ++stream) {
     requests += Gateway::Request(stream, "00000000000000a1", "x");
   }
   peer.gateway.Write(requests);
-  TurnUntil([&] { return requests_.size() == kOpen; });
-  // All but one are answered, with more than the small buffers of this connection hold.
-  for (std::uint32_t i = 0; i + 1 < kOpen; ++i)
+  RunUntil([&] { return requests_.size() == kMaxOpenRequests; });
+  // All requests but one are answered, with more bytes than the small socket buffers hold.
+  for (std::uint32_t i = 0; i + 1 < kMaxOpenRequests; ++i)
     set_->Deliver(requests_[i], core::Served(std::string(4096, 'r')));
-  peer.gateway.Write(Gateway::Request(kOpen + 1, "00000000000000a2", "not read"));
-  TurnUntil([&] { return set_->size() == 0; });
-  EXPECT_EQ(gone_, std::vector<core::StreamAddress>{requests_.back()});
-  EXPECT_EQ(requests_.size(), kOpen);
+  peer.gateway.Write(Gateway::Request(kMaxOpenRequests + 1, "00000000000000a2", "not read"));
+  RunUntil([&] { return set_->size() == 0; });
+  EXPECT_EQ(disconnected_, std::vector<core::StreamAddress>{requests_.back()});
+  EXPECT_EQ(requests_.size(), kMaxOpenRequests);
 }
 
 // ---- A flood at the descriptor limit ----
 
 class FloodTest : public testing::Test {
  protected:
-  // All of them have connected and sent a request before the node accepts the first.
+  // All clients connect and send a request before the first connection is accepted.
   std::vector<Gateway> Flood(SingleLoopFrontEnd& front, std::uint32_t clients) {
     std::vector<Gateway> flood;
     for (std::uint32_t i = 1; i <= clients; ++i) {
@@ -377,18 +378,18 @@
     }
     return flood;
   }
-  SingleLoopFrontEnd MakeFront(std::size_t most) {
-    return SingleLoopFrontEnd(base_.get(), ParseAddress("127.0.0.1:0"), Descriptor(), most,
-                              {.request = [this](const core::IncomingRequest& r) { Take(r); },
+  SingleLoopFrontEnd MakeFrontEnd(std::size_t max_connections) {
+    return SingleLoopFrontEnd(base_.get(), ParseAddress("127.0.0.1:0"), Descriptor(), max_connections,
+                              {.request = [this](const core::IncomingRequest& r) { OnRequest(r); },
                                .disconnected = [](core::StreamAddress) {},
                                .deep_check = {},
                                .class_counts = [](std::string_view) { return core::ClassCountsPtr(); }});
   }
-  void Take(const core::IncomingRequest& request) {
+  void OnRequest(const core::IncomingRequest& request) {
     if (on_request_) on_request_();
     requests_.push_back(request.reply_to);
   }
-  void Turn(SingleLoopFrontEnd& front) {
+  void RunOnce(SingleLoopFrontEnd& front) {
     tick_.Start(1ms);
     event_base_loop(base_.get(), EVLOOP_ONCE);
     front.Sweep();
@@ -402,90 +403,91 @@
   Timer tick_{base_.get(), [] {}};
 };
 
-// More clients than descriptors, each with a request on its way: while all connections have one open the
-// others wait, and each of them is answered in the end.
-TEST_F(FloodTest, NobodyIsClosedWithARequestUnreadWhileAllConnectionsHaveOneOpen) {
-  constexpr std::size_t kMost = 4;
+// More clients than connections are allowed, each with a request: while all connections have an open request
+// the other clients wait, and each of them is answered in the end.
+TEST_F(FloodTest, ClientsAtConnectionLimitWaitAndAreAnswered) {
+  constexpr std::size_t kMaxConnections = 4;
   constexpr std::uint32_t kClients = 24;
-  SingleLoopFrontEnd front = MakeFront(kMost);
+  SingleLoopFrontEnd front = MakeFrontEnd(kMaxConnections);
   std::vector<Gateway> flood = Flood(front, kClients);
   const auto until = Steady::now() + 20s;
   std::size_t answered = 0;
   while (answered < kClients && Steady::now() < until) {
-    while (requests_.size() < std::min<std::size_t>(answered + kMost, kClients) && Steady::now() < until)
-      Turn(front);
-    for (int i = 0; i < 40; ++i) Turn(front);  // It is full, and stays so: nobody else is let in or closed.
-    ASSERT_EQ(requests_.size(), std::min<std::size_t>(answered + kMost, kClients));
-    ASSERT_LE(front.connections(), kMost + 1);
+    while (requests_.size() < std::min<std::size_t>(answered + kMaxConnections, kClients) &&
+           Steady::now() < until)
+      RunOnce(front);
+    for (int i = 0; i < 40; ++i) RunOnce(front);  // At the limit: no connection is accepted or closed.
+    ASSERT_EQ(requests_.size(), std::min<std::size_t>(answered + kMaxConnections, kClients));
+    ASSERT_LE(front.connections(), kMaxConnections + 1);
     while (answered < requests_.size()) front.Deliver(requests_[answered++], core::Served("result"));
   }
   for (std::uint32_t i = 0; i < kClients; ++i) {
-    for (int turns = 0; turns < 100 && !flood[i].socket().Ready(0); ++turns) Turn(front);
+    for (int turns = 0; turns < 100 && !flood[i].socket().Ready(0); ++turns) RunOnce(front);
     EXPECT_EQ(flood[i].ReadAnswer(i + 1, 0).body, "result");
   }
 }
 
-// What has come on connections that stand is read before a flood of further ones is accepted.
-TEST_F(FloodTest, ConnectionsAreReadBetweenGroupsOfAccepts) {
-  SingleLoopFrontEnd front = MakeFront(1000);
-  std::size_t standing_at_first_request = 0;
+// During a flood of new connections, accepted ones are read before all others have been accepted.
+TEST_F(FloodTest, ConnectionsAreReadBetweenBatchesOfAccepts) {
+  SingleLoopFrontEnd front = MakeFrontEnd(1000);
+  std::size_t connections_at_first_request = 0;
   on_request_ = [&] {
-    if (requests_.empty()) standing_at_first_request = front.connections();
+    if (requests_.empty()) connections_at_first_request = front.connections();
   };
   std::vector<Gateway> flood = Flood(front, 200);
-  for (int turns = 0; turns < 1000 && requests_.size() < flood.size(); ++turns) Turn(front);
+  for (int turns = 0; turns < 1000 && requests_.size() < flood.size(); ++turns) RunOnce(front);
   EXPECT_EQ(requests_.size(), flood.size());
-  EXPECT_LE(standing_at_first_request, 32u);
+  EXPECT_LE(connections_at_first_request, 32u);
 }
 
-// A notice to leave while one waits at the limit: it is taken, and what it sent is read.
-TEST_F(FloodTest, TheOneThatWaitsForRoomIsTakenAtTheEnd) {
-  SingleLoopFrontEnd front = MakeFront(1);
+// The listener stops while a connection waits at the limit: the connection is added and its request is read.
+TEST_F(FloodTest, StopListeningAddsConnectionThatWaitsAtLimit) {
+  SingleLoopFrontEnd front = MakeFrontEnd(1);
   std::vector<Gateway> flood = Flood(front, 2);
-  for (int turns = 0; turns < 40; ++turns) Turn(front);
+  for (int turns = 0; turns < 40; ++turns) RunOnce(front);
   ASSERT_EQ(requests_.size(), 1u);
   front.StopListening();
-  for (int turns = 0; turns < 40; ++turns) Turn(front);
+  for (int turns = 0; turns < 40; ++turns) RunOnce(front);
   ASSERT_EQ(requests_.size(), 2u);
 }
 
-// Of many ordinary events only some run before an urgent one that has become ready meanwhile.
-TEST(EventBaseTest, WhatIsUrgentIsServedBetweenOrdinaryEvents) {
-  constexpr int kOrdinaryEvents = 1000;
+// Only a limited number of normal-priority events runs before a high-priority event that has become ready.
+TEST(EventBaseTest, HighPriorityEventRunsBetweenNormalPriorityEvents) {
+  constexpr int kNormalEvents = 1000;
   BasePtr base = MakeBase();
   int ends[2];
   ASSERT_EQ(pipe(ends), 0);
   const Descriptor reading(ends[0]), writing(ends[1]);
-  int ordinary = 0, ordinary_before_urgent = -1;
-  auto on_urgent = [&] { ordinary_before_urgent = ordinary; };
-  const EventPtr urgent(event_new(
+  int normal = 0, normal_before_high = -1;
+  auto on_high = [&] { normal_before_high = normal; };
+  const EventPtr high(event_new(
       base.get(), reading.get(), EV_READ,
-      [](evutil_socket_t, short, void* call) { (*static_cast<decltype(on_urgent)*>(call))(); }, &on_urgent));
-  event_priority_set(urgent.get(), kHighPriority);
-  event_add(urgent.get(), nullptr);
-  auto on_ordinary = [&] {
-    if (ordinary++ > 0) return;
+      [](evutil_socket_t, short, void* call) { (*static_cast<decltype(on_high)*>(call))(); }, &on_high));
+  event_priority_set(high.get(), kHighPriority);
+  event_add(high.get(), nullptr);
+  auto on_normal = [&] {
+    if (normal++ > 0) return;
     EXPECT_EQ(write(writing.get(), "x", 1), 1);
   };
   std::vector<EventPtr> events;
-  for (int i = 0; i < kOrdinaryEvents; ++i) {
+  for (int i = 0; i < kNormalEvents; ++i) {
     events.emplace_back(event_new(
         base.get(), -1, 0,
-        [](evutil_socket_t, short, void* call) { (*static_cast<decltype(on_ordinary)*>(call))(); },
-        &on_ordinary));
+        [](evutil_socket_t, short, void* call) { (*static_cast<decltype(on_normal)*>(call))(); },
+        &on_normal));
     event_active(events.back().get(), EV_TIMEOUT, 0);
   }
   event_base_loop(base.get(), EVLOOP_NONBLOCK);
-  EXPECT_EQ(ordinary, kOrdinaryEvents);
-  EXPECT_GE(ordinary_before_urgent, 1);
-  EXPECT_LE(ordinary_before_urgent, 100);
+  EXPECT_EQ(normal, kNormalEvents);
+  EXPECT_GE(normal_before_high, 1);
+  EXPECT_LE(normal_before_high, 100);
 }
 
 // ---- The listener ----
 
 class ListenerLifecycleTest : public testing::Test {
  protected:
-  static Descriptor Begin(std::uint16_t port) {
+  static Descriptor StartConnect(std::uint16_t port) {
     Descriptor fd(::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK, 0));
     sockaddr_in at = ParseAddress("127.0.0.1:" + std::to_string(port));
     connect(fd.get(), reinterpret_cast<sockaddr*>(&at), sizeof at);
@@ -505,20 +507,20 @@
                      [this](evutil_socket_t fd) { accepted_.emplace_back(fd); }};
 };
 
-TEST_F(ListenerLifecycleTest, StopTakesAllThatTheKernelHasAccepted) {
+TEST_F(ListenerLifecycleTest, StopAcceptsAllQueuedConnections) {
   std::vector<Descriptor> clients;
-  for (int i = 0; i < 50; ++i) clients.push_back(Begin(listener_.port()));
+  for (int i = 0; i < 50; ++i) clients.push_back(StartConnect(listener_.port()));
   listener_.Stop();
   EXPECT_EQ(accepted_.size(), clients.size());
 }
 
-// Between the last look into the queue and the close nobody gets a connection, which would be reset with what
-// was sent on it: the handshake does not end, and is refused once the socket is closed.
-TEST_F(ListenerLifecycleTest, NoConnectionSlipsInBetweenTheLastAcceptAndTheClose) {
+// No connection is established between the last accept and the close; it would be reset and its request lost.
+// The handshake does not complete, and the client is refused once the socket is closed.
+TEST_F(ListenerLifecycleTest, NoConnectionIsEstablishedBetweenLastAcceptAndClose) {
   const std::uint16_t port = listener_.port();
   Descriptor late;
   listener_.Stop([&] {
-    late = Begin(port);
+    late = StartConnect(port);
     EXPECT_FALSE(Connected(late));
   });
   EXPECT_TRUE(accepted_.empty());
