--- a/src/net/event.cpp
+++ b/src/net/event.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-constexpr int kOrdinaryAtOnce = 64;
+constexpr int kMaxNormalCallbacks = 64;
 
 }  // namespace
 
@@ -24,16 +24,17 @@
   std::signal(SIGPIPE, SIG_IGN);
   const std::unique_ptr<event_config, decltype(&event_config_free)> config(event_config_new(),
                                                                            &event_config_free);
-  if (!config) throw std::runtime_error("libevent: no memory for a configuration");
+  if (!config) throw std::runtime_error("libevent could not allocate an event configuration");
   event_config_set_flag(config.get(), EVENT_BASE_FLAG_NO_CACHE_TIME);
   event_config_set_flag(config.get(), EVENT_BASE_FLAG_PRECISE_TIMER);
-  // Guards what is urgent against a flood: after so many ordinary callbacks it is looked for again.
-  event_config_set_max_dispatch_interval(config.get(), nullptr, kOrdinaryAtOnce, kNormalPriority);
+  // Checks for high-priority events again after this many callbacks, so that a flood of normal events does
+  // not delay them.
+  event_config_set_max_dispatch_interval(config.get(), nullptr, kMaxNormalCallbacks, kNormalPriority);
   BasePtr base(event_base_new_with_config(config.get()));
-  if (!base) throw std::runtime_error("libevent: no event base");
-  // New events take the middle one, which is the ordinary one.
+  if (!base) throw std::runtime_error("libevent could not create an event base");
+  // New events get the middle priority, which is kNormalPriority.
   if (event_base_priority_init(base.get(), kPriorityCount) != 0)
-    throw std::runtime_error("libevent: no priorities");
+    throw std::runtime_error("libevent could not set the number of event priorities");
   return base;
 }
 
@@ -46,7 +47,7 @@
     : fire_(std::move(fire)),
       event_(evtimer_new(
           base, [](evutil_socket_t, short, void* self) { static_cast<Timer*>(self)->fire_(); }, this)) {
-  if (!event_) throw std::runtime_error("libevent: no timer");
+  if (!event_) throw std::runtime_error("libevent could not create a timer");
   event_priority_set(event_.get(), priority);
 }
 
--- a/src/net/event.h
+++ b/src/net/event.h
@@ -1,4 +1,4 @@
-// libevent's objects held by RAII, and spans as std::chrono types.
+// RAII wrappers of libevent objects, with durations as std::chrono types.
 #ifndef HINGELINK_NET_EVENT_H_
 #define HINGELINK_NET_EVENT_H_
 
@@ -22,7 +22,7 @@
 
 using Steady = std::chrono::steady_clock;
 
-// Event priorities: what is ready at the first is served before anything at the second.
+// Event priorities: ready events of high priority run before those of normal priority.
 inline constexpr int kHighPriority = 0, kNormalPriority = 1, kPriorityCount = 2;
 
 struct LibeventDeleter {
@@ -36,7 +36,7 @@
 using BufferPtr = std::unique_ptr<bufferevent, LibeventDeleter>;
 using ListenerPtr = std::unique_ptr<evconnlistener, LibeventDeleter>;
 
-// A descriptor of its own.
+// Owns a file descriptor and closes it on destruction.
 class Descriptor {
  public:
   explicit Descriptor(evutil_socket_t fd = -1) : fd_(fd) {}
@@ -55,13 +55,13 @@
   evutil_socket_t fd_;
 };
 
-// A base without libevent's cached time, which grows stale while one round of callbacks runs. The process
+// Creates an event base without libevent's cached time, which is outdated after long callbacks. The process
 // ignores SIGPIPE from then on. Throws std::runtime_error.
 BasePtr MakeBase();
 
 timeval ToTimeval(Steady::duration span);
 
-// Fires once, `span` after the last Start().
+// One-shot timer: fires `span` after the last Start().
 class Timer {
  public:
   Timer(event_base* base, std::function<void()> fire, int priority = kNormalPriority);
@@ -73,16 +73,16 @@
   EventPtr event_;
 };
 
-// An address of the form 127.0.0.1:80. Throws std::invalid_argument that names the text.
+// Parses an address of the form 127.0.0.1:80. Throws std::invalid_argument that quotes the text.
 sockaddr_in ParseAddress(const std::string& text);
 
-// A thread runs on these units of the machine only. False where the system says no.
+// Restricts a thread to these CPUs. Returns false if the system call fails.
 bool PinThreadToCpus(pthread_t thread, const std::vector<unsigned>& units);
 
 void SetNoDelay(evutil_socket_t fd);
 std::uint16_t LocalPort(evutil_socket_t fd);
 
-// What has arrived, as one piece.
+// The received bytes that are not consumed yet, as one contiguous view.
 std::string_view ReceivedBytes(bufferevent* bev);
 void Consume(bufferevent* bev, std::size_t bytes);
 std::size_t UnsentBytes(bufferevent* bev);
