--- a/src/appliance/config.cpp
+++ b/src/appliance/config.cpp
@@ -106,7 +106,7 @@
   }
   static const schema::Schema form(schema::ApplianceSchema());
   std::vector<std::string> faults;
-  for (const schema::Fault& fault : form.Check(nlohmann::json::parse(json.dump()))) {
+  for (const schema::ValidationError& fault : form.Check(nlohmann::json::parse(json.dump()))) {
     faults.push_back(fault.Text());
   }
   if (!faults.empty()) throw ConfigError(std::move(faults));
--- a/src/cli/control_of_node.cpp
+++ b/src/cli/control_of_node.cpp
@@ -49,7 +49,7 @@
                  {"log-level",
                   [](const nlohmann::json& args) {
                     log::Level level = log::CurrentLevel();
-                    if (args.contains("level") && log::ReadLevel(args["level"].get<std::string>(), level)) {
+                    if (args.contains("level") && log::ParseLevel(args["level"].get<std::string>(), level)) {
                       log::SetLevel(level);
                       log::Info("log-level", {{"level", log::LevelName(level)}});
                     }
--- a/src/cli/serve.cpp
+++ b/src/cli/serve.cpp
@@ -42,7 +42,7 @@
   HeldSignals held_signals;
   log::Options log;
   log.json = options.log_format == "json";
-  log::ReadLevel(options.log_level, log.level);
+  log::ParseLevel(options.log_level, log.level);
   log.file = options.log_file;
   log.rotate_bytes = options.log_bytes;
   log.keep = options.log_keep;
--- a/src/cli/services.cpp
+++ b/src/cli/services.cpp
@@ -34,7 +34,7 @@
   const auto bad = [&](const std::string& what) {
     faults += (faults.empty() ? "" : "\n") + path + ' ' + what;
   };
-  for (const schema::Fault& fault : form.Check(json)) bad(fault.Text());
+  for (const schema::ValidationError& fault : form.Check(json)) bad(fault.Text());
   if (!faults.empty()) throw std::runtime_error(faults);
   net::PoolGroupOptions options;
   options.zone = json.value("zone", "");
--- a/src/control/protocol.cpp
+++ b/src/control/protocol.cpp
@@ -96,8 +96,9 @@
   if (seen.pool_cpu_busy) pool["busy"] = *seen.pool_cpu_busy;
   json["links"] = {{"pool", std::move(pool)},
                    {"registry", {{"address", seen.registry_address}, {"good", seen.registry_healthy}}}};
-  json["log"] = {
-      {"level", log::LevelName(log::CurrentLevel())}, {"lost", log::Lost()}, {"lines", log::Recent()}};
+  json["log"] = {{"level", log::LevelName(log::CurrentLevel())},
+                 {"lost", log::LostLineCount()},
+                 {"lines", log::RecentLines()}};
   return json;
 }
 
--- a/src/fleet/fleet_config.cpp
+++ b/src/fleet/fleet_config.cpp
@@ -34,7 +34,7 @@
 void CheckSchema(const std::string& path, const nlohmann::json& json) {
   static const schema::Schema peers_schema(schema::PeersSchema());
   std::vector<std::string> faults;
-  for (const schema::Fault& fault : peers_schema.Check(json)) faults.push_back(' ' + fault.Text());
+  for (const schema::ValidationError& fault : peers_schema.Check(json)) faults.push_back(' ' + fault.Text());
   if (!faults.empty()) throw FleetConfigError(path, faults);
 }
 
--- a/src/lab/scenario/scenario.cpp
+++ b/src/lab/scenario/scenario.cpp
@@ -219,7 +219,7 @@
   const Json json = ParseLines(text, file);
   static const schema::Schema form(schema::ScenarioSchema());
   std::vector<std::string> faults;
-  for (const schema::Fault& fault : form.Check(nlohmann::json::parse(json.dump()))) {
+  for (const schema::ValidationError& fault : form.Check(nlohmann::json::parse(json.dump()))) {
     faults.push_back(file + ' ' + fault.Text());
   }
   if (!faults.empty()) throw ScenarioError(faults);
--- a/src/lab/series/plan.cpp
+++ b/src/lab/series/plan.cpp
@@ -30,7 +30,7 @@
   const Json json = ParseLines(text(path, "a series, as in deploy/series"), path);
   static const schema::Schema form(schema::SeriesSchema());
   std::vector<std::string> faults;
-  for (const schema::Fault& fault : form.Check(nlohmann::json::parse(json.dump())))
+  for (const schema::ValidationError& fault : form.Check(nlohmann::json::parse(json.dump())))
     faults.push_back(path + ' ' + fault.Text());
   if (!faults.empty()) throw ScenarioError(faults);
   SeriesPlan plan;
--- a/src/log/log.cpp
+++ b/src/log/log.cpp
@@ -124,7 +124,7 @@
 
 }  // namespace
 
-bool ReadLevel(std::string_view name, Level& level) {
+bool ParseLevel(std::string_view name, Level& level) {
   for (const Level each : {Level::kDebug, Level::kInfo, Level::kWarning, Level::kError}) {
     if (name != LevelName(each)) continue;
     level = each;
@@ -232,13 +232,13 @@
   state.pool.reset();  // Joins its thread, behind the last line.
 }
 
-std::vector<std::string> Recent() {
+std::vector<std::string> RecentLines() {
   State& state = Get();
   const std::lock_guard lock(state.mutex);
   return {state.recent.begin(), state.recent.end()};
 }
 
-std::uint64_t Lost() {
+std::uint64_t LostLineCount() {
   State& state = Get();
   const std::lock_guard lock(state.mutex);
   return state.lost + (state.pool ? state.pool->overrun_counter() : 0);
--- a/src/log/log.h
+++ b/src/log/log.h
@@ -19,7 +19,7 @@
 
 enum class Level { kDebug, kInfo, kWarning, kError };
 // The level of that name (debug, info, warning, error); false where there is none.
-bool ReadLevel(std::string_view name, Level& level);
+bool ParseLevel(std::string_view name, Level& level);
 const char* LevelName(Level level);
 
 // A value of a field. Texts may hold any bytes: what would break a line or a terminal is written as \xNN.
@@ -62,7 +62,7 @@
   std::string file;                    // Empty: standard error.
   std::size_t rotate_bytes = 1 << 20;  // A file of this size is set aside as FILE.1, .2, ...
   std::size_t keep = 5;                // Files set aside.
-  std::size_t recent = 0;              // Lines kept for Recent().
+  std::size_t recent = 0;              // Lines kept for RecentLines().
 };
 // From now on. Throws std::runtime_error where the file cannot be opened.
 void Configure(const Options& options);
@@ -71,9 +71,9 @@
 // Writes out what is queued, and writes to standard error from now on. Waits for the disk.
 void Close();
 // The last lines, oldest first; none unless asked for by Options::recent.
-std::vector<std::string> Recent();
+std::vector<std::string> RecentLines();
 // Lines that a slow or full disk has cost so far.
-std::uint64_t Lost();
+std::uint64_t LostLineCount();
 
 // `text` with what would break a line or a terminal written as \xNN: control characters, and bytes that are
 // no UTF-8.
--- a/src/schema/schema.cpp
+++ b/src/schema/schema.cpp
@@ -39,7 +39,7 @@
 
 }  // namespace
 
-std::string Fault::Text() const {
+std::string ValidationError::Text() const {
   return (pointer.empty() ? "the whole document" : pointer) +
          (found.empty() ? ": " : ": found " + found + "; ") + wanted;
 }
@@ -56,10 +56,10 @@
 Schema::~Schema() = default;
 Schema::Schema(Schema&&) noexcept = default;
 
-std::vector<Fault> Schema::Check(const Json& document) const {
+std::vector<ValidationError> Schema::Check(const Json& document) const {
   valijson::Validator validator;
   valijson::ValidationResults results;
-  std::vector<Fault> faults;
+  std::vector<ValidationError> faults;
   if (validator.validate(compiled_->schema, valijson::adapters::NlohmannJsonAdapter(document), &results)) {
     return faults;
   }
--- a/src/schema/schema.h
+++ b/src/schema/schema.h
@@ -11,7 +11,7 @@
 
 namespace hingelink::schema {
 
-struct Fault {
+struct ValidationError {
   std::string pointer;  // JSON pointer (RFC 6901); empty: the whole document.
   std::string found;    // What stands there, as JSON, cut at 60 characters; empty where nothing does.
   std::string wanted;
@@ -27,7 +27,7 @@
   ~Schema();
   Schema(Schema&&) noexcept;
   // Empty where the document is good.
-  std::vector<Fault> Check(const nlohmann::json& document) const;
+  std::vector<ValidationError> Check(const nlohmann::json& document) const;
 
  private:
   struct Compiled;
--- a/tests/background/loop_test.h
+++ b/tests/background/loop_test.h
@@ -23,7 +23,7 @@
 }
 // In the log of this process, tests that ran before included.
 inline std::ptrdiff_t CountLogged(const std::string& text) {
-  const std::vector<std::string> lines = log::Recent();
+  const std::vector<std::string> lines = log::RecentLines();
   return std::count_if(lines.begin(), lines.end(),
                        [&text](const std::string& line) { return line.find(text) != std::string::npos; });
 }
--- a/tests/log/log_test.cpp
+++ b/tests/log/log_test.cpp
@@ -71,10 +71,10 @@
   log::Warn("yes");
   log::SetLevel(log::Level::kDebug);
   log::Event(log::Level::kDebug, "now");
-  EXPECT_EQ(log::Recent().size(), 2u);
+  EXPECT_EQ(log::RecentLines().size(), 2u);
   for (int i = 0; i < 10; ++i) log::Info("more", {{"i", i}});
-  EXPECT_EQ(log::Recent().size(), 4u);
-  EXPECT_NE(log::Recent().back().find("i=9"), std::string::npos);
+  EXPECT_EQ(log::RecentLines().size(), 4u);
+  EXPECT_NE(log::RecentLines().back().find("i=9"), std::string::npos);
   log::Close();
   EXPECT_EQ(All(path).find(" no\n"), std::string::npos);
 }
@@ -101,10 +101,10 @@
   if (!std::filesystem::exists("/dev/full")) GTEST_SKIP();
   std::filesystem::create_symlink("/dev/full", path);
   log::Configure({.file = path, .rotate_bytes = 1 << 30});
-  const auto lost = log::Lost();
+  const auto lost = log::LostLineCount();
   for (int i = 0; i < 20; ++i) log::Info("line", {{"i", i}});
   log::Close();
-  EXPECT_GE(log::Lost() - lost, 20u);
+  EXPECT_GE(log::LostLineCount() - lost, 20u);
 }
 
 // A disk that stands still (a pipe that nobody reads): the oldest lines give way, and each call returns at
@@ -113,11 +113,11 @@
   ASSERT_EQ(mkfifo(path.c_str(), 0600), 0);
   const int reader = open(path.c_str(), O_RDONLY | O_NONBLOCK);
   log::Configure({.file = path, .rotate_bytes = 1 << 30});
-  const auto lost = log::Lost();
+  const auto lost = log::LostLineCount();
   const auto began = std::chrono::steady_clock::now();
   for (int i = 0; i < 20'000; ++i) log::Info("line", {{"i", i}, {"fill", std::string(100, 'x')}});
   EXPECT_LT(std::chrono::steady_clock::now() - began, std::chrono::seconds(10));
-  EXPECT_GT(log::Lost() - lost, 10'000u);
+  EXPECT_GT(log::LostLineCount() - lost, 10'000u);
   // Read on, so that what waits can go and the log can be closed.
   std::atomic<bool> over{false};
   std::thread drains([&] {
--- a/tests/net/loop_group_test.cpp
+++ b/tests/net/loop_group_test.cpp
@@ -138,7 +138,7 @@
   }
   EXPECT_EQ(rig.Loops()[0].connections, 6u);
   const auto said = [](const std::string& what) {
-    for (const std::string& line : log::Recent()) {
+    for (const std::string& line : log::RecentLines()) {
       if (line.find(what) != std::string::npos) return true;
     }
     return false;
