--- a/src/core/answer.h
+++ b/src/core/answer.h
@@ -1,4 +1,4 @@
-// The final answer to a request, free of any protocol.
+// The final answer to a request, independent of the protocol that the caller uses.
 #ifndef HINGELINK_CORE_ANSWER_H_
 #define HINGELINK_CORE_ANSWER_H_
 
@@ -9,16 +9,16 @@
 namespace hingelink::core {
 
 enum class Verdict {
-  kServed,    // Carries the result of the request's execution, unchanged.
-  kRejected,  // Promises that this attempt was never executed.
-  kFailed,    // Promises nothing.
+  kServed,    // The answer carries the unchanged result of the request's execution.
+  kRejected,  // This attempt was never executed and will not be.
+  kFailed,    // The attempt may or may not have been executed.
 };
 
 struct FinalAnswer {
   Verdict verdict = Verdict::kFailed;
-  std::optional<std::chrono::milliseconds> retry_after;  // Of a rejection: how long to stay away.
-  bool no_other_server = false;                          // Of a rejection: another server would not help.
-  std::string_view result;                               // Valid during the call that delivers the answer.
+  std::optional<std::chrono::milliseconds> retry_after;  // For kRejected: the shortest wait before a retry.
+  bool no_other_server = false;  // For kRejected: other servers would reject the request as well.
+  std::string_view result;       // For kServed; valid only during the call that delivers the answer.
 };
 
 [[nodiscard]] inline FinalAnswer Served(std::string_view result) {
--- a/src/core/counter.h
+++ b/src/core/counter.h
@@ -11,8 +11,9 @@
 
 namespace hingelink::core {
 
-// Only one thread may call the operators that change it: an update is a relaxed load and store, not an atomic
-// addition.
+// A statistics counter with one writer. Only one thread may call the operators that change the counter,
+// because an update is a relaxed load followed by a relaxed store, not an atomic addition. Any thread may
+// read the counter.
 class Counter {
  public:
   Counter() = default;
@@ -33,7 +34,7 @@
   std::atomic<std::uint64_t> value_{0};
 };
 
-// The final answers given to requests of one class by one thread.
+// Numbers of final answers, by verdict, that one thread has given to requests of one class.
 struct ClassCounts {
   std::string name;
   Counter served{};
@@ -54,7 +55,8 @@
     }
   }
 };
-// Shared, because a request in flight keeps the counts of its class beyond a reconfiguration.
+// The pointer is shared because a request in flight still uses the counts of its class after a
+// reconfiguration has removed the class.
 using ClassCountsPtr = std::shared_ptr<ClassCounts>;
 
 }  // namespace hingelink::core
--- a/src/core/front_end.h
+++ b/src/core/front_end.h
@@ -1,5 +1,6 @@
-// The interface between the callers' side and the decisions: requests come in, final answers go out. The
-// gateways' frames are one front end; another protocol implements the same interface.
+// The interface between a caller-facing protocol and the admission logic. A front end delivers requests and
+// receives final answers. The gateways' frame protocol is one front end; other protocols can implement the
+// same interface.
 #ifndef HINGELINK_CORE_FRONT_END_H_
 #define HINGELINK_CORE_FRONT_END_H_
 
@@ -13,29 +14,36 @@
 
 namespace hingelink::core {
 
-// To be used on the thread that runs its event loop.
+// Call all functions on the thread that runs the event loop of the front end.
 class FrontEnd {
  public:
   virtual ~FrontEnd() = default;
-  // Delivers the one final answer of a request. Does nothing if its connection has ended.
+  // Sends the final answer to a request. Call it once for each request. Does nothing if the connection that
+  // delivered the request has been closed.
   virtual void Deliver(StreamAddress to, const FinalAnswer& answer) = 0;
-  // The answer to health checks from now on. If `shallow`, deep checks get it too; else each deep check is
-  // reported by FrontEndEvents::deep_check and waits for AnswerHealthCheck().
-  virtual void SetHealth(bool good, bool shallow) = 0;
-  virtual void AnswerHealthCheck(StreamAddress to, bool good) = 0;
-  // The load signal that accompanies answers and health checks from now on.
+  // Sets the answer to all health checks received from now on. If `shallow` is true, deep health checks also
+  // get this answer at once. Otherwise the front end may report a deep health check through
+  // FrontEndEvents::deep_check and leave the answer to AnswerHealthCheck().
+  virtual void SetHealth(bool healthy, bool shallow) = 0;
+  // Answers a deep health check that FrontEndEvents::deep_check has reported. Does nothing if the connection
+  // has been closed.
+  virtual void AnswerHealthCheck(StreamAddress to, bool healthy) = 0;
+  // Sets the load signal that is sent with answers and health responses from now on.
   virtual void SetLoadSignal(double value) = 0;
-  // Closes connections that are idle for this long.
+  // Closes connections that have been idle for longer than `after`, from now on.
   virtual void CloseIdle(std::chrono::milliseconds after) = 0;
 };
 
-// What a front end reports, on the thread that runs its event loop.
+// Callbacks of a front end, called on the thread that runs its event loop.
 struct FrontEndEvents {
+  // A request has arrived.
   std::function<void(const IncomingRequest&)> request;
-  // Nobody waits for this answer, or for that of a health check, any more.
+  // The caller of this request or deep health check no longer waits for the answer.
   std::function<void(StreamAddress)> disconnected;
+  // A deep health check has arrived; answer it with FrontEnd::AnswerHealthCheck().
   std::function<void(StreamAddress)> deep_check;
-  // The counts of a class by its name, or null. The front end counts each answer there as it writes it.
+  // Returns the counts of the class with this name, or null if there are none. The front end counts each
+  // answer there when it writes the answer.
   std::function<ClassCountsPtr(std::string_view class_name)> class_counts;
 };
 
--- a/src/log/log.cpp
+++ b/src/log/log.cpp
@@ -17,11 +17,14 @@
 namespace hingelink::log {
 namespace {
 
-// Lines that wait for the disk: about half a megabyte. The oldest give way.
-constexpr std::size_t kQueue = 4096;
-constexpr std::size_t kMostLine = 1024;
+// Lines that wait to be written to the disk, about half a megabyte. When the queue is full, the oldest lines
+// are dropped.
+constexpr std::size_t kMaxQueuedLines = 4096;
+// Limit of a text line, and of each text value of a JSON line, in bytes.
+constexpr std::size_t kMaxLineBytes = 1024;
 
-// One for the process; spdlog's loggers are made anew at Configure().
+// The state of the log, one instance for the process. Configure() replaces the logger. `mutex` guards all
+// members but `lost`, which the thread of the pool increments.
 struct State {
   std::mutex mutex;
   Options options;
@@ -35,18 +38,20 @@
 
   void UseStandardError() {
     logger = std::make_shared<spdlog::logger>("hingelink", std::make_shared<spdlog::sinks::stderr_sink_mt>());
-    Finish();
+    SetUpLogger();
   }
-  void Finish() {
+  void SetUpLogger() {
     logger->set_pattern("%v");
     logger->set_level(spdlog::level::trace);
-    // A log that cannot be written is no reason to stop serving, nor to say so on a stream that nobody reads.
+    // A failed write must not stop the process. It is counted and not reported on standard error, which may
+    // be unread.
     logger->set_error_handler([this](const std::string&) { ++lost; });
   }
 };
 
-State& Get() {
-  static State* state = new State;  // Outlives every static that logs at its end.
+State& GlobalState() {
+  // Never destroyed, so that the destructors of static objects can log.
+  static State* state = new State;
   return *state;
 }
 
@@ -70,7 +75,7 @@
       .count();
 }
 
-std::string AsText(std::string_view name, std::initializer_list<Field> fields) {
+std::string FormatText(std::string_view name, std::initializer_list<Field> fields) {
   std::string line = std::to_string(UnixMs());
   line.append(" ").append(name);
   for (const Field& field : fields) {
@@ -78,34 +83,35 @@
     if (*field.key != '\0') line.append(field.key).append("=");
     line += field.value.Text();
   }
-  if (line.size() > kMostLine) line.resize(kMostLine);
+  if (line.size() > kMaxLineBytes) line.resize(kMaxLineBytes);
   return line;
 }
 
-std::string AsJson(Level level, std::string_view name, std::initializer_list<Field> fields) {
+std::string FormatJson(Level level, std::string_view name, std::initializer_list<Field> fields) {
   nlohmann::ordered_json line = {{"ts", UnixMs()}, {"level", LevelName(level)}, {"event", name}};
   for (const Field& field : fields) {
     const char* key = *field.key != '\0' ? field.key : "text";
     if (field.value.is_number()) {
       line[key] = field.value.number();
     } else {
-      line[key] = field.value.Text().substr(0, kMostLine);
+      line[key] = field.value.Text().substr(0, kMaxLineBytes);
     }
   }
   return line.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace);
 }
 
-// With the mutex held.
+// Writes one line if its level is enabled. The caller holds `state.mutex`.
 void Write(State& state, Level level, std::string_view name, std::initializer_list<Field> fields) {
   if (level < state.options.level) return;
-  std::string line = state.options.json ? AsJson(level, name, fields) : AsText(name, fields);
+  std::string line = state.options.json ? FormatJson(level, name, fields) : FormatText(name, fields);
   state.logger->log(ToSpdlog(level), spdlog::string_view_t(line));
   if (state.options.recent == 0) return;
   state.recent.push_back(std::move(line));
   if (state.recent.size() > state.options.recent) state.recent.pop_front();
 }
 
-// Bytes of the UTF-8 character at the front of `text`; 0 where there is none.
+// Returns the size in bytes of the UTF-8 character at the front of `text`, which must not be empty; 0 if the
+// bytes are not valid UTF-8.
 std::size_t CharacterSize(std::string_view text) {
   const auto byte = [text](std::size_t i) { return static_cast<unsigned char>(text[i]); };
   const unsigned char first = byte(0);
@@ -114,7 +120,7 @@
   for (std::size_t i = 1; i < size; ++i) {
     if ((byte(i) & 0xc0) != 0x80) return 0;
   }
-  // No overlong forms, no halves of pairs, nothing past the last character.
+  // Reject overlong encodings, UTF-16 surrogates and values above U+10FFFF.
   if ((first == 0xe0 && byte(1) < 0xa0) || (first == 0xed && byte(1) > 0x9f) ||
       (first == 0xf0 && byte(1) < 0x90) || (first == 0xf4 && byte(1) > 0x8f)) {
     return 0;
@@ -153,10 +159,10 @@
   while (!text.empty()) {
     const auto first = static_cast<unsigned char>(text[0]);
     const std::size_t size = CharacterSize(text);
-    // U+0080 to U+009F are control characters too, which some terminals obey.
-    const bool control = size == 0 || first < 0x20 || first == 0x7f ||
-                         (size == 2 && first == 0xc2 && static_cast<unsigned char>(text[1]) < 0xa0);
-    if (!control) {
+    // U+0080 to U+009F are control characters as well, and some terminals interpret them.
+    const bool is_escaped = size == 0 || first < 0x20 || first == 0x7f ||
+                            (size == 2 && first == 0xc2 && static_cast<unsigned char>(text[1]) < 0xa0);
+    if (!is_escaped) {
       out.append(text.substr(0, size));
     } else {
       for (std::size_t i = 0; i < std::max<std::size_t>(size, 1); ++i) {
@@ -175,24 +181,25 @@
 }
 
 void Event(Level level, std::string_view name, std::initializer_list<Field> fields) {
-  State& state = Get();
+  State& state = GlobalState();
   const std::lock_guard lock(state.mutex);
   Write(state, level, name, fields);
 }
 
-// Guards against a flood of connections that fills the log's disk and takes the core.
+// Limits the lines that peers cause, so that a flood of connections can neither fill the disk nor use up a
+// core.
 void PeerEvent(std::string_view name, std::initializer_list<Field> fields) {
-  State& state = Get();
+  State& state = GlobalState();
   const std::lock_guard lock(state.mutex);
-  if (!state.budget.Take(std::chrono::steady_clock::now())) return;
-  if (const long lines = state.budget.TakeLeftOut(); lines > 0) {
-    Write(state, Level::kWarning, "log-left-out", {{"lines", lines}});
+  if (!state.budget.TryConsume(std::chrono::steady_clock::now())) return;
+  if (const long lines = state.budget.ResetSuppressedCount(); lines > 0) {
+    Write(state, Level::kWarning, "log-lines-suppressed", {{"lines", lines}});
   }
   Write(state, Level::kInfo, name, fields);
 }
 
 void Configure(const Options& options) {
-  State& state = Get();
+  State& state = GlobalState();
   const std::lock_guard lock(state.mutex);
   if (options.file.empty()) {
     state.UseStandardError();
@@ -200,62 +207,62 @@
     try {
       auto sink = std::make_shared<spdlog::sinks::rotating_file_sink_mt>(options.file, options.rotate_bytes,
                                                                          options.keep);
-      state.pool = std::make_shared<spdlog::details::thread_pool>(kQueue, 1);
+      state.pool = std::make_shared<spdlog::details::thread_pool>(kMaxQueuedLines, 1);
       auto logger = std::make_shared<spdlog::async_logger>("hingelink", std::move(sink), state.pool,
                                                            spdlog::async_overflow_policy::overrun_oldest);
       logger->flush_on(spdlog::level::trace);
       state.logger = std::move(logger);
-    } catch (const spdlog::spdlog_ex& fault) {
-      throw std::runtime_error(fault.what());
+    } catch (const spdlog::spdlog_ex& error) {
+      throw std::runtime_error(error.what());
     }
-    state.Finish();
+    state.SetUpLogger();
   }
   state.options = options;
 }
 
 void SetLevel(Level level) {
-  State& state = Get();
+  State& state = GlobalState();
   const std::lock_guard lock(state.mutex);
   state.options.level = level;
 }
 
 Level CurrentLevel() {
-  State& state = Get();
+  State& state = GlobalState();
   const std::lock_guard lock(state.mutex);
   return state.options.level;
 }
 
 void Close() {
-  State& state = Get();
+  State& state = GlobalState();
   const std::lock_guard lock(state.mutex);
   state.UseStandardError();
-  state.pool.reset();  // Joins its thread, behind the last line.
+  state.pool.reset();  // Joins the thread of the pool after it has written the last queued line.
 }
 
 std::vector<std::string> RecentLines() {
-  State& state = Get();
+  State& state = GlobalState();
   const std::lock_guard lock(state.mutex);
   return {state.recent.begin(), state.recent.end()};
 }
 
 std::uint64_t LostLineCount() {
-  State& state = Get();
+  State& state = GlobalState();
   const std::lock_guard lock(state.mutex);
   return state.lost + (state.pool ? state.pool->overrun_counter() : 0);
 }
 
-bool LogBudget::Take(Time now) {
-  const double passed = std::chrono::duration<double>(now - last_).count();
-  stock_ = std::min<double>(kBurst, stock_ + kEachSecond * passed);
-  last_ = now;
-  if (stock_ < 1) {
-    ++left_out_;
+bool LogBudget::TryConsume(Time now) {
+  const double elapsed_seconds = std::chrono::duration<double>(now - last_refill_).count();
+  tokens_ = std::min<double>(kBurstLines, tokens_ + kLinesPerSecond * elapsed_seconds);
+  last_refill_ = now;
+  if (tokens_ < 1) {
+    ++suppressed_lines_;
     return false;
   }
-  stock_ -= 1;
+  tokens_ -= 1;
   return true;
 }
 
-long LogBudget::TakeLeftOut() { return std::exchange(left_out_, 0); }
+long LogBudget::ResetSuppressedCount() { return std::exchange(suppressed_lines_, 0); }
 
 }  // namespace hingelink::log
--- a/src/log/log.h
+++ b/src/log/log.h
@@ -1,7 +1,8 @@
-// Structured logging: one line an event, as text or as JSON. The events are explained in docs/on-call.md.
+// Structured logging: one line for each event, as text or as JSON. docs/on-call.md explains the events.
 //
-// Lines go to standard error as they are written (the platform's form), or through a bounded queue to a file
-// that is rotated: a disk that is slow or full costs lines, which are counted, and never time.
+// Lines go either directly to standard error, which is the form that service platforms expect, or through a
+// bounded queue to a rotated file. If the disk is slow or full, the log drops and counts lines instead of
+// blocking the calling thread. All functions may be called on any thread.
 #ifndef HINGELINK_LOG_LOG_H_
 #define HINGELINK_LOG_LOG_H_
 
@@ -18,11 +19,11 @@
 namespace hingelink::log {
 
 enum class Level { kDebug, kInfo, kWarning, kError };
-// The level of that name (debug, info, warning, error); false where there is none.
+// Sets `level` to the level with this name (debug, info, warning, error). Returns false if there is none.
 bool ParseLevel(std::string_view name, Level& level);
 const char* LevelName(Level level);
 
-// A value of a field. Texts may hold any bytes: what would break a line or a terminal is written as \xNN.
+// The value of a log field: a text or a whole number. Texts may contain any bytes; see Printable().
 class Value {
  public:
   Value(std::string_view text) : value_(std::string(text)) {}
@@ -32,6 +33,7 @@
   template <std::integral T>
   Value(T number) : value_(static_cast<std::int64_t>(number)) {}
 
+  // The value as it appears in a log line, without control characters.
   std::string Text() const;
   bool is_number() const { return std::holds_alternative<std::int64_t>(value_); }
   std::int64_t number() const { return std::get<std::int64_t>(value_); }
@@ -41,10 +43,11 @@
 };
 
 struct Field {
-  const char* key;  // Empty: a text of its own, written without a key (`text` in JSON).
+  const char* key;  // If empty, text lines show only the value, and JSON lines use the key `text`.
   Value value;
 };
 
+// Writes an event if its level is enabled. `name` is in kebab case and does not vary.
 void Event(Level level, std::string_view name, std::initializer_list<Field> fields = {});
 inline void Info(std::string_view name, std::initializer_list<Field> fields = {}) {
   Event(Level::kInfo, name, fields);
@@ -52,48 +55,50 @@
 inline void Warn(std::string_view name, std::initializer_list<Field> fields = {}) {
   Event(Level::kWarning, name, fields);
 }
-// For lines that a peer can cause as often as it likes: those over the budget are counted, and told of in
-// one.
+// Writes an info event that a peer can cause at any rate. Events beyond the LogBudget are dropped; the next
+// event within the budget is preceded by a warning with the number of dropped events.
 void PeerEvent(std::string_view name, std::initializer_list<Field> fields = {});
 
 struct Options {
   bool json = false;
   Level level = Level::kInfo;
-  std::string file;                    // Empty: standard error.
-  std::size_t rotate_bytes = 1 << 20;  // A file of this size is set aside as FILE.1, .2, ...
-  std::size_t keep = 5;                // Files set aside.
-  std::size_t recent = 0;              // Lines kept for RecentLines().
+  std::string file;                    // Path of the log file; empty for standard error.
+  std::size_t rotate_bytes = 1 << 20;  // At this size the file is rotated to FILE.1, FILE.2, ...
+  std::size_t keep = 5;                // Number of rotated files that are kept.
+  std::size_t recent = 0;              // Number of lines that RecentLines() can return.
 };
-// From now on. Throws std::runtime_error where the file cannot be opened.
+// Applies the options to all later events. Throws std::runtime_error if the file cannot be opened.
 void Configure(const Options& options);
 void SetLevel(Level level);
 Level CurrentLevel();
-// Writes out what is queued, and writes to standard error from now on. Waits for the disk.
+// Writes the queued lines to the file and closes it. Blocks until the disk has accepted them. Later events go
+// to standard error.
 void Close();
-// The last lines, oldest first; none unless asked for by Options::recent.
+// Returns the last lines written, oldest first, at most Options::recent of them.
 std::vector<std::string> RecentLines();
-// Lines that a slow or full disk has cost so far.
+// Returns how many lines have been lost because the disk was slow or full.
 std::uint64_t LostLineCount();
 
-// `text` with what would break a line or a terminal written as \xNN: control characters, and bytes that are
-// no UTF-8.
+// Returns `text` with control characters and bytes that are not valid UTF-8 replaced by \xNN. The result can
+// neither break a line nor send commands to a terminal.
 std::string Printable(std::string_view text);
 
-// Lines in stock, which grow with time up to a burst.
+// A token bucket that limits the rate of log lines. Not thread-safe.
 class LogBudget {
  public:
   using Time = std::chrono::steady_clock::time_point;
-  static constexpr int kBurst = 1000, kEachSecond = 100;
+  static constexpr int kBurstLines = 1000;
+  static constexpr int kLinesPerSecond = 100;
 
-  // Whether a line may be written now.
-  bool Take(Time now);
-  // The lines that might not be written since the last call.
-  long TakeLeftOut();
+  // Consumes a token. Returns false, and counts the line as suppressed, if there is none.
+  bool TryConsume(Time now);
+  // Returns how many lines were suppressed since the last call.
+  long ResetSuppressedCount();
 
  private:
-  double stock_ = kBurst;
-  Time last_{};
-  long left_out_ = 0;
+  double tokens_ = kBurstLines;
+  Time last_refill_{};
+  long suppressed_lines_ = 0;
 };
 
 }  // namespace hingelink::log
--- a/src/proto/frames.cpp
+++ b/src/proto/frames.cpp
@@ -9,19 +9,20 @@
 namespace hingelink::proto {
 namespace {
 
-// Bounds of what a gateway may send: the year 2200, a day, and less than two megabytes.
-constexpr std::uint64_t kMaxUnixMs = 7'258'118'400'000;
-constexpr std::uint64_t kMaxWaitMs = 86'400'000;
-constexpr double kMaxWorkMs = 86'400'000;
-constexpr double kReservedKbBound = 2000;
+// Limits of the values that a gateway may send.
+constexpr std::uint64_t kMaxUnixMs = 7'258'118'400'000;  // The start of the year 2200.
+constexpr std::uint64_t kMaxWaitMs = 86'400'000;         // One day.
+constexpr double kMaxWorkMs = 86'400'000;                // One day.
+constexpr double kReservedKbBound = 2000;                // Exclusive.
 
-std::uint64_t BigEndian(std::string_view bytes) {
+std::uint64_t DecodeBigEndian(std::string_view bytes) {
   std::uint64_t value = 0;
   for (const char byte : bytes) value = value << 8 | static_cast<unsigned char>(byte);
   return value;
 }
 
-void PutBigEndian(std::string& out, std::uint64_t value, int bytes) {
+// Appends the `bytes` low-order bytes of `value`.
+void AppendBigEndian(std::string& out, std::uint64_t value, int bytes) {
   while (bytes-- > 0) out.push_back(static_cast<char>(value >> (8 * bytes) & 0xff));
 }
 
@@ -44,27 +45,29 @@
          ParseHexId(text.substr(16), key.low);
 }
 
-// Removes `count` bytes from the front of `from`. Returns false if there are fewer.
-bool Consume(std::string_view& from, std::size_t count, std::string_view& value) {
+// Moves `count` bytes from the front of `from` to `value`. Returns false if `from` is shorter.
+bool ConsumeBytes(std::string_view& from, std::size_t count, std::string_view& value) {
   if (from.size() < count) return false;
   value = from.substr(0, count);
   from.remove_prefix(count);
   return true;
 }
 
-// Removes a value that follows its own size, a number of `size_bytes` bytes.
-bool ConsumeSized(std::string_view& from, std::size_t size_bytes, std::string_view& value) {
+// Moves a length-prefixed value from the front of `from` to `value`. The length is a number of `size_bytes`
+// bytes. Returns false if `from` is too short.
+bool ConsumeLengthPrefixed(std::string_view& from, std::size_t size_bytes, std::string_view& value) {
   std::string_view size;
-  return Consume(from, size_bytes, size) && Consume(from, BigEndian(size), value);
+  return ConsumeBytes(from, size_bytes, size) && ConsumeBytes(from, DecodeBigEndian(size), value);
 }
 
+// Encodes the number of fields, followed by the length-prefixed name and value of each field.
 std::string EncodeFields(const AnswerFields& fields) {
   std::string out(1, '\0');
   const auto add = [&out](std::string_view name, std::string_view value) {
     ++out[0];
-    PutBigEndian(out, name.size(), 1);
+    AppendBigEndian(out, name.size(), 1);
     out.append(name);
-    PutBigEndian(out, value.size(), 2);
+    AppendBigEndian(out, value.size(), 2);
     out.append(value);
   };
   if (fields.load_signal) {
@@ -77,18 +80,19 @@
   return out;
 }
 
-std::string EncodeFrameHeader(FrameType type, std::uint32_t stream, std::size_t payload) {
+std::string EncodeFrameHeader(FrameType type, std::uint32_t stream, std::size_t payload_size) {
   std::string out;
-  PutBigEndian(out, kMinFrameLength + payload, 4);
+  AppendBigEndian(out, kMinFrameLength + payload_size, 4);
   out.push_back(static_cast<char>(type));
-  PutBigEndian(out, stream, 4);
+  AppendBigEndian(out, stream, 4);
   return out;
 }
 
-// A field of a request: its name in the protocol, and how its value is parsed. False if it is malformed.
+// A field of a kRequest frame.
 struct RequestField {
-  const char* name;
+  const char* name;  // In the protocol.
   bool required;
+  // Parses the value into `request`. Returns false if the value is malformed.
   bool (*parse)(std::string_view value, RequestFrame& request);
 };
 
@@ -129,7 +133,7 @@
   return ParseDecimal(value, request.rank) && request.rank >= 0 && request.rank < 1;
 }
 
-// The one place where the protocol's names of fields meet those of RequestFrame.
+// Maps the field names of the protocol to the members of RequestFrame.
 constexpr RequestField kRequestFields[] = {
     {"kind", true,
      [](std::string_view value, RequestFrame& request) {
@@ -168,47 +172,49 @@
   return found == std::end(kRequestFields) ? nullptr : found;
 }
 
-unsigned BitOf(const RequestField* field) { return 1u << (field - std::begin(kRequestFields)); }
+// The bit that marks `field` as present in a request.
+unsigned FieldBit(const RequestField* field) { return 1u << (field - std::begin(kRequestFields)); }
 
 }  // namespace
 
 std::optional<FrameHeader> ParseFrameHeader(std::string_view bytes) {
   if (bytes.size() < kFrameHeaderBytes) return std::nullopt;
-  return FrameHeader{static_cast<std::uint32_t>(BigEndian(bytes.substr(0, 4))),
+  return FrameHeader{static_cast<std::uint32_t>(DecodeBigEndian(bytes.substr(0, 4))),
                      static_cast<std::uint8_t>(bytes[4]),
-                     static_cast<std::uint32_t>(BigEndian(bytes.substr(5, 4)))};
+                     static_cast<std::uint32_t>(DecodeBigEndian(bytes.substr(5, 4)))};
 }
 
 const char* ParseRequest(std::string_view payload, RequestFrame& request) {
   std::string_view count;
-  if (!Consume(payload, 1, count)) return "no fields";
-  unsigned present = 0;  // A bit for each field.
-  for (std::uint64_t remaining = BigEndian(count); remaining > 0; --remaining) {
+  if (!ConsumeBytes(payload, 1, count)) return "field count is missing";
+  unsigned present_fields = 0;  // A set of FieldBit() values.
+  for (std::uint64_t remaining = DecodeBigEndian(count); remaining > 0; --remaining) {
     std::string_view name;
     std::string_view value;
-    if (!ConsumeSized(payload, 1, name) || !ConsumeSized(payload, 2, value))
-      return "fields run past the frame";
+    if (!ConsumeLengthPrefixed(payload, 1, name) || !ConsumeLengthPrefixed(payload, 2, value))
+      return "fields exceed the frame";
     const RequestField* field = FindField(name);
-    if (field == nullptr) continue;  // Of a later version of the protocol.
+    if (field == nullptr) continue;  // Added by a later version of the protocol.
     if (!field->parse(value, request)) return field->name;
-    present |= BitOf(field);
+    present_fields |= FieldBit(field);
   }
-  const bool is_complete = std::all_of(
-      std::begin(kRequestFields), std::end(kRequestFields),
-      [present](const RequestField& field) { return !field.required || (present & BitOf(&field)) != 0; });
-  if (!is_complete || request.class_name.empty()) return "a field is missing";
-  if (payload.size() > kMaxRequestBodyBytes) return "body too long";
+  const bool is_complete = std::all_of(std::begin(kRequestFields), std::end(kRequestFields),
+                                       [present_fields](const RequestField& field) {
+                                         return !field.required || (present_fields & FieldBit(&field)) != 0;
+                                       });
+  if (!is_complete || request.class_name.empty()) return "required field is missing";
+  if (payload.size() > kMaxRequestBodyBytes) return "body is too long";
   request.body = payload;
   return nullptr;
 }
 
 bool IsDeepHealthCheck(std::string_view payload) {
   std::string_view count;
-  if (!Consume(payload, 1, count)) return false;
-  for (std::uint64_t remaining = BigEndian(count); remaining > 0; --remaining) {
+  if (!ConsumeBytes(payload, 1, count)) return false;
+  for (std::uint64_t remaining = DecodeBigEndian(count); remaining > 0; --remaining) {
     std::string_view name;
     std::string_view value;
-    if (!ConsumeSized(payload, 1, name) || !ConsumeSized(payload, 2, value)) return false;
+    if (!ConsumeLengthPrefixed(payload, 1, name) || !ConsumeLengthPrefixed(payload, 2, value)) return false;
     if (name == "real") return value == "1";
   }
   return false;
@@ -216,18 +222,18 @@
 
 std::string EncodeAnswerHeader(std::uint32_t stream, AnswerCode code, const AnswerFields& fields,
                                std::size_t body_size) {
-  const std::string list = EncodeFields(fields);
-  std::string out = EncodeFrameHeader(FrameType::kAnswer, stream, 1 + list.size() + body_size);
+  const std::string encoded_fields = EncodeFields(fields);
+  std::string out = EncodeFrameHeader(FrameType::kAnswer, stream, 1 + encoded_fields.size() + body_size);
   out.push_back(static_cast<char>(code));
-  return out + list;
+  return out + encoded_fields;
 }
 
-std::string EncodeHealthResponse(std::uint32_t stream, bool good, std::optional<double> signal) {
-  const std::string list =
-      EncodeFields({.load_signal = signal, .retry_after = std::nullopt, .no_other_server = false});
-  std::string out = EncodeFrameHeader(FrameType::kHealthResponse, stream, 1 + list.size());
-  out.push_back(good ? '\0' : '\1');
-  return out + list;
+std::string EncodeHealthResponse(std::uint32_t stream, bool healthy, std::optional<double> load_signal) {
+  const std::string encoded_fields =
+      EncodeFields({.load_signal = load_signal, .retry_after = std::nullopt, .no_other_server = false});
+  std::string out = EncodeFrameHeader(FrameType::kHealthResponse, stream, 1 + encoded_fields.size());
+  out.push_back(healthy ? '\0' : '\1');
+  return out + encoded_fields;
 }
 
 std::string EncodeStopNewRequests() { return EncodeFrameHeader(FrameType::kStopNewRequests, 0, 0); }
--- a/src/proto/handover_lines.cpp
+++ b/src/proto/handover_lines.cpp
@@ -11,12 +11,13 @@
 
 constexpr std::string_view kLoadPrefix = "load ";
 constexpr std::string_view kLearnedPrefix = "learned ";
-// Highest KeyMessage::state.
+// The largest valid KeyMessage::state.
 constexpr int kMaxKeyState = 3;
-// Characters of the six numbers of a learned class.
+// Buffer size for the six numbers of a LearnedClassMessage, in characters.
 constexpr std::size_t kMaxNumbersLength = 160;
 
-// Removes a number that is not negative from the front, and the space after it.
+// Moves a non-negative number from the front of `line` to `value` and removes the space after the number.
+// Returns false if the number is malformed or negative.
 template <typename T>
 bool ConsumeNumber(std::string_view& line, T& value) {
   const auto [end, error] = std::from_chars(line.data(), line.data() + line.size(), value);
@@ -27,7 +28,7 @@
   return true;
 }
 
-// Percent-encodes everything but letters, digits, '-', '_' and '.'.
+// Percent-encodes all characters except letters, digits, '-', '_' and '.'.
 std::string EncodeName(std::string_view name) {
   std::string out;
   for (const char character : name) {
@@ -42,6 +43,7 @@
   return out;
 }
 
+// Reverses EncodeName(). Returns nullopt if a percent sign is not followed by two hexadecimal digits.
 std::optional<std::string> DecodeName(std::string_view text) {
   std::string out;
   while (!text.empty()) {
--- a/src/proto/handover_lines.h
+++ b/src/proto/handover_lines.h
@@ -1,5 +1,6 @@
-// The lines that two processes of one node exchange during a handover. No sockets. Functions that parse a
-// line take it without its end, and return nothing if it is not of their kind.
+// The line protocol between two processes of one node during a handover. The predecessor passes its listening
+// socket to the successor and drains. Performs no I/O. Parse functions take a line without its newline and
+// return nullopt if the line is malformed or is another kind of message.
 #ifndef HINGELINK_PROTO_HANDOVER_LINES_H_
 #define HINGELINK_PROTO_HANDOVER_LINES_H_
 
@@ -16,33 +17,36 @@
 
 inline constexpr std::size_t kMaxHandoverLineBytes = 256;
 
-// The first line, from the predecessor; it accompanies the listening socket.
+// The first line, sent by the predecessor together with the listening socket.
 inline constexpr std::string_view kHandoverListener = "listener\n";
-inline constexpr std::string_view kHandoverReady = "ready\n";  // The successor accepts callers.
-inline constexpr std::string_view kHandoverDraining =
-    "leaving\n";  // The predecessor answers that it accepts no more.
-inline constexpr std::string_view kHandoverExiting =
-    "ends\n";  // The sender exits, and a successor of its own stays.
+// The successor accepts connections.
+inline constexpr std::string_view kHandoverReady = "ready\n";
+// The predecessor's answer to `ready`: it stops accepting connections.
+inline constexpr std::string_view kHandoverDraining = "leaving\n";
+// The sender exits and has a successor of its own, so the receiver must not treat the end of the connection
+// as the loss of its successor.
+inline constexpr std::string_view kHandoverExiting = "ends\n";
 
-// From a successor, before `ready`: it accepts KeyMessages.
+// Sent by a successor before `ready`: it understands KeyMessage lines.
 inline constexpr std::string_view kHandoverKeys = "keys\n";
 
-// An idempotency key at the sender. Its result, if there is one, follows the line and is followed by a
-// newline.
+// The state of an idempotency key in the sending process. If `has_result` is true, the line is followed by
+// the result and a newline.
 struct KeyMessage {
   core::IdempotencyKey key;
-  std::uint64_t content_hash = 0;                          // A hash of the request's class and body.
-  int state = 0;                                           // 0 queued, 1 running, 2 served, 3 failed.
-  std::chrono::duration<double, std::milli> remaining{0};  // Of its window; 0: released.
+  std::uint64_t content_hash = 0;  // Hash of the class and body of the request.
+  int state = 0;                   // 0: reserved, 1: running, 2: served, 3: failed.
+  std::chrono::duration<double, std::milli> remaining{
+      0};  // Rest of the key's window; 0 if the key is released.
   bool has_result = false;
-  std::size_t size = 0;
+  std::size_t size = 0;  // Of the result, in bytes.
   bool operator==(const KeyMessage&) const = default;
 };
 inline constexpr std::size_t kMaxKeyResultBytes = 65'536;
 [[nodiscard]] std::string EncodeKeyMessage(const KeyMessage& key);
 [[nodiscard]] std::optional<KeyMessage> ParseKeyMessage(std::string_view line);
 
-// What the sender has in flight.
+// The load that the sending process has in flight.
 struct LoadMessage {
   int running = 0;
   double memory_kb = 0;
@@ -53,18 +57,19 @@
 [[nodiscard]] std::string EncodeLoadMessage(const LoadMessage& load);
 [[nodiscard]] std::optional<LoadMessage> ParseLoadMessage(std::string_view line);
 
-// What the sender has learned about one class and how that is configured, for a successor to start from.
+// The means that the sender has measured for one class, with the objectives configured for the class. The
+// successor starts from these values.
 struct LearnedClassMessage {
   std::string name;
   double latency_objective_ms = 0;
   double deadline_ms = 0;
-  double run_ms = 0;
-  double core_time_ms = 0;
-  double expected_work_ms = 0;
-  int samples = 0;
+  double run_ms = 0;            // Mean duration of an execution, upstream calls included.
+  double core_time_ms = 0;      // Mean duration of an execution without its upstream calls.
+  double expected_work_ms = 0;  // Mean of the callers' estimates; 0 if there are none.
+  int samples = 0;              // Executions in the means.
   bool operator==(const LearnedClassMessage&) const = default;
 };
-// Nothing if the line would be longer than kMaxHandoverLineBytes.
+// Returns nullopt if the line would be longer than kMaxHandoverLineBytes.
 [[nodiscard]] std::optional<std::string> EncodeLearnedClassMessage(const LearnedClassMessage& learned);
 [[nodiscard]] std::optional<LearnedClassMessage> ParseLearnedClassMessage(std::string_view line);
 
--- a/src/proto/pool_lines.cpp
+++ b/src/proto/pool_lines.cpp
@@ -20,8 +20,9 @@
   return std::nullopt;
 }
 
-// Extends `size`, that of the line, by a body of `length` bytes and its CR LF. Returns what is wrong, or
-// nothing.
+// Reads the body of `length` bytes and the CR LF that follow a line of `size` bytes, and adds them to `size`.
+// Returns nullopt on success. Otherwise returns IncompleteMessage, or MalformedMessage with `error` if the CR
+// LF is missing.
 std::optional<PoolMessage> ConsumeBody(std::string_view bytes, std::size_t length, const char* error,
                                        std::size_t& size, std::string_view& body) {
   const std::size_t line_size = size;
@@ -39,9 +40,9 @@
   const auto elapsed = tokens.Number<double>();
   const auto length = tokens.Number<std::size_t>();
   if (!number || !request_id || !outcome || !elapsed || !length || *length > kMaxPoolResultBytes)
-    return MalformedMessage{"finished"};
+    return MalformedMessage{"malformed finished notice"};
   std::string_view result;
-  if (auto error = ConsumeBody(bytes, *length, "result without its CR LF", size, result)) return *error;
+  if (auto error = ConsumeBody(bytes, *length, "no CR LF after the result", size, result)) return *error;
   return RunFinished{*number, *request_id, *outcome, Millis(*elapsed), result};
 }
 
@@ -49,16 +50,18 @@
   const auto number = tokens.Number<std::uint64_t>();
   const auto request_id = tokens.Number<std::uint64_t>(16);
   const auto length = tokens.Number<std::size_t>();
-  if (!number || !request_id || !length || *length > kMaxPoolResultBytes) return MalformedMessage{"blocked"};
+  if (!number || !request_id || !length || *length > kMaxPoolResultBytes)
+    return MalformedMessage{"malformed blocked notice"};
   std::string_view body;
-  if (auto error = ConsumeBody(bytes, *length, "call without its CR LF", size, body)) return *error;
+  if (auto error = ConsumeBody(bytes, *length, "no CR LF after the upstream call", size, body)) return *error;
   return RunBlocked{*number, *request_id, body};
 }
 
 PoolMessage ParseVerified(Tokenizer& tokens) {
   const std::string_view tag = tokens.Next();
   const std::string_view outcome = tokens.Next();
-  if (tag.empty() || (outcome != "complete" && outcome != "error")) return MalformedMessage{"verified"};
+  if (tag.empty() || (outcome != "complete" && outcome != "error"))
+    return MalformedMessage{"malformed verified notice"};
   return RoundTripVerified{tag, outcome == "complete"};
 }
 
@@ -71,7 +74,8 @@
 PoolMessage ParseBound(Tokenizer& tokens) {
   const std::string_view state = tokens.Next();
   const auto since_start = tokens.Number<double>();
-  if ((state != "chilly" && state != "hot") || !since_start) return MalformedMessage{"bound"};
+  if ((state != "chilly" && state != "hot") || !since_start)
+    return MalformedMessage{"malformed bound notice"};
   return BindAcknowledged{state == "chilly", Millis(*since_start)};
 }
 
@@ -83,14 +87,14 @@
 
 PoolMessage ParseRemark(Tokenizer& tokens) {
   const auto number = tokens.Number<std::uint64_t>();
-  if (!number) return MalformedMessage{"chatter"};
+  if (!number) return MalformedMessage{"malformed chatter notice"};
   return PoolRemark{*number};
 }
 
-// A line whose end has not arrived. Only a remark may be longer than kMaxPoolLineBytes.
+// Handles a line whose end has not been received. Only a remark may be longer than kMaxPoolLineBytes.
 PoolMessage ParseIncompleteLine(std::string_view bytes, std::size_t& size) {
   if (bytes.size() < kMaxPoolLineBytes) return IncompleteMessage{};
-  size = kMaxPoolLineBytes - 1;  // The last byte may be a CR.
+  size = kMaxPoolLineBytes - 1;  // The last byte may be the CR of a CR LF, so it is not consumed.
   Tokenizer tokens(bytes.substr(0, size));
   const bool is_remark = tokens.Next() == "chatter";
   const auto number = tokens.Number<std::uint64_t>();
@@ -113,7 +117,7 @@
   if (notice == "bound") return ParseBound(tokens);
   if (notice == "unknown") return ParseUnknown(tokens);
   if (notice == "chatter") return ParseRemark(tokens);
-  return MalformedMessage{"no notice"};
+  return MalformedMessage{"unknown notice"};
 }
 
 std::string FormatRequestId(std::uint64_t request_id) {
--- a/src/proto/registry_http.cpp
+++ b/src/proto/registry_http.cpp
@@ -28,11 +28,11 @@
   return error == std::errc() && end == text.data() + text.size();
 }
 
-// Whether a response with this status has no body, whatever its fields say.
+// Returns whether a response with this status never has a body, even if it has a Content-Length.
 bool HasNoBody(int status) { return status < 200 || status == 204 || status == 304; }
 
-// Applies one header field to `response`. `body_size` is set by a Content-Length. Returns false if it is
-// malformed.
+// Applies one header field to `response`. A Content-Length field sets `body_size`. Returns false if the field
+// is malformed.
 bool ApplyField(std::string_view field, HttpResponse& response, std::optional<std::size_t>& body_size) {
   const std::size_t colon = field.find(':');
   if (colon == std::string_view::npos) return false;
@@ -79,7 +79,7 @@
     if (!ApplyField(field, response, body_size)) return response;
   }
   if (HasNoBody(response.status)) body_size = 0;
-  // A body without a length ends with its connection.
+  // The end of the connection delimits a body without a Content-Length.
   if (!body_size) response.closes_connection = true;
   response.total_bytes = end + kHeaderEnd.size() + body_size.value_or(0);
   const bool is_complete = bytes.size() >= response.total_bytes;
--- a/src/proto/registry_http.h
+++ b/src/proto/registry_http.h
@@ -1,4 +1,4 @@
-// HTTP/1.1 towards the registry: encoding a report and parsing the response. No sockets.
+// The HTTP/1.1 client side of the registry protocol: encodes reports and parses responses. Performs no I/O.
 #ifndef HINGELINK_PROTO_REGISTRY_HTTP_H_
 #define HINGELINK_PROTO_REGISTRY_HTTP_H_
 
@@ -10,14 +10,15 @@
 
 inline constexpr std::size_t kMaxHttpResponseBytes = 65'536;
 
-// Reports this instance, under its name, as ready or draining. `host`: the registry's address.
+// Encodes the request that reports the instance `name` as ready or draining. `host` is the address of the
+// registry.
 [[nodiscard]] std::string EncodeReportRequest(std::string_view name, std::string_view host, bool draining);
 
 struct HttpResponse {
   enum class State { kNeedMore, kComplete, kMalformed } state = State::kNeedMore;
   int status = 0;
-  std::size_t total_bytes = 0;     // Once complete.
-  bool closes_connection = false;  // The connection cannot be used for another request.
+  std::size_t total_bytes = 0;     // Header and body; valid when the state is kComplete.
+  bool closes_connection = false;  // The connection cannot be reused.
 };
 
 // Parses the response at the front of `bytes`.
--- a/src/proto/store_lines.cpp
+++ b/src/proto/store_lines.cpp
@@ -10,8 +10,7 @@
 namespace hingelink::proto {
 namespace {
 
-// A day.
-constexpr double kMaxWaitMs = 86'400'000;
+constexpr double kMaxWaitMs = 86'400'000;  // One day.
 
 std::optional<StoreReplyStatus> ToStatus(std::string_view text) {
   if (text == "OK") return StoreReplyStatus::kOk;
@@ -35,17 +34,17 @@
   const std::string_view id = tokens.Next();
   const auto request_id = Tokenizer(id).Number<std::uint64_t>(16);
   const auto status = ToStatus(tokens.Next());
-  if (!request_id || id.size() != 16 || !status) return MalformedStoreReply{"no reply"};
+  if (!request_id || id.size() != 16 || !status) return MalformedStoreReply{"malformed reply line"};
   StoreReply reply{*request_id, *status, {}};
   if (const std::string_view length = tokens.Next(); !length.empty()) {
     const auto body_size = Tokenizer(length).Number<std::size_t>();
-    if (!body_size || *body_size > kMaxStoreReplyBytes) return MalformedStoreReply{"length"};
+    if (!body_size || *body_size > kMaxStoreReplyBytes) return MalformedStoreReply{"invalid body length"};
     if (bytes.size() < size + *body_size + 2) return IncompleteStoreReply{};
-    if (bytes.substr(size + *body_size, 2) != "\r\n") return MalformedStoreReply{"reply without its CR LF"};
+    if (bytes.substr(size + *body_size, 2) != "\r\n") return MalformedStoreReply{"no CR LF after the body"};
     reply.body = bytes.substr(size, *body_size);
     size += *body_size + 2;
   } else if (*status == StoreReplyStatus::kOk) {
-    return MalformedStoreReply{"no length"};
+    return MalformedStoreReply{"no body length"};
   }
   return reply;
 }
--- a/src/proto/tokenizer.h
+++ b/src/proto/tokenizer.h
@@ -11,12 +11,12 @@
 
 namespace hingelink::proto {
 
-// The tokens are slices of the line.
+// Returns the tokens of a line in order. The tokens refer to the line.
 class Tokenizer {
  public:
   explicit Tokenizer(std::string_view line) : rest_(line) {}
 
-  // The next token; empty after the last one.
+  // Consumes and returns the next token; returns an empty string after the last token.
   std::string_view Next() {
     const std::size_t start = rest_.find_first_not_of(' ');
     if (start == std::string_view::npos) return {};
@@ -27,7 +27,8 @@
     return token;
   }
 
-  // Consumes the next token. Nothing if it is not a number of this type, or not finite, or there is none.
+  // Consumes the next token and returns it as a number. Returns nullopt if there is no token, or if it is not
+  // a finite number of this type. `base` applies to integers only.
   template <typename T>
   std::optional<T> Number(int base = 10) {
     const std::string_view token = Next();
--- a/src/schema/schema.cpp
+++ b/src/schema/schema.cpp
@@ -12,10 +12,11 @@
 
 using Json = nlohmann::json;
 
-constexpr std::size_t kMostFound = 60;
+constexpr std::size_t kMaxFoundCharacters = 60;  // Longer values are cut in error messages.
 
-// "[node][stop_ms]" steps, as the library gives them, to a JSON pointer.
-std::string ToPointer(const std::vector<std::string>& steps) {
+// Converts the path of an error as valijson reports it, such as {"<root>", "[node]", "[stop_ms]"}, to a JSON
+// pointer.
+std::string ToJsonPointer(const std::vector<std::string>& steps) {
   std::string pointer;
   for (std::string step : steps) {
     if (step == "<root>") continue;
@@ -26,11 +27,12 @@
   return pointer;
 }
 
-std::string FoundAt(const Json& document, const std::string& pointer) {
+// Returns the value at `pointer` as JSON text for an error message; empty if there is no value.
+std::string ValueText(const Json& document, const std::string& pointer) {
   try {
     std::string text =
         document.at(Json::json_pointer(pointer)).dump(-1, ' ', true, Json::error_handler_t::replace);
-    if (text.size() > kMostFound) text = text.substr(0, kMostFound - 3) + "...";
+    if (text.size() > kMaxFoundCharacters) text = text.substr(0, kMaxFoundCharacters - 3) + "...";
     return text;
   } catch (const Json::exception&) {
     return {};
@@ -41,7 +43,7 @@
 
 std::string ValidationError::Text() const {
   return (pointer.empty() ? "the whole document" : pointer) +
-         (found.empty() ? ": " : ": found " + found + "; ") + wanted;
+         (found.empty() ? ": " : ": found " + found + "; ") + expected;
 }
 
 struct Schema::Compiled {
@@ -59,22 +61,23 @@
 std::vector<ValidationError> Schema::Check(const Json& document) const {
   valijson::Validator validator;
   valijson::ValidationResults results;
-  std::vector<ValidationError> faults;
+  std::vector<ValidationError> errors;
   if (validator.validate(compiled_->schema, valijson::adapters::NlohmannJsonAdapter(document), &results)) {
-    return faults;
+    return errors;
   }
   valijson::ValidationResults::Error error;
   while (results.popError(error)) {
-    const std::string pointer = ToPointer(error.context);
-    // That a member or item does not match is told of the member itself, more closely.
+    const std::string pointer = ToJsonPointer(error.context);
+    // Valijson reports an invalid member or item once for the value itself and once for each enclosing object
+    // or array. Only the first report is specific; skip the others.
     if (error.description.starts_with("Failed to validate against schema") ||
         error.description.starts_with("Failed to validate item")) {
       continue;
     }
-    faults.push_back({pointer, FoundAt(document, pointer), error.description});
+    errors.push_back({pointer, ValueText(document, pointer), error.description});
   }
-  if (faults.empty()) faults.push_back({"", "", "does not match the schema"});
-  return faults;
+  if (errors.empty()) errors.push_back({"", "", "does not match the schema"});
+  return errors;
 }
 
 }  // namespace hingelink::schema
--- a/src/schema/schema.h
+++ b/src/schema/schema.h
@@ -1,5 +1,5 @@
-// JSON checked against a JSON Schema. Every fault is told at once, each with where it is, what stands there
-// and what is wanted.
+// Validation of JSON documents against a JSON Schema. Validation reports all errors of a document at once,
+// each with its place, the value found and the expected value.
 #ifndef HINGELINK_SCHEMA_SCHEMA_H_
 #define HINGELINK_SCHEMA_SCHEMA_H_
 
@@ -12,21 +12,22 @@
 namespace hingelink::schema {
 
 struct ValidationError {
-  std::string pointer;  // JSON pointer (RFC 6901); empty: the whole document.
-  std::string found;    // What stands there, as JSON, cut at 60 characters; empty where nothing does.
-  std::string wanted;
+  std::string pointer;   // JSON pointer (RFC 6901) to the invalid value; empty for the whole document.
+  std::string found;     // The invalid value as JSON, cut at 60 characters; empty if there is no value.
+  std::string expected;  // Description of the violated rule.
 
-  // As one line: "/node/stop_ms: found -5; value must be ...".
+  // Returns the error as one line: "/node/stop_ms: found -5; value must be ...".
   std::string Text() const;
 };
 
+// A compiled JSON Schema.
 class Schema {
  public:
-  // Throws std::runtime_error where the text is no schema.
+  // Compiles the schema. Throws an exception derived from std::exception if `text` is not a valid schema.
   explicit Schema(std::string_view text);
   ~Schema();
   Schema(Schema&&) noexcept;
-  // Empty where the document is good.
+  // Returns all errors of the document; empty if it conforms to the schema.
   std::vector<ValidationError> Check(const nlohmann::json& document) const;
 
  private:
@@ -34,7 +35,7 @@
   std::unique_ptr<Compiled> compiled_;
 };
 
-// The schemas of deploy/schema/, as they were at the build.
+// The schemas in deploy/schema/, embedded in the program at build time.
 std::string_view ControlRequestSchema();
 std::string_view ControlSnapshotSchema();
 std::string_view ApplianceSchema();
