--- a/src/proto/pool_lines.h
+++ b/src/proto/pool_lines.h
@@ -49,7 +49,7 @@
   std::string_view tag;
   std::vector<double> gauges;
 };
-// The pool did not recognize a command or the request that the command names.
+// The pool does not know a command, or the class, request or notice that the command names.
 struct UnknownCommand {
   std::string_view command;
   std::uint64_t request_id = 0;  // 0 if not given.
--- a/src/simulator_adapter/codec.cpp
+++ b/src/simulator_adapter/codec.cpp
@@ -14,8 +14,8 @@
 
 static_assert(std::endian::native == std::endian::little, "frames are little-endian");
 
-// The codes of the protocol, named after the events and actions of the policy. Errors name fields as the
-// protocol does.
+// The codes of the protocol, named after the events and actions of the policy. Error messages use the field
+// names of the protocol.
 enum class EventCode : std::uint8_t {
   kOpenInstance = 1,
   kArrival = 2,
@@ -45,15 +45,16 @@
   kSetHealth = 15,
 };
 
-// Bits of the field "opts": an expected work is given, the request is a retry, it is a write.
-constexpr std::uint16_t kExpectedWorkBit = 1;
+// Bits of the field "opts".
+constexpr std::uint16_t kExpectedWorkBit = 1;  // The field "estimateMs" is valid.
 constexpr std::uint16_t kRetryBit = 2;
 constexpr std::uint16_t kWriteBit = 4;
 
-// Count of actions and length.
+// Number of actions (4 bytes) and frame length (4).
 constexpr std::size_t kReplyHeaderBytes = 8;
 
-// Reads the fields of a frame in order. Throws FrameError at one that runs past the frame.
+// Reads the fields of a frame in order. `field` is the name for error messages. All functions throw
+// FrameError if the field exceeds the frame.
 class FrameReader {
  public:
   explicit FrameReader(std::string_view bytes) : bytes_(bytes) {}
@@ -68,8 +69,9 @@
     return value;
   }
 
-  double Number(const char* field) { return RequireFinite(Get<double>(field), field); }
-  double FloatNumber(const char* field) { return RequireFinite(Get<float>(field), field); }
+  // Read a number and throw FrameError if the number is not finite.
+  double Double(const char* field) { return RequireFinite(Get<double>(field), field); }
+  double Float(const char* field) { return RequireFinite(Get<float>(field), field); }
 
   std::string Bytes(std::size_t count, const char* field) {
     Require(count, field);
@@ -85,7 +87,7 @@
   void Require(std::size_t count, const char* field) const {
     if (remaining() < count) {
       throw FrameError(offset_, std::string(field) + " at byte " + std::to_string(offset_) +
-                                    " runs past the frame of " + std::to_string(bytes_.size()) + " bytes");
+                                    " exceeds the frame of " + std::to_string(bytes_.size()) + " bytes");
     }
   }
 
@@ -129,18 +131,18 @@
   Arrival arrival;
   arrival.id = reader.Get<std::uint64_t>("ticket");
   arrival.original = reader.Get<std::uint64_t>("forerunner");
-  arrival.reserved_kb = reader.FloatNumber("kb");
+  arrival.reserved_kb = reader.Float("kb");
   arrival.subject = reader.Get<std::uint64_t>("entity");
-  arrival.rank = reader.FloatNumber("prio");
+  arrival.rank = reader.Float("prio");
   arrival.tenant = reader.Get<std::uint16_t>("customer");
-  arrival.read_delay_ms = reader.Number("queuedForMs");
+  arrival.read_delay_ms = reader.Double("queuedForMs");
   arrival.caller = reader.Get<std::uint32_t>("who");
   const auto options = reader.Get<std::uint16_t>("opts");
-  arrival.expected_work_ms = reader.Number("estimateMs");
+  arrival.expected_work_ms = reader.Double("estimateMs");
   if ((options & kExpectedWorkBit) == 0) arrival.expected_work_ms = 0;
   arrival.is_retry = (options & kRetryBit) != 0;
   arrival.is_write = (options & kWriteBit) != 0;
-  arrival.remaining_wait_ms = reader.Number("budgetMs");
+  arrival.remaining_wait_ms = reader.Double("budgetMs");
   arrival.request_class = reader.Get<std::uint16_t>("priority");
   return arrival;
 }
@@ -148,7 +150,7 @@
 Finished ReadFinished(FrameReader& reader) {
   Finished finished;
   finished.id = reader.Get<std::uint64_t>("ticket");
-  finished.elapsed_ms = reader.Number("costTimeMs");
+  finished.elapsed_ms = reader.Double("costTimeMs");
   finished.outcome = ToOutcome(reader.Get<std::uint16_t>("outcome"), reader.offset());
   return finished;
 }
@@ -157,7 +159,7 @@
   UpstreamCallFinished finished;
   finished.id = reader.Get<std::uint64_t>("ticket");
   finished.outcome = ToOutcome(reader.Get<std::uint16_t>("outcome"), reader.offset());
-  finished.elapsed_ms = reader.Number("costTimeMs");
+  finished.elapsed_ms = reader.Double("costTimeMs");
   return finished;
 }
 
@@ -165,7 +167,7 @@
   TimerFired fired;
   fired.token = reader.Get<std::uint32_t>("handle");
   const auto count = reader.Get<std::uint8_t>("serverStats");
-  for (int i = 0; i < count; ++i) fired.gauges.push_back(reader.FloatNumber("serverStats"));
+  for (int i = 0; i < count; ++i) fired.gauges.push_back(reader.Float("serverStats"));
   return fired;
 }
 
@@ -206,7 +208,7 @@
       record.content = Event(ReadUpstreamCallFinished(reader));
       break;
     case EventCode::kDrainNotice:
-      record.content = Event(DrainNotice{reader.Number("budgetMs")});
+      record.content = Event(DrainNotice{reader.Double("budgetMs")});
       break;
     case EventCode::kCallerDisconnected:
       record.content = Event(CallerDisconnected{reader.Get<std::uint64_t>("ticket")});
@@ -219,54 +221,58 @@
 }
 
 template <typename T>
-void Put(std::string& out, T value) {
+void AppendValue(std::string& out, T value) {
   char bytes[sizeof(T)];
   std::memcpy(bytes, &value, sizeof(T));
   out.append(bytes, sizeof(T));
 }
 
-// Appends one action in the form of the protocol.
+// Appends one action to the reply in the encoding of the protocol.
 class ActionEncoder {
  public:
   ActionEncoder(std::string& out, std::uint32_t instance) : out_(out), instance_(instance) {}
 
-  void operator()(const Start& start) const { PutAll(ActionCode::kStart, start.id); }
-  void operator()(const Replay& replay) const { PutAll(ActionCode::kReplay, replay.id); }
+  void operator()(const Start& start) const { AppendFields(ActionCode::kStart, start.id); }
+  void operator()(const Replay& replay) const { AppendFields(ActionCode::kReplay, replay.id); }
   void operator()(const Reject& reject) const {
-    PutAll(ActionCode::kReject, reject.id, static_cast<std::uint8_t>(reject.no_other_server),
-           reject.retry_after_ms);
+    AppendFields(ActionCode::kReject, reject.id, static_cast<std::uint8_t>(reject.no_other_server),
+                 reject.retry_after_ms);
   }
-  void operator()(const Fail& fail) const { PutAll(ActionCode::kFail, fail.id); }
-  void operator()(const CancelRun& cancel) const { PutAll(ActionCode::kCancelRun, cancel.id); }
-  void operator()(const UseFallback& fallback) const { PutAll(ActionCode::kUseFallback, fallback.id); }
+  void operator()(const Fail& fail) const { AppendFields(ActionCode::kFail, fail.id); }
+  void operator()(const CancelRun& cancel) const { AppendFields(ActionCode::kCancelRun, cancel.id); }
+  void operator()(const UseFallback& fallback) const { AppendFields(ActionCode::kUseFallback, fallback.id); }
   void operator()(const StartUpstreamCall& call) const {
-    PutAll(ActionCode::kStartUpstreamCall, call.id, call.timeout_ms);
+    AppendFields(ActionCode::kStartUpstreamCall, call.id, call.timeout_ms);
+  }
+  void operator()(const RetainKey& retain) const {
+    AppendFields(ActionCode::kRetainKey, retain.id, retain.ttl_ms);
+  }
+  void operator()(const ReleaseKey& release) const { AppendFields(ActionCode::kReleaseKey, release.id); }
+  void operator()(const SetTimer& timer) const {
+    AppendFields(ActionCode::kSetTimer, timer.in_ms, timer.token);
   }
-  void operator()(const RetainKey& retain) const { PutAll(ActionCode::kRetainKey, retain.id, retain.ttl_ms); }
-  void operator()(const ReleaseKey& release) const { PutAll(ActionCode::kReleaseKey, release.id); }
-  void operator()(const SetTimer& timer) const { PutAll(ActionCode::kSetTimer, timer.in_ms, timer.token); }
   void operator()(const SetHealth& health) const {
-    PutAll(ActionCode::kSetHealth, static_cast<std::uint8_t>(health.healthy),
-           static_cast<std::uint8_t>(health.shallow));
+    AppendFields(ActionCode::kSetHealth, static_cast<std::uint8_t>(health.healthy),
+                 static_cast<std::uint8_t>(health.shallow));
   }
   void operator()(const PublishLoadSignal& signal) const {
-    PutAll(ActionCode::kPublishLoadSignal, static_cast<float>(signal.value));
+    AppendFields(ActionCode::kPublishLoadSignal, static_cast<float>(signal.value));
   }
-  void operator()(const CloseIdle& close) const { PutAll(ActionCode::kCloseIdle, close.after_ms); }
+  void operator()(const CloseIdle& close) const { AppendFields(ActionCode::kCloseIdle, close.after_ms); }
   void operator()(const Log& log) const {
-    // The length field holds 16 bits.
+    // The length field has 16 bits; longer texts are cut.
     const std::string_view text =
         std::string_view(log.text).substr(0, std::numeric_limits<std::uint16_t>::max());
-    PutAll(ActionCode::kLog, static_cast<std::uint16_t>(text.size()));
+    AppendFields(ActionCode::kLog, static_cast<std::uint16_t>(text.size()));
     out_.append(text);
   }
 
  private:
   template <typename... Fields>
-  void PutAll(ActionCode code, Fields... fields) const {
-    Put(out_, static_cast<std::uint8_t>(code));
-    Put(out_, instance_);
-    (Put(out_, fields), ...);
+  void AppendFields(ActionCode code, Fields... fields) const {
+    AppendValue(out_, static_cast<std::uint8_t>(code));
+    AppendValue(out_, instance_);
+    (AppendValue(out_, fields), ...);
   }
 
   std::string& out_;
@@ -280,30 +286,34 @@
   reader.Get<double>("clock");
   const auto length = reader.Get<std::uint32_t>("length");
   if (length < kBatchHeaderBytes) {
-    throw FrameError(reader.offset(),
-                     "frame length " + std::to_string(length) + " is shorter than its header");
+    throw FrameError(reader.offset(), "frame length " + std::to_string(length) +
+                                          " is less than the header of " + std::to_string(kBatchHeaderBytes) +
+                                          " bytes");
   }
   return length;
 }
 
 Batch DecodeBatch(std::string_view frame) {
-  if (FrameLength(frame) != frame.size()) throw FrameError(0, "frame length differs from the bytes given");
+  if (const std::size_t length = FrameLength(frame); length != frame.size()) {
+    throw FrameError(0, "frame length " + std::to_string(length) + " does not match the " +
+                            std::to_string(frame.size()) + " bytes received");
+  }
   FrameReader reader(frame);
   Batch batch;
-  batch.now_ms = reader.Number("clock");
+  batch.now_ms = reader.Double("clock");
   reader.Get<std::uint32_t>("length");
   const auto count = reader.Get<std::uint32_t>("number of records");
   for (std::uint32_t i = 0; i < count; ++i) {
     if (reader.remaining() == 0) {
       throw FrameError(reader.offset(), "record " + std::to_string(i + 1) + " of " + std::to_string(count) +
-                                            " runs past the frame of " + std::to_string(frame.size()) +
+                                            " exceeds the frame of " + std::to_string(frame.size()) +
                                             " bytes");
     }
     batch.records.push_back(ReadRecord(reader));
   }
   if (reader.remaining() != 0) {
     throw FrameError(reader.offset(), std::to_string(reader.remaining()) +
-                                          " bytes are left over after the last record, at byte " +
+                                          " unexpected bytes after the last record, at byte " +
                                           std::to_string(reader.offset()));
   }
   return batch;
@@ -318,8 +328,8 @@
   const std::size_t length = kReplyHeaderBytes + body_.size();
   std::string frame;
   frame.reserve(length);
-  Put(frame, std::exchange(action_count_, 0));
-  Put(frame, static_cast<std::uint32_t>(length));
+  AppendValue(frame, std::exchange(action_count_, 0));
+  AppendValue(frame, static_cast<std::uint32_t>(length));
   frame += body_;
   body_.clear();
   return frame;
--- a/src/simulator_adapter/codec.h
+++ b/src/simulator_adapter/codec.h
@@ -1,5 +1,5 @@
-// Decodes batches of the simulator's binary protocol and encodes the replies. The codes and field names of
-// the protocol are mapped to the terms of the policy in codec.cpp and nowhere else.
+// Decodes batches of the simulator's binary protocol and encodes the replies. Only codec.cpp knows the codes
+// and field names of the protocol; it maps them to the types of the policy.
 #ifndef HINGELINK_SIMULATOR_ADAPTER_CODEC_H_
 #define HINGELINK_SIMULATOR_ADAPTER_CODEC_H_
 
@@ -14,40 +14,43 @@
 
 namespace hingelink::simulator_adapter {
 
-// A new instance of the policy begins.
+// Opens a new instance of the policy.
 struct OpenInstance {
-  std::uint64_t seed = 0;
-  std::string settings;  // See ParseSettings().
+  std::uint64_t seed = 0;  // Of the random numbers of the instance.
+  std::string settings;    // In the format of ParseSettings().
 };
 
-// An instance ends.
+// Closes an instance.
 struct RetireInstance {};
 
+// An event for one instance, or a command that opens or closes the instance.
 struct Record {
   std::uint32_t instance = 0;
   std::variant<OpenInstance, RetireInstance, Event> content;
 };
 
-// What happened at one moment, to any number of instances, in order.
+// All records of one point in time, for any number of instances, in order.
 struct Batch {
   double now_ms = 0;
   std::vector<Record> records;
 };
 
-// Clock, length and number of records.
+// Clock (8 bytes), frame length (4) and number of records (4).
 inline constexpr std::size_t kBatchHeaderBytes = 16;
 
-// The length of the whole frame in bytes, from its header of kBatchHeaderBytes. Throws FrameError.
+// Returns the length of the whole frame in bytes. `header` holds at least the first kBatchHeaderBytes of the
+// frame. Throws FrameError if the length is invalid.
 [[nodiscard]] std::size_t FrameLength(std::string_view header);
 
-// Decodes one whole frame. Throws FrameError.
+// Decodes one whole frame. Throws FrameError if the frame is malformed.
 [[nodiscard]] Batch DecodeBatch(std::string_view frame);
 
 // Collects the actions of one batch and encodes the reply frame. Not thread-safe.
 class ReplyEncoder {
  public:
+  // Adds an action of an instance.
   void Add(std::uint32_t instance, const Action& action);
-  // Returns the frame of what was added since the last call.
+  // Returns a reply frame with the actions added since the last call.
   [[nodiscard]] std::string Finish();
 
  private:
--- a/src/simulator_adapter/instance_table.cpp
+++ b/src/simulator_adapter/instance_table.cpp
@@ -10,7 +10,7 @@
 
 namespace hingelink::simulator_adapter {
 
-std::string InstanceTable::Answer(const Batch& batch) {
+std::string InstanceTable::ProcessBatch(const Batch& batch) {
   std::map<std::uint32_t, std::vector<Event>> events_by_instance;
   for (const Record& record : batch.records) {
     const std::uint32_t instance = record.instance;
--- a/src/simulator_adapter/instance_table.h
+++ b/src/simulator_adapter/instance_table.h
@@ -1,4 +1,4 @@
-// The instances of the policy behind the simulator's protocol.
+// The policy instances that the simulator has opened.
 #ifndef HINGELINK_SIMULATOR_ADAPTER_INSTANCE_TABLE_H_
 #define HINGELINK_SIMULATOR_ADAPTER_INSTANCE_TABLE_H_
 
@@ -11,12 +11,13 @@
 
 namespace hingelink::simulator_adapter {
 
-// Not thread-safe.
+// Owns the policy instances by their ids. Not thread-safe.
 class InstanceTable {
  public:
-  // Distributes the events of a batch to their instances and returns the reply frame with the actions of all.
-  // Throws InstanceError, after which the table must not be used any more.
-  [[nodiscard]] std::string Answer(const Batch& batch);
+  // Applies a batch: opens and closes instances, passes the events to their instances, and returns the reply
+  // frame with the actions of all instances. Throws InstanceError if a record is invalid. The table must not
+  // be used after an exception.
+  [[nodiscard]] std::string ProcessBatch(const Batch& batch);
 
  private:
   void Open(std::uint32_t instance, const OpenInstance& open);
--- a/src/simulator_adapter/main.cpp
+++ b/src/simulator_adapter/main.cpp
@@ -1,5 +1,5 @@
-// Serves instances of the policy to the simulator: batches on standard input, replies on standard output, one
-// line on standard error and a non-zero exit status for malformed input.
+// Runs instances of the policy for the simulator. Reads batches from standard input and writes replies to
+// standard output. If the input is malformed, prints one line to standard error and exits with status 1.
 #include <algorithm>
 #include <cstdio>
 #include <exception>
@@ -14,25 +14,27 @@
 
 using hingelink::simulator_adapter::FrameError;
 
-// Bytes that are read at once, so that a false length in a header claims no memory.
+// Input is read in chunks of this size, so that an invalid length in a header cannot allocate memory for
+// bytes that never arrive.
 constexpr std::size_t kChunkBytes = 1 << 20;
 
-// Appends up to `count` bytes of standard input to `buffer`. Returns how many there were.
+// Appends up to `count` bytes from standard input to `buffer`. Returns the number of bytes read.
 std::size_t ReadBytes(std::string& buffer, std::size_t count) {
-  std::size_t done = 0;
-  while (done < count) {
-    const std::size_t wanted = std::min(kChunkBytes, count - done);
+  std::size_t total = 0;
+  while (total < count) {
+    const std::size_t chunk_size = std::min(kChunkBytes, count - total);
     const std::size_t old_size = buffer.size();
-    buffer.resize(old_size + wanted);
-    const std::size_t received = std::fread(buffer.data() + old_size, 1, wanted, stdin);
+    buffer.resize(old_size + chunk_size);
+    const std::size_t received = std::fread(buffer.data() + old_size, 1, chunk_size, stdin);
     buffer.resize(old_size + received);
-    done += received;
-    if (received < wanted) break;
+    total += received;
+    if (received < chunk_size) break;
   }
-  return done;
+  return total;
 }
 
-// Reads the next frame into `frame`. Returns false at the end of the input.
+// Reads the next frame into `frame`. Returns false at the end of the input. Throws FrameError if the input
+// ends inside a frame.
 bool ReadFrame(std::string& frame) {
   using hingelink::simulator_adapter::kBatchHeaderBytes;
   frame.clear();
@@ -53,9 +55,9 @@
   hingelink::simulator_adapter::InstanceTable table;
   std::string frame;
   while (ReadFrame(frame)) {
-    const std::string reply = table.Answer(hingelink::simulator_adapter::DecodeBatch(frame));
+    const std::string reply = table.ProcessBatch(hingelink::simulator_adapter::DecodeBatch(frame));
     if (std::fwrite(reply.data(), 1, reply.size(), stdout) != reply.size() || std::fflush(stdout) != 0)
-      throw std::runtime_error("standard output cannot be written");
+      throw std::runtime_error("cannot write the reply to standard output");
   }
 }
 
--- a/src/simulator_adapter/settings_parser.cpp
+++ b/src/simulator_adapter/settings_parser.cpp
@@ -11,13 +11,14 @@
 namespace hingelink::simulator_adapter {
 namespace {
 
-// Most classes, tenants, servers or callers that a count may give.
+// Maximum of a count of classes, tenants, servers or callers.
 constexpr int kMaxCount = 65536;
-// Most characters of a value that an error repeats.
+// Longer values are cut in error messages.
 constexpr std::size_t kMaxShownCharacters = 40;
 
-// The values by their paths. Each getter throws SettingsError if the value is not of its type, and the ones
-// without `otherwise` if it is missing.
+// The values of the settings by key. Each getter throws SettingsError if the value does not have the type of
+// the getter. If the key is missing, getters with a default value return the default, and the others throw
+// SettingsError.
 class KeyValuePairs {
  public:
   explicit KeyValuePairs(std::string_view text) {
@@ -29,39 +30,42 @@
       ++line_number;
       if (!line.empty() && line.back() == '\r') line.remove_suffix(1);
       if (line.empty()) continue;
-      const std::size_t sign = line.find('=');
-      if (sign == std::string_view::npos || sign == 0) {
-        throw SettingsError({}, "settings line " + std::to_string(line_number) + " is no path=value pair");
+      const std::size_t equals_sign = line.find('=');
+      if (equals_sign == std::string_view::npos || equals_sign == 0) {
+        throw SettingsError({}, "settings line " + std::to_string(line_number) + " is not a path=value pair");
       }
-      values_.insert_or_assign(std::string(line.substr(0, sign)), line.substr(sign + 1));
+      values_.insert_or_assign(std::string(line.substr(0, equals_sign)), line.substr(equals_sign + 1));
     }
   }
 
   bool Has(const std::string& key) const { return values_.count(key) != 0; }
 
-  std::string_view Text(const std::string& key, std::string_view otherwise) const {
+  std::string_view Text(const std::string& key, std::string_view default_value) const {
     auto it = values_.find(key);
-    return it == values_.end() ? otherwise : it->second;
+    return it == values_.end() ? default_value : it->second;
   }
 
   double Number(const std::string& key) const { return ToNumber(key, Require(key, "a number")); }
-  double Number(const std::string& key, double otherwise) const { return Has(key) ? Number(key) : otherwise; }
+  double Number(const std::string& key, double default_value) const {
+    return Has(key) ? Number(key) : default_value;
+  }
 
   int Count(const std::string& key, int max = kMaxCount) const {
-    const std::string wanted = "a whole number from 0 to " + std::to_string(max);
-    const std::string_view text = Require(key, wanted);
+    const std::string expected = "a whole number from 0 to " + std::to_string(max);
+    const std::string_view text = Require(key, expected);
     const double value = ToNumber(key, text);
-    if (value < 0 || value > max || value != std::floor(value)) Reject(key, text, wanted);
+    if (value < 0 || value > max || value != std::floor(value)) Reject(key, text, expected);
     return static_cast<int>(value);
   }
-  int Count(const std::string& key, int otherwise, int max) const {
-    return Has(key) ? Count(key, max) : otherwise;
+  int Count(const std::string& key, int default_value, int max) const {
+    return Has(key) ? Count(key, max) : default_value;
   }
 
-  bool Flag(const std::string& key, bool otherwise) const {
-    return Has(key) ? ToFlag(key, Text(key, {})) : otherwise;
+  bool Flag(const std::string& key, bool default_value) const {
+    return Has(key) ? ToFlag(key, Text(key, {})) : default_value;
   }
 
+  // Returns the values of a comma-separated list; empty if the key is missing.
   std::vector<std::string_view> List(const std::string& key) const {
     std::vector<std::string_view> parts;
     std::string_view text = Text(key, "");
@@ -73,7 +77,7 @@
     return parts;
   }
 
-  // A list with one value for each of `length` classes, or an empty one if the key is missing.
+  // Returns a comma-separated list with one value for each of `length` classes; empty if the key is missing.
   std::vector<std::string_view> ListOfLength(const std::string& key, std::size_t length) const {
     std::vector<std::string_view> parts = List(key);
     if (!parts.empty() && parts.size() != length) {
@@ -98,15 +102,16 @@
     return false;
   }
 
-  [[noreturn]] static void Reject(const std::string& key, std::string_view text, const std::string& wanted) {
+  [[noreturn]] static void Reject(const std::string& key, std::string_view text,
+                                  const std::string& expected) {
     throw SettingsError(key, "settings " + key + "=" + std::string(text.substr(0, kMaxShownCharacters)) +
-                                 " is not " + wanted);
+                                 " is not " + expected);
   }
 
  private:
-  std::string_view Require(const std::string& key, const std::string& wanted) const {
+  std::string_view Require(const std::string& key, const std::string& expected) const {
     auto it = values_.find(key);
-    if (it == values_.end()) throw SettingsError(key, "settings lack " + key + ", which must be " + wanted);
+    if (it == values_.end()) throw SettingsError(key, "settings lack " + key + ", which must be " + expected);
     return it->second;
   }
 
@@ -206,7 +211,7 @@
   settings.caller_idle_timeout_ms = pairs.Number("specifics.idleMs", 0);
 }
 
-void ReadGoal(const KeyValuePairs& pairs, Settings& settings) {
+void ReadGoalWeights(const KeyValuePairs& pairs, Settings& settings) {
   settings.goal_weight_overall = pairs.Number("goal.whole", 1);
   settings.goal_weight_worst_window = pairs.Number("goal.worstWindow", 0);
   settings.goal_weight_worst_class = pairs.Number("goal.worstClass", 0);
@@ -224,7 +229,7 @@
   ReadServer(pairs, settings);
   ReadUpstream(pairs, settings);
   ReadCallers(pairs, settings);
-  ReadGoal(pairs, settings);
+  ReadGoalWeights(pairs, settings);
   return settings;
 }
 
--- a/src/simulator_adapter/settings_parser.h
+++ b/src/simulator_adapter/settings_parser.h
@@ -1,5 +1,5 @@
-// Parses settings as path=value lines, in which the simulator and the node's configuration file give them.
-// The keys are mapped to the members of Settings in settings_parser.cpp and nowhere else.
+// Parses the settings of the policy from path=value lines. The simulator sends this format, and the node's
+// configuration is converted to it. Only settings_parser.cpp maps the keys to the members of Settings.
 #ifndef HINGELINK_SIMULATOR_ADAPTER_SETTINGS_PARSER_H_
 #define HINGELINK_SIMULATOR_ADAPTER_SETTINGS_PARSER_H_
 
@@ -9,8 +9,9 @@
 
 namespace hingelink::simulator_adapter {
 
-// Unknown keys are skipped. Throws SettingsError that names the line or the key. Does not check whether the
-// settings contradict themselves; see Settings::Validate().
+// Ignores unknown keys. Throws SettingsError, which names the line or the key, if a line or a value is
+// malformed or a required key is missing. Does not check whether the settings are consistent; see
+// Settings::Validate().
 Settings ParseSettings(std::string_view text);
 
 }  // namespace hingelink::simulator_adapter
--- a/tests/compatibility/files.sh
+++ b/tests/compatibility/files.sh
@@ -1,6 +1,7 @@
 #!/bin/sh
-# Files that version 0.3.0 of the program wrote are read by this one with the same result, and what it prints for scripts
-# keeps its keys. Arguments: the program, the project's root. With RECORD=1 the expected outputs are written instead.
+# Checks that the program reads files written by version 0.3.0 with the same result as that version, and that the output
+# meant for scripts keeps its keys. Arguments: the program and the root of the source tree. If RECORD=1 is set, the script
+# writes the expected outputs instead of comparing them.
 set -eu
 program=$1
 source=$2
@@ -12,10 +13,10 @@
   rm -rf "$work"
 }
 trap cleanup EXIT
-# Made by a comparison that fails: `expect` runs in subshells.
+# A failed comparison creates this file. A variable would not do, because `expect` runs in subshells.
 failed=$work/failed
 
-# expect NAME: compares standard input with the fixture NAME.
+# expect NAME: compares standard input with the fixture NAME, or records the fixture.
 expect() {
   cat >"$work/actual"
   if [ "${RECORD-}" = 1 ]; then
@@ -26,7 +27,7 @@
   fi
 }
 
-# Learned state, a series of runs, a scenario, the files of a deployment.
+# Check learned state, a series of runs, a scenario and deployment files.
 "$program" state show --folder "$fixtures/learned" --json | expect learned-shown.json
 "$program" state verify --folder "$fixtures/learned" | sed "s|$fixtures/||" | expect learned-verified.txt
 cp "$fixtures/series.db" "$work/series.db"
@@ -41,12 +42,14 @@
 "$program" check-config --config "$fixtures/node-config.json" | sed "s|$fixtures/||" | expect node-config-checked.txt
 "$program" lab crowd --case even --nodes 12 --services 6 --seconds 5 --json 2>/dev/null | expect crowd.json
 
-# The names of the figures on the second address, and the keys of a control snapshot, of a node that serves.
+# Check the metric names of the admin endpoint and the keys of the control snapshot of a serving node.
+
+# await FILE PATTERN: waits up to 20 seconds until FILE contains PATTERN.
 await() {
   tries=0
   until grep -q "$2" "$1" 2>/dev/null; do
     tries=$((tries + 1))
-    [ "$tries" -lt 400 ] || { echo "no '$2' in $1"; cat "$1"; exit 1; }
+    [ "$tries" -lt 400 ] || { echo "timed out waiting for '$2' in $1"; cat "$1"; exit 1; }
     sleep 0.05
   done
 }
@@ -58,7 +61,7 @@
 await "$work/registry" '^registry '
 pool=$(sed -n 's/^pool //p' "$work/pool")
 registry=$(sed -n 's/^registry //p' "$work/registry")
-# Below the range from which the kernel takes ports of its own accord.
+# Choose a port below the kernel's range of ephemeral ports, so that outgoing connections cannot occupy it.
 port=$((20000 + $$ % 10000))
 sed -e "s|127.0.0.1:9300|$pool|; s|127.0.0.1:8761|$registry|; s|127.0.0.1:10080|127.0.0.1:0|" \
   -e "s|127.0.0.1:10250|127.0.0.1:$port|; s|\"dependsOn\": \"shared\"|\"dependsOn\": \"silent\"|; /\"store\"/d" \
--- a/tests/compatibility/fixtures.h
+++ b/tests/compatibility/fixtures.h
@@ -1,4 +1,4 @@
-// Fixtures: bytes that version 0.3.0 of the program wrote, kept in tests/compatibility/fixtures.
+// Access to the fixtures in tests/compatibility/fixtures, which version 0.3.0 of the program wrote.
 #ifndef HINGELINK_TESTS_COMPATIBILITY_FIXTURES_H_
 #define HINGELINK_TESTS_COMPATIBILITY_FIXTURES_H_
 
@@ -21,8 +21,8 @@
   return {std::istreambuf_iterator<char>(file), {}};
 }
 
-// Expects that `bytes` are those of the fixture. With HINGELINK_RECORD_FIXTURES set they are written instead,
-// and the test fails, so that a recording run is never taken for a passed one.
+// Expects `bytes` to equal the contents of the fixture. If the environment variable HINGELINK_RECORD_FIXTURES
+// is set, writes the fixture instead and fails the test, so that a recording run cannot pass as a test run.
 inline void ExpectFixture(const std::string& name, const std::string& bytes) {
   if (std::getenv("HINGELINK_RECORD_FIXTURES") != nullptr) {
     std::ofstream(FixturePath(name), std::ios::binary) << bytes;
--- a/tests/compatibility/stored_formats_test.cpp
+++ b/tests/compatibility/stored_formats_test.cpp
@@ -1,5 +1,6 @@
-// What is kept on disk, sent between nodes or read from files keeps its bytes and keys: gossip messages, the
-// control snapshot, learned state, the supervisor's plan, scenarios and settings.
+// Checks that data kept on disk, sent between nodes or read from files keeps the format and keys of version
+// 0.3.0: gossip messages, the control snapshot, learned state, the supervisor's state, scenarios and
+// settings.
 #include <nlohmann/json.hpp>
 #include <string>
 
@@ -23,7 +24,7 @@
 using compatibility::ReadFixture;
 using nlohmann::json;
 
-TEST(GossipMessages, KeepTheirBytesAndAreReadBack) {
+TEST(GossipMessages, AreEncodedAsInFixtureAndDecodedBack) {
   decide::MemberRecord member;
   member.name = "n1";
   member.address = {0x7f000001, 9000};
@@ -99,14 +100,14 @@
   ExpectFixture("control-snapshot.json", snapshot.dump(1) + '\n');
 }
 
-TEST(ControlSnapshot, NamesTheStatesOfANode) {
+TEST(ControlSnapshot, NodeStatesKeepTheirNames) {
   EXPECT_STREQ(node::NodeStateName(node::NodeState::kStarting), "starting");
   EXPECT_STREQ(node::NodeStateName(node::NodeState::kServing), "serving");
   EXPECT_STREQ(node::NodeStateName(node::NodeState::kHandedOver), "handed-over");
   EXPECT_STREQ(node::NodeStateName(node::NodeState::kDraining), "draining");
 }
 
-TEST(LearnedState, IsReadAndWrittenAgainWithTheSameBytes) {
+TEST(LearnedState, IsUnchangedByDecodingAndEncoding) {
   for (const char* name : {"learned/learned.state", "learned/learned.state.1"}) {
     const std::string bytes = ReadFixture(name);
     const state::DecodedLearned decoded = state::DecodeLearned(bytes, state::LearnedFrameKind::kSnapshot);
@@ -115,21 +116,20 @@
     EXPECT_EQ(state::EncodeLearned(decoded.entry, state::LearnedFrameKind::kSnapshot), bytes) << name;
     EXPECT_FALSE(decoded.entry.record.learned.classes.empty());
   }
-  std::string_view log_bytes;
   const std::string log = ReadFixture("learned/learned.log");
-  log_bytes = log;
-  std::string again;
+  std::string_view log_bytes = log;
+  std::string encoded;
   while (!log_bytes.empty()) {
     const state::DecodedLearned decoded =
         state::DecodeLearned(log_bytes, state::LearnedFrameKind::kLogRecord);
     ASSERT_EQ(decoded.status, state::DecodedLearned::Status::kValid);
-    again += state::EncodeLearned(decoded.entry, state::LearnedFrameKind::kLogRecord);
+    encoded += state::EncodeLearned(decoded.entry, state::LearnedFrameKind::kLogRecord);
     log_bytes.remove_prefix(decoded.bytes);
   }
-  EXPECT_EQ(again, log);
+  EXPECT_EQ(encoded, log);
 }
 
-TEST(SupervisorPlan, IsReadAndWrittenAgainWithTheSameBytes) {
+TEST(SupervisorState, IsUnchangedByDecodingAndEncoding) {
   const std::string text = ReadFixture("plan.json");
   const std::string boot = json::parse(text).at("boot").get<std::string>();
   const state::LoadedSupervisorState found = state::SupervisorStateStore::Decode(text, boot);
@@ -138,40 +138,44 @@
   EXPECT_EQ(state::SupervisorStateStore::Encode(found.state, boot), text);
 }
 
-TEST(Scenarios, AreReadAndWrittenAgainWithTheSameBytes) {
+TEST(Scenarios, AreUnchangedByReadingAndWriting) {
   const std::string path = FixturePath("scenario.json");
   EXPECT_EQ(lab::WriteScenario(lab::ReadScenario(path)), ReadFixture("scenario.json"));
 }
 
-std::string WordOf(Idempotency repeat) {
-  return repeat == Idempotency::kIdempotent ? "safe" : repeat == Idempotency::kKeyed ? "keyed" : "unsafe";
+// Returns the value of the settings key `repeat`.
+std::string IdempotencyName(Idempotency idempotency) {
+  return idempotency == Idempotency::kIdempotent ? "safe"
+         : idempotency == Idempotency::kKeyed    ? "keyed"
+                                                 : "unsafe";
 }
 
-// Every field as it was read, by the key that it was read from.
-std::string Describe(const Settings& settings) {
+// Returns one line for each field of the settings: the key that the field was read from, and the
+// value.
+std::string FormatSettings(const Settings& settings) {
   std::string text;
   const auto line = [&text](const std::string& key, double value) {
     text += key + ' ' + std::to_string(value) + '\n';
   };
   for (std::size_t i = 0; i < settings.classes.size(); ++i) {
-    const RequestClass& each = settings.classes[i];
-    const std::string at = "requestClasses." + std::to_string(i) + '.';
-    text.append(at).append("name ").append(each.name) += '\n';
-    text.append(at).append("repeat ").append(WordOf(each.idempotency)) += '\n';
-    line(at + "goalTimeMs", each.latency_objective_ms);
-    line(at + "aimStretch", each.latency_objective_work_factor);
-    line(at + "hardLimitMs", each.deadline_ms);
-    line(at + "lateShare", each.late_weight_fraction);
-    line(at + "windowMs", each.idempotency_window_ms);
-    line(at + "worth", each.priority_weight);
-    line("specifics.worthWithout." + std::to_string(i), each.fallback_weight_fraction);
-    line("specifics.classCalls." + std::to_string(i), each.may_call_upstream);
+    const RequestClass& request_class = settings.classes[i];
+    const std::string prefix = "requestClasses." + std::to_string(i) + '.';
+    text.append(prefix).append("name ").append(request_class.name) += '\n';
+    text.append(prefix).append("repeat ").append(IdempotencyName(request_class.idempotency)) += '\n';
+    line(prefix + "goalTimeMs", request_class.latency_objective_ms);
+    line(prefix + "aimStretch", request_class.latency_objective_work_factor);
+    line(prefix + "hardLimitMs", request_class.deadline_ms);
+    line(prefix + "lateShare", request_class.late_weight_fraction);
+    line(prefix + "windowMs", request_class.idempotency_window_ms);
+    line(prefix + "worth", request_class.priority_weight);
+    line("specifics.worthWithout." + std::to_string(i), request_class.fallback_weight_fraction);
+    line("specifics.classCalls." + std::to_string(i), request_class.may_call_upstream);
   }
   for (std::size_t i = 0; i < settings.tenants.size(); ++i) {
-    const std::string at = "tenants." + std::to_string(i) + '.';
-    text.append(at).append("name ").append(settings.tenants[i].name) += '\n';
-    line(at + "portion", settings.tenants[i].traffic_fraction);
-    line(at + "quotaRps", settings.tenants[i].quota_rps);
+    const std::string prefix = "tenants." + std::to_string(i) + '.';
+    text.append(prefix).append("name ").append(settings.tenants[i].name) += '\n';
+    line(prefix + "portion", settings.tenants[i].traffic_fraction);
+    line(prefix + "quotaRps", settings.tenants[i].quota_rps);
   }
   for (const std::string& gauge : settings.gauges) text += "specifics.gauges " + gauge + '\n';
   line("specifics.cpus", settings.cores);
@@ -209,33 +213,34 @@
   return text;
 }
 
-// Every key with a value of its own, none of them its default.
-TEST(SettingsKeys, AreReadFromTheFlatForm) {
-  ExpectFixture("settings-read.txt", Describe(simulator_adapter::ParseSettings(ReadFixture("settings.txt"))));
+// The fixture sets every key to a value that differs from the default.
+TEST(SettingsKeys, AreReadFromPathValueLines) {
+  ExpectFixture("settings-read.txt",
+                FormatSettings(simulator_adapter::ParseSettings(ReadFixture("settings.txt"))));
 }
 
-TEST(SettingsKeys, AreReadFromTheNodesConfiguration) {
+TEST(SettingsKeys, AreReadFromNodeConfiguration) {
   const node::Config config = node::ReadConfig(FixturePath("node-config.json"));
   ExpectFixture("node-config-read.txt",
                 config.name + ' ' + config.listen_address + ' ' + config.pool_address + ' ' +
                     config.registry_address + ' ' + config.store_address + ' ' + config.admin_address + ' ' +
                     std::to_string(config.seed) + ' ' + std::to_string(config.drain_timeout.count()) + ' ' +
                     std::to_string(config.max_descriptors) + ' ' + std::to_string(config.memory_limit_mb) +
-                    '\n' + Describe(config.settings));
+                    '\n' + FormatSettings(config.settings));
 }
 
-TEST(SettingsKeys, AreNamedByErrors) {
-  const std::string good = ReadFixture("settings.txt");
+TEST(SettingsKeys, AreNamedInErrorMessages) {
+  const std::string valid = ReadFixture("settings.txt");
   std::string errors;
   std::size_t start = 0;
-  while (start < good.size()) {
-    const std::size_t end = good.find('\n', start);
-    const std::string line = good.substr(start, end - start);
+  while (start < valid.size()) {
+    const std::size_t end = valid.find('\n', start);
+    const std::string line = valid.substr(start, end - start);
     const std::string key = line.substr(0, line.find('='));
-    std::string bad = good;
-    bad.replace(start, line.size(), key + "=?");
+    std::string invalid = valid;
+    invalid.replace(start, line.size(), key + "=?");
     try {
-      simulator_adapter::ParseSettings(bad);
+      simulator_adapter::ParseSettings(invalid);
       errors += key + ": taken\n";
     } catch (const std::exception& error) {
       errors += key + ": " + error.what() + '\n';
--- a/tests/compatibility/wire_formats_test.cpp
+++ b/tests/compatibility/wire_formats_test.cpp
@@ -1,5 +1,5 @@
-// What goes over sockets keeps its bytes: gateway frames, pool, store, registry and handover lines, the
-// second address.
+// Checks that all data sent over sockets keeps the format of version 0.3.0: gateway frames, the lines of the
+// pool, store and handover protocols, registry requests and responses of the admin endpoint.
 #include <string>
 #include <variant>
 
@@ -21,7 +21,7 @@
 
 constexpr std::uint64_t kRequestId = 0x0123456789abcdef;
 
-TEST(GatewayFrames, AnswersKeepTheirBytes) {
+TEST(GatewayFrames, AnswersAreEncodedAsInFixture) {
   std::string bytes;
   bytes += EncodeAnswerHeader(1, AnswerCode::kServed, {}, 4) + "done";
   bytes +=
@@ -35,14 +35,14 @@
   ExpectFixture("gateway-answers.bin", bytes);
 }
 
-// The fixture is one frame with every field, as a gateway writes it.
-TEST(GatewayFrames, ARequestIsReadWithEveryField) {
+// The fixture is a frame of a gateway with every field.
+TEST(GatewayFrames, EveryFieldOfRequestIsParsed) {
   const std::string bytes = ReadFixture("gateway-request.bin");
-  const auto head = ParseFrameHeader(bytes);
-  ASSERT_TRUE(head);
-  EXPECT_EQ(head->type, static_cast<std::uint8_t>(FrameType::kRequest));
-  EXPECT_EQ(head->stream, 7u);
-  ASSERT_EQ(head->Size(), bytes.size());
+  const auto header = ParseFrameHeader(bytes);
+  ASSERT_TRUE(header);
+  EXPECT_EQ(header->type, static_cast<std::uint8_t>(FrameType::kRequest));
+  EXPECT_EQ(header->stream, 7u);
+  ASSERT_EQ(header->Size(), bytes.size());
   RequestFrame request;
   ASSERT_EQ(ParseRequest(std::string_view(bytes).substr(kFrameHeaderBytes), request), nullptr);
   EXPECT_EQ(request.class_name, "order-lodge");
@@ -62,7 +62,7 @@
   EXPECT_EQ(request.body, "the body");
 }
 
-TEST(GatewayFrames, ADeepHealthCheckIsToldFromAPlainOne) {
+TEST(GatewayFrames, DeepHealthCheckIsDistinguishedFromShallowOne) {
   EXPECT_TRUE(
       IsDeepHealthCheck(std::string("\1\4real\0\1"
                                     "1",
@@ -70,14 +70,14 @@
   EXPECT_FALSE(IsDeepHealthCheck(std::string(1, '\0')));
 }
 
-TEST(PoolLines, CommandsKeepTheirBytes) {
+TEST(PoolLines, CommandsAreEncodedAsInFixture) {
   ExpectFixture("pool-commands.txt", EncodeBindCommand(42) + EncodeSpawnHeader(kRequestId, "usage-view", 11) +
                                          EncodeSupplyHeader(kRequestId, 3) +
                                          EncodePassCommand(kRequestId, 9) + EncodeVerifyCommand("v1") +
                                          EncodePollCommand("p2"));
 }
 
-TEST(PoolLines, NoticesAreReadWithEveryField) {
+TEST(PoolLines, EveryFieldOfNoticesIsParsed) {
   const std::string bytes = ReadFixture("pool-notices.txt");
   std::string_view rest = bytes;
   const auto next = [&rest] {
@@ -90,12 +90,12 @@
   ASSERT_TRUE(std::holds_alternative<BindAcknowledged>(bound));
   EXPECT_EQ(std::get<BindAcknowledged>(bound).since_start, Millis(2.5));
   EXPECT_TRUE(std::get<BindAcknowledged>(next()).since_start == Millis(1));
-  const RunOutcome ends[] = {RunOutcome::kComplete, RunOutcome::kError, RunOutcome::kCancelled,
-                             RunOutcome::kUnknown};
-  for (const RunOutcome end : ends) {
+  const RunOutcome outcomes[] = {RunOutcome::kComplete, RunOutcome::kError, RunOutcome::kCancelled,
+                                 RunOutcome::kUnknown};
+  for (const RunOutcome outcome : outcomes) {
     const PoolMessage message = next();
     ASSERT_TRUE(std::holds_alternative<RunFinished>(message));
-    EXPECT_EQ(std::get<RunFinished>(message).outcome, end);
+    EXPECT_EQ(std::get<RunFinished>(message).outcome, outcome);
     EXPECT_EQ(std::get<RunFinished>(message).request_id, kRequestId);
     EXPECT_EQ(std::get<RunFinished>(message).elapsed, Millis(30.5));
     EXPECT_EQ(std::get<RunFinished>(message).result, "ok");
@@ -112,40 +112,41 @@
   EXPECT_TRUE(rest.empty());
 }
 
-TEST(StoreLines, CallsKeepTheirBytes) {
+TEST(StoreLines, CallsAreEncodedAsInFixture) {
   ExpectFixture("store-calls.txt", EncodeStoreCallHeader(kRequestId, Millis(120.2), 5) + "hello\r\n" +
                                        EncodeStoreDropCommand(kRequestId));
 }
 
-TEST(StoreLines, RepliesAreReadWithEveryKind) {
+TEST(StoreLines, RepliesWithEveryStatusAreParsed) {
   const std::string bytes = ReadFixture("store-replies.txt");
   std::string_view rest = bytes;
-  const StoreReplyStatus kinds[] = {StoreReplyStatus::kOk, StoreReplyStatus::kBusy, StoreReplyStatus::kError,
-                                    StoreReplyStatus::kTimedOut, StoreReplyStatus::kNotRun};
-  for (const StoreReplyStatus kind : kinds) {
+  const StoreReplyStatus statuses[] = {StoreReplyStatus::kOk, StoreReplyStatus::kBusy,
+                                       StoreReplyStatus::kError, StoreReplyStatus::kTimedOut,
+                                       StoreReplyStatus::kNotRun};
+  for (const StoreReplyStatus status : statuses) {
     std::size_t size = 0;
     const StoreMessage message = ParseStoreReply(rest, size);
     ASSERT_TRUE(std::holds_alternative<StoreReply>(message));
-    EXPECT_EQ(std::get<StoreReply>(message).status, kind);
+    EXPECT_EQ(std::get<StoreReply>(message).status, status);
     EXPECT_EQ(std::get<StoreReply>(message).request_id, kRequestId);
     rest.remove_prefix(size);
   }
   EXPECT_TRUE(rest.empty());
 }
 
-TEST(RegistryCalls, ReportsKeepTheirBytes) {
+TEST(RegistryRequests, ReportsAreEncodedAsInFixture) {
   ExpectFixture("registry-reports.txt", EncodeReportRequest("shire-1", "127.0.0.1:8761", false) +
                                             EncodeReportRequest("shire-1", "127.0.0.1:8761", true));
 }
 
-TEST(SecondAddress, ResponsesKeepTheirBytes) {
+TEST(AdminEndpoint, ResponsesAreEncodedAsInFixture) {
   ExpectFixture("second-address-responses.txt",
                 EncodeAdminResponse(200, "ready\n") + EncodeAdminResponse(404, "") +
                     EncodeAdminResponse(405, "", "GET, HEAD") + EncodeAdminResponse(503, "not ready\n") +
                     EncodeAdminResponse(400, ""));
 }
 
-TEST(HandoverLines, KeepTheirBytesAndAreReadBack) {
+TEST(HandoverLines, AreEncodedAsInFixtureAndParsedBack) {
   const LoadMessage load{.running = 3, .memory_kb = 120.5, .queued_work_ms = 80.25, .connections = 9};
   const KeyMessage key{.key = {0x5555666677778888, 0x9999aaaabbbbcccc},
                        .content_hash = kRequestId,
@@ -165,13 +166,13 @@
   bytes.append(kHandoverKeys).append(kHandoverReady).append(kHandoverDraining).append(kHandoverExiting);
   bytes += EncodeLoadMessage(load) + EncodeKeyMessage(key) + EncodeLearnedClassMessage(learned).value();
   ExpectFixture("handover-lines.txt", bytes);
-  const auto without_end = [](std::string line) {
+  const auto without_newline = [](std::string line) {
     line.pop_back();
     return line;
   };
-  EXPECT_EQ(ParseLoadMessage(without_end(EncodeLoadMessage(load))), load);
-  EXPECT_EQ(ParseKeyMessage(without_end(EncodeKeyMessage(key))), key);
-  EXPECT_EQ(ParseLearnedClassMessage(without_end(EncodeLearnedClassMessage(learned).value())), learned);
+  EXPECT_EQ(ParseLoadMessage(without_newline(EncodeLoadMessage(load))), load);
+  EXPECT_EQ(ParseKeyMessage(without_newline(EncodeKeyMessage(key))), key);
+  EXPECT_EQ(ParseLearnedClassMessage(without_newline(EncodeLearnedClassMessage(learned).value())), learned);
 }
 
 }  // namespace
--- a/tests/log/log_test.cpp
+++ b/tests/log/log_test.cpp
@@ -1,4 +1,4 @@
-// The log: forms, bounds, rotation, and disks that do not take it.
+// Tests the log: line formats, limits, rotation, and behaviour when the disk is full or blocked.
 #include "log/log.h"
 
 #include <fcntl.h>
@@ -20,7 +20,7 @@
 
 namespace log = hingelink::log;
 
-std::string All(const std::string& path) {
+std::string ReadFile(const std::string& path) {
   std::ifstream file(path);
   std::stringstream text;
   text << file.rdbuf();
@@ -33,22 +33,22 @@
   std::string path = folder.path() + "/x.log";
 };
 
-TEST_F(Log, WritesTextAsItAlwaysDid) {
+TEST_F(Log, WritesTextLinesWithKeysAndValues) {
   log::Configure({.file = path});
   log::Info("connection-end", {{"id", 7}, {"reason", "silent"}, {"open", std::size_t{0}}, {"yes", true}});
   log::Info("module", {{"", "stall: no run moves on"}});
   log::Close();
-  const std::string text = All(path);
+  const std::string text = ReadFile(path);
   EXPECT_NE(text.find(" connection-end id=7 reason=silent open=0 yes=yes\n"), std::string::npos) << text;
   EXPECT_NE(text.find(" module stall: no run moves on\n"), std::string::npos) << text;
   EXPECT_EQ(text.find_first_not_of("0123456789"), text.find(' '));
 }
 
-TEST_F(Log, WritesJsonThatCanBeRead) {
+TEST_F(Log, WritesValidJson) {
   log::Configure({.json = true, .file = path});
   log::Warn("reload-failed", {{"what", "a \"b\"\n\xff"}, {"count", -3}});
   log::Close();
-  const auto line = nlohmann::json::parse(All(path));
+  const auto line = nlohmann::json::parse(ReadFile(path));
   EXPECT_EQ(line["event"], "reload-failed");
   EXPECT_EQ(line["level"], "warning");
   EXPECT_EQ(line["what"], "a \"b\"\\x0a\\xff");
@@ -56,16 +56,16 @@
   EXPECT_GT(line["ts"].get<std::int64_t>(), 1'700'000'000'000);
 }
 
-TEST_F(Log, NothingInAValueCanBreakALine) {
+TEST_F(Log, EscapesControlCharactersInValues) {
   log::Configure({.file = path});
   log::Info("x", {{"v", std::string("a\nb\x1b[2J\0c\r", 10)}});
   log::Close();
-  const std::string text = All(path);
+  const std::string text = ReadFile(path);
   EXPECT_EQ(std::count(text.begin(), text.end(), '\n'), 1);
   EXPECT_NE(text.find("a\\x0ab\\x1b[2J\\x00c\\x0d"), std::string::npos) << text;
 }
 
-TEST_F(Log, LevelsLeaveOutWhatIsBelow) {
+TEST_F(Log, OmitsEventsBelowLevel) {
   log::Configure({.level = log::Level::kWarning, .file = path, .recent = 4});
   log::Info("no");
   log::Warn("yes");
@@ -76,10 +76,10 @@
   EXPECT_EQ(log::RecentLines().size(), 4u);
   EXPECT_NE(log::RecentLines().back().find("i=9"), std::string::npos);
   log::Close();
-  EXPECT_EQ(All(path).find(" no\n"), std::string::npos);
+  EXPECT_EQ(ReadFile(path).find(" no\n"), std::string::npos);
 }
 
-TEST_F(Log, FilesAreSetAsideAndBounded) {
+TEST_F(Log, RotatesFilesAndLimitsTheirNumber) {
   log::Configure({.file = path, .rotate_bytes = 4096, .keep = 2});
   for (int i = 0; i < 2000; ++i) {
     log::Info("line", {{"i", i}, {"fill", std::string(80, 'x')}});
@@ -96,39 +96,40 @@
   EXPECT_LE(bytes, 3u * 4096 + 300);
 }
 
-// The disk takes nothing: lines are lost and counted, nobody waits, nothing ends.
-TEST_F(Log, AFullDiskCostsLinesAndNoTime) {
+// Every write fails because the disk is full. The log must count the lost lines, and the caller must neither
+// block nor fail.
+TEST_F(Log, CountsLostLinesWhenDiskIsFull) {
   if (!std::filesystem::exists("/dev/full")) GTEST_SKIP();
   std::filesystem::create_symlink("/dev/full", path);
   log::Configure({.file = path, .rotate_bytes = 1 << 30});
-  const auto lost = log::LostLineCount();
+  const auto lost_before = log::LostLineCount();
   for (int i = 0; i < 20; ++i) log::Info("line", {{"i", i}});
   log::Close();
-  EXPECT_GE(log::LostLineCount() - lost, 20u);
+  EXPECT_GE(log::LostLineCount() - lost_before, 20u);
 }
 
-// A disk that stands still (a pipe that nobody reads): the oldest lines give way, and each call returns at
-// once.
-TEST_F(Log, ADiskThatStandsStillCostsTheOldestLines) {
+// The log file is a pipe without an active reader, so writes block as on a stalled disk. The log must drop
+// the oldest queued lines, and each call must return without waiting.
+TEST_F(Log, DropsQueuedLinesWithoutBlockingWhenDiskStalls) {
   ASSERT_EQ(mkfifo(path.c_str(), 0600), 0);
   const int reader = open(path.c_str(), O_RDONLY | O_NONBLOCK);
   log::Configure({.file = path, .rotate_bytes = 1 << 30});
-  const auto lost = log::LostLineCount();
-  const auto began = std::chrono::steady_clock::now();
+  const auto lost_before = log::LostLineCount();
+  const auto start = std::chrono::steady_clock::now();
   for (int i = 0; i < 20'000; ++i) log::Info("line", {{"i", i}, {"fill", std::string(100, 'x')}});
-  EXPECT_LT(std::chrono::steady_clock::now() - began, std::chrono::seconds(10));
-  EXPECT_GT(log::LostLineCount() - lost, 10'000u);
-  // Read on, so that what waits can go and the log can be closed.
-  std::atomic<bool> over{false};
-  std::thread drains([&] {
+  EXPECT_LT(std::chrono::steady_clock::now() - start, std::chrono::seconds(10));
+  EXPECT_GT(log::LostLineCount() - lost_before, 10'000u);
+  // Read the pipe, so that the log can write the queued lines and close.
+  std::atomic<bool> closed{false};
+  std::thread pipe_reader([&] {
     char bytes[65536];
-    while (!over) {
+    while (!closed) {
       if (read(reader, bytes, sizeof bytes) <= 0) std::this_thread::yield();
     }
   });
   log::Close();
-  over = true;
-  drains.join();
+  closed = true;
+  pipe_reader.join();
   close(reader);
 }
 
--- a/tests/simulator_adapter/codec_test.cpp
+++ b/tests/simulator_adapter/codec_test.cpp
@@ -1,4 +1,4 @@
-// Decoding of the simulator's batches and encoding of the replies, on bytes written here.
+// Tests the decoding of the simulator's batches and the encoding of the replies on literal bytes.
 #include "simulator_adapter/codec.h"
 
 #include <gtest/gtest.h>
@@ -12,11 +12,11 @@
 namespace hingelink::simulator_adapter {
 namespace {
 
-TEST(Codec, ArrivalIsDecodedWithEveryField) {
-  const std::string submit =
+TEST(Codec, DecodesEveryFieldOfArrival) {
+  const std::string arrival_record =
       Hex("02 03000000 c4913a5d3b790400 192b6f0ee7bc0800 0000c441 640ad2557c3bf091 0000203f 0500"
           "9a9999999999fd3f 11000000 0300 0000000000002840 0000000000006e40 0200");
-  const Batch batch = DecodeBatch(Frame(241, 1, submit));
+  const Batch batch = DecodeBatch(Frame(241, 1, arrival_record));
   EXPECT_EQ(batch.now_ms, 241);
   ASSERT_EQ(batch.records.size(), 1u);
   EXPECT_EQ(batch.records[0].instance, 3u);
@@ -34,17 +34,17 @@
   EXPECT_EQ(arrival.request_class, 2);
 }
 
-TEST(Codec, ExpectedWorkCountsOnlyWithItsBit) {
+TEST(Codec, IgnoresExpectedWorkWithoutItsOptionBit) {
   std::string body = "\2";
-  Put(body, std::uint32_t{1});
+  AppendValue(body, std::uint32_t{1});
   body += std::string(8 + 8 + 4 + 8 + 4 + 2 + 8 + 4 + 2, '\0');
-  Put(body, 12.0);
+  AppendValue(body, 12.0);
   body += std::string(8 + 2, '\0');
   const Batch batch = DecodeBatch(Frame(0, 1, body));
   EXPECT_EQ(std::get<Arrival>(std::get<Event>(batch.records[0].content)).expected_work_ms, 0);
 }
 
-TEST(Codec, OtherEventsAreDecoded) {
+TEST(Codec, DecodesOtherEvents) {
   const std::string body =
       Hex("08 03000000 4d000000 02 0000003f 00004040") + Hex("07 03000000 0500000000000000") +
       Hex("03 03000000 0500000000000000 0000000000803240 0600") +
@@ -65,7 +65,7 @@
   EXPECT_TRUE(std::holds_alternative<RetireInstance>(batch.records[6].content));
 }
 
-TEST(Codec, ReplyOfTheProtocolDocumentIsEncoded) {
+TEST(Codec, EncodesReplyOfProtocolDocument) {
   ReplyEncoder reply;
   reply.Add(3, Start{0x0004793b5d3a91c4u});
   reply.Add(3, SetTimer{500, 77});
@@ -76,7 +76,7 @@
   EXPECT_EQ(reply.Finish(), Hex("00000000 08000000"));
 }
 
-TEST(Codec, EveryActionIsEncoded) {
+TEST(Codec, EncodesEveryAction) {
   const auto bytes = [](const Action& action) {
     ReplyEncoder reply;
     reply.Add(1, action);
@@ -94,11 +94,13 @@
   EXPECT_EQ(bytes(StartUpstreamCall{5, 500}), Hex("04 01000000 0500000000000000 0000000000407f40"));
 }
 
-TEST(Codec, MalformedFramesAreRejected) {
-  EXPECT_THROW(static_cast<void>(DecodeBatch(Frame(0, 1, ""))), FrameError);   // A record too few.
-  EXPECT_THROW(static_cast<void>(DecodeBatch(Frame(0, 0, "x"))), FrameError);  // Bytes left over.
-  EXPECT_THROW(static_cast<void>(DecodeBatch(Frame(0, 1, Hex("3f 01000000")))), FrameError);  // Unknown code.
-  EXPECT_THROW(static_cast<void>(DecodeBatch(Frame(0, 1, Hex("07 01000000 05")))), FrameError);  // Cut short.
+TEST(Codec, RejectsMalformedFrames) {
+  EXPECT_THROW(static_cast<void>(DecodeBatch(Frame(0, 1, ""))), FrameError);   // A record is missing.
+  EXPECT_THROW(static_cast<void>(DecodeBatch(Frame(0, 0, "x"))), FrameError);  // Bytes after the last record.
+  EXPECT_THROW(static_cast<void>(DecodeBatch(Frame(0, 1, Hex("3f 01000000")))),
+               FrameError);  // Unknown event code.
+  EXPECT_THROW(static_cast<void>(DecodeBatch(Frame(0, 1, Hex("07 01000000 05")))),
+               FrameError);  // The record is truncated.
   EXPECT_THROW(static_cast<void>(DecodeBatch(Frame(0, 1, Hex("01 01000000 0000000000000000 ffffffff")))),
                FrameError);
   EXPECT_THROW(static_cast<void>(DecodeBatch(Frame(0, 1, Hex("08 01000000 4d000000 ff 0000003f")))),
--- a/tests/simulator_adapter/frames.h
+++ b/tests/simulator_adapter/frames.h
@@ -1,4 +1,4 @@
-// Frames of the simulator's protocol and settings, as bytes, for the tests of the adapter.
+// Builds frames and settings of the simulator's protocol for the tests of the adapter.
 #ifndef HINGELINK_TESTS_SIMULATOR_ADAPTER_FRAMES_H_
 #define HINGELINK_TESTS_SIMULATOR_ADAPTER_FRAMES_H_
 
@@ -8,7 +8,7 @@
 
 namespace hingelink::simulator_adapter {
 
-// The bytes that `text` gives as hexadecimal digits; blanks are skipped.
+// Decodes pairs of hexadecimal digits to bytes. Ignores spaces.
 inline std::string Hex(std::string_view text) {
   std::string bytes;
   int high = -1;
@@ -25,32 +25,33 @@
   return bytes;
 }
 
+// Appends the bytes of `value`, in little-endian order.
 template <typename T>
-void Put(std::string& out, T value) {
+void AppendValue(std::string& out, T value) {
   out.append(reinterpret_cast<const char*>(&value), sizeof(T));
 }
 
-// A batch of `count` records.
+// Returns the frame of a batch with `count` records, which are encoded in `body`.
 inline std::string Frame(double now, std::uint32_t count, const std::string& body) {
   std::string frame;
-  Put(frame, now);
-  Put(frame, static_cast<std::uint32_t>(16 + body.size()));
-  Put(frame, count);
+  AppendValue(frame, now);
+  AppendValue(frame, static_cast<std::uint32_t>(16 + body.size()));
+  AppendValue(frame, count);
   return frame + body;
 }
 
-// A server with one class.
+// Settings of a server with one request class.
 inline constexpr char kSettings[] =
     "specifics.cpus=2\nspecifics.memoryKb=10000\nspecifics.runFactor=4\nrules.fallMultiple=5\nquantumMs=2\n"
     "requestClasses.count=1\nrequestClasses.0.hardLimitMs=4000\nrequestClasses.0.repeat=safe\n"
     "someday.newKey=7\nspecifics.gauges=cpu_busy,runnable\n";
 
-// The record that opens an instance.
-inline std::string Open(std::uint32_t instance, const std::string& settings) {
+// Returns the record that opens an instance.
+inline std::string OpenInstanceRecord(std::uint32_t instance, const std::string& settings) {
   std::string body = "\1";
-  Put(body, instance);
-  Put(body, std::uint64_t{9});
-  Put(body, static_cast<std::uint32_t>(settings.size()));
+  AppendValue(body, instance);
+  AppendValue(body, std::uint64_t{9});
+  AppendValue(body, static_cast<std::uint32_t>(settings.size()));
   return body + settings;
 }
 
--- a/tests/simulator_adapter/input.sh
+++ b/tests/simulator_adapter/input.sh
@@ -1,17 +1,19 @@
 #!/bin/sh
-# The adapter exits 0 at the end of input, and with one line on standard error where a frame is malformed.
+# Checks that the adapter exits with status 0 at the end of input. If a frame is malformed, the adapter must exit with
+# status 1 and print exactly one line to standard error.
 set -u
-host="$1"
+adapter="$1"
 failed=0
 
-# expect NAME STATUS BYTES(printf format)
+# expect NAME STATUS INPUT: runs the adapter on INPUT, a printf format, and expects the exit status and as many lines on
+# standard error.
 expect() {
-  message=$(printf "$3" | "$host" 2>&1 >/dev/null)
+  message=$(printf "$3" | "$adapter" 2>&1 >/dev/null)
   status=$?
   lines=$(printf '%s' "$message" | grep -c '')
-  want_lines=$2
-  if [ "$status" -ne "$2" ] || [ "$lines" -ne "$want_lines" ]; then
-    echo "FAIL $1: status $status, said: $message"
+  expected_lines=$2
+  if [ "$status" -ne "$2" ] || [ "$lines" -ne "$expected_lines" ]; then
+    echo "FAIL $1: exit status $status, expected $2; standard error: $message"
     failed=1
   else
     echo "ok $1: $message"
--- a/tests/simulator_adapter/instance_table_test.cpp
+++ b/tests/simulator_adapter/instance_table_test.cpp
@@ -1,4 +1,4 @@
-// The instances of the policy behind the simulator's protocol.
+// Tests the table of policy instances on batches of the simulator.
 #include "simulator_adapter/instance_table.h"
 
 #include <gtest/gtest.h>
@@ -12,23 +12,27 @@
 namespace hingelink::simulator_adapter {
 namespace {
 
-TEST(InstanceTable, UnknownInstancesAndContradictorySettingsAreRejected) {
+TEST(InstanceTable, RejectsUnknownInstancesAndInconsistentSettings) {
   InstanceTable table;
-  EXPECT_THROW(static_cast<void>(table.Answer(DecodeBatch(Frame(0, 1, Hex("07 01000000 0500000000000000"))))),
-               InstanceError);
-  const std::string contradictory = std::string(kSettings) + "specifics.memoryKb=0\n";
-  EXPECT_THROW(static_cast<void>(table.Answer(DecodeBatch(Frame(0, 1, Open(1, contradictory))))),
-               InstanceError);
+  EXPECT_THROW(
+      static_cast<void>(table.ProcessBatch(DecodeBatch(Frame(0, 1, Hex("07 01000000 0500000000000000"))))),
+      InstanceError);
+  const std::string inconsistent = std::string(kSettings) + "specifics.memoryKb=0\n";
+  EXPECT_THROW(
+      static_cast<void>(table.ProcessBatch(DecodeBatch(Frame(0, 1, OpenInstanceRecord(1, inconsistent))))),
+      InstanceError);
 }
 
-TEST(InstanceTable, RetiredInstanceMayBeOpenedAgainInTheSameBatch) {
+TEST(InstanceTable, RetiredInstanceCanBeReopenedInSameBatch) {
   InstanceTable table;
-  EXPECT_GT(table.Answer(DecodeBatch(Frame(0, 1, Open(1, kSettings)))).size(), 8u);
-  const std::string again = table.Answer(DecodeBatch(Frame(5, 2, Hex("09 01000000") + Open(1, kSettings))));
-  EXPECT_GT(again.size(), 8u);
-  EXPECT_EQ(table.Answer(DecodeBatch(Frame(6, 1, Hex("09 01000000")))).size(), 8u);
-  EXPECT_THROW(static_cast<void>(table.Answer(DecodeBatch(Frame(7, 1, Hex("07 01000000 0500000000000000"))))),
-               InstanceError);
+  EXPECT_GT(table.ProcessBatch(DecodeBatch(Frame(0, 1, OpenInstanceRecord(1, kSettings)))).size(), 8u);
+  const std::string reopened_reply =
+      table.ProcessBatch(DecodeBatch(Frame(5, 2, Hex("09 01000000") + OpenInstanceRecord(1, kSettings))));
+  EXPECT_GT(reopened_reply.size(), 8u);
+  EXPECT_EQ(table.ProcessBatch(DecodeBatch(Frame(6, 1, Hex("09 01000000")))).size(), 8u);
+  EXPECT_THROW(
+      static_cast<void>(table.ProcessBatch(DecodeBatch(Frame(7, 1, Hex("07 01000000 0500000000000000"))))),
+      InstanceError);
 }
 
 }  // namespace
--- a/tests/simulator_adapter/settings_parser_test.cpp
+++ b/tests/simulator_adapter/settings_parser_test.cpp
@@ -1,4 +1,4 @@
-// Settings as the simulator and the node's configuration file give them.
+// Tests the parser of the settings that the simulator and the node's configuration file provide.
 #include "simulator_adapter/settings_parser.h"
 
 #include <gtest/gtest.h>
@@ -13,7 +13,7 @@
 namespace hingelink::simulator_adapter {
 namespace {
 
-TEST(SettingsParser, UnknownStopModeIsRejected) {
+TEST(SettingsParser, RejectsUnknownStopMode) {
   const std::string base = kSettings;
   EXPECT_FALSE(ParseSettings(base).can_cancel_runs);
   EXPECT_FALSE(ParseSettings(base + "specifics.stopMode=silent\n").can_cancel_runs);
@@ -22,7 +22,7 @@
   EXPECT_THROW(static_cast<void>(ParseSettings(base + "specifics.stopMode=maybe\n")), SettingsError);
 }
 
-TEST(SettingsParser, KnownKeysAreReadAndUnknownOnesSkipped) {
+TEST(SettingsParser, ReadsKnownKeysAndIgnoresUnknownKeys) {
   const Settings settings = ParseSettings(kSettings);
   EXPECT_EQ(settings.cores, 2);
   EXPECT_EQ(settings.classes[0].deadline_ms, 4000);
@@ -30,7 +30,7 @@
   EXPECT_FALSE(settings.callers_send_remaining_wait);
 }
 
-TEST(SettingsParser, MalformedValuesAreRejected) {
+TEST(SettingsParser, RejectsMalformedValues) {
   const std::string base = kSettings;
   EXPECT_THROW(static_cast<void>(ParseSettings(base + "specifics.memoryKb=lots\n")), SettingsError);
   EXPECT_THROW(static_cast<void>(ParseSettings(base + "specifics.cpus=2.5\n")), SettingsError);
