--- a/src/core/request.h
+++ b/src/core/request.h
@@ -35,8 +35,8 @@
 struct IncomingRequest {
   StreamAddress reply_to;
   std::string_view class_name;
-  std::uint64_t request_id = 0;          // Identifies this attempt, not the request.
-  UnixTime arrived_at{};                 // When the request reached this machine.
+  std::uint64_t request_id = 0;  // Identifies this attempt, not the request.
+  UnixTime arrived_at{};         // When the request reached this machine; frames give the sending time.
   std::optional<Millis> remaining_wait;  // How long the caller waits after `arrived_at`; empty if unknown.
   Millis expected_work{0};               // Estimate by the caller; 0 if unknown.
   double reserved_kb = 0;                // Memory that the request uses while it is queued.
--- a/src/log/log.h
+++ b/src/log/log.h
@@ -1,8 +1,8 @@
 // Structured logging: one line for each event, as text or as JSON. docs/on-call.md explains the events.
 //
 // Lines go either directly to standard error, which is the form that service platforms expect, or through a
-// bounded queue to a rotated file. If the disk is slow or full, the log drops and counts lines instead of
-// blocking the calling thread. All functions may be called on any thread.
+// bounded queue to a rotated file. If the disk is slow or full, the file output drops and counts lines
+// instead of blocking the calling thread. All functions may be called on any thread.
 #ifndef HINGELINK_LOG_LOG_H_
 #define HINGELINK_LOG_LOG_H_
 
@@ -47,7 +47,7 @@
   Value value;
 };
 
-// Writes an event if its level is enabled. `name` is in kebab case and does not vary.
+// Writes an event if its level is enabled. `name` identifies the kind of event.
 void Event(Level level, std::string_view name, std::initializer_list<Field> fields = {});
 inline void Info(std::string_view name, std::initializer_list<Field> fields = {}) {
   Event(Level::kInfo, name, fields);
--- a/src/proto/frames.h
+++ b/src/proto/frames.h
@@ -52,8 +52,8 @@
 struct RequestFrame {
   std::string_view class_name;
   std::uint64_t request_id = 0;
-  std::chrono::sys_time<std::chrono::milliseconds> sent_at{};
-  std::optional<std::chrono::milliseconds> remaining_wait;  // Empty if not given.
+  std::chrono::sys_time<std::chrono::milliseconds> sent_at{};  // By the clock of the gateway.
+  std::optional<std::chrono::milliseconds> remaining_wait;     // Empty if not given.
   std::chrono::duration<double, std::milli> expected_work{0};
   std::uint32_t caller = 0;
   double reserved_kb = 0;
--- a/src/proto/handover_lines.h
+++ b/src/proto/handover_lines.h
@@ -36,8 +36,8 @@
   core::IdempotencyKey key;
   std::uint64_t content_hash = 0;  // Hash of the class and body of the request.
   int state = 0;                   // 0: reserved, 1: running, 2: served, 3: failed.
-  std::chrono::duration<double, std::milli> remaining{
-      0};  // Rest of the key's window; 0 if the key is released.
+  // Rest of the key's window; 0 if the key is released.
+  std::chrono::duration<double, std::milli> remaining{0};
   bool has_result = false;
   std::size_t size = 0;  // Of the result, in bytes.
   bool operator==(const KeyMessage&) const = default;
--- a/src/proto/pool_lines.h
+++ b/src/proto/pool_lines.h
@@ -14,8 +14,10 @@
 
 namespace hingelink::proto {
 
-inline constexpr std::size_t kMaxPoolLineBytes = 65'536;    // Remarks have no limit.
-inline constexpr std::size_t kMaxPoolResultBytes = 65'536;  // The protocol allows 4 KiB.
+// Applies to all lines except remarks, which have no limit.
+inline constexpr std::size_t kMaxPoolLineBytes = 65'536;
+// The protocol limits results to 4 KiB; longer results are accepted up to this size.
+inline constexpr std::size_t kMaxPoolResultBytes = 65'536;
 
 // How an execution ended, as the pool reports it.
 enum class RunOutcome { kComplete, kError, kCancelled, kUnknown };
