--- a/src/simulator_adapter/codec.cpp
+++ b/src/simulator_adapter/codec.cpp
@@ -69,10 +69,12 @@
     return value;
   }
 
-  // Read a number and throw FrameError if the number is not finite.
+  // Reads a double. Throws FrameError if the value is not finite.
   double Double(const char* field) { return RequireFinite(Get<double>(field), field); }
+  // Reads a float. Throws FrameError if the value is not finite.
   double Float(const char* field) { return RequireFinite(Get<float>(field), field); }
 
+  // Reads `count` bytes.
   std::string Bytes(std::size_t count, const char* field) {
     Require(count, field);
     std::string text(bytes_.substr(offset_, count));
--- a/src/simulator_adapter/settings_parser.cpp
+++ b/src/simulator_adapter/settings_parser.cpp
@@ -50,6 +50,7 @@
     return Has(key) ? Number(key) : default_value;
   }
 
+  // A count is a whole number from 0 to `max`.
   int Count(const std::string& key, int max = kMaxCount) const {
     const std::string expected = "a whole number from 0 to " + std::to_string(max);
     const std::string_view text = Require(key, expected);
@@ -61,6 +62,7 @@
     return Has(key) ? Count(key, max) : default_value;
   }
 
+  // The values of a flag are `true` and `false`.
   bool Flag(const std::string& key, bool default_value) const {
     return Has(key) ? ToFlag(key, Text(key, {})) : default_value;
   }
