--- a/src/net/handover.cpp
+++ b/src/net/handover.cpp
@@ -71,7 +71,7 @@
   return sendmsg(to, &out.message, MSG_NOSIGNAL) == static_cast<ssize_t>(sizeof out.line);
 }
 
-Descriptor ReceiveListener(evutil_socket_t from) {
+Descriptor ReceiveListenerMessage(evutil_socket_t from) {
   LineWithSocket in;
   const ssize_t got = recvmsg(from, &in.message, MSG_CMSG_CLOEXEC | MSG_WAITALL);
   const cmsghdr* head = got > 0 ? CMSG_FIRSTHDR(&in.message) : nullptr;
@@ -149,7 +149,7 @@
       if (const auto key = proto::ParseKeyMessage(all.substr(0, end)); key && to_predecessor_) {
         const std::size_t behind = key->has_result ? key->size + 1 : 0;
         if (all.size() < size + behind) return;
-        handover_.events_.key_told(*key, all.substr(size, key->size));
+        handover_.events_.key_received(*key, all.substr(size, key->size));
         size += behind;
       } else {
         handover_.Take(*this, all.substr(0, size));
@@ -165,8 +165,8 @@
 Handover::Handover(event_base* base, const std::string& folder, Events events)
     : base_(base), events_(std::move(events)), overdue_(base, [this] {
         log::Warn("handover-overdue");
-        settled_ = true;
-        events_.settled();
+        takeover_complete_ = true;
+        events_.takeover_state_changed();
       }) {
   sockaddr_un address;
   if (folder.empty()) return;
@@ -178,7 +178,7 @@
   }
 }
 
-void Handover::Withdraw() {
+void Handover::StopAcceptingSuccessors() {
   // A successor has put its own socket there.
   if (server_.get() >= 0 && !handed_over_) unlink(path_.c_str());
   accept_.reset();
@@ -190,10 +190,10 @@
   for (const auto& channel : channels_) {
     if (handed_over_ && channel->to_predecessor_) channel->SayEnds();
   }
-  Withdraw();
+  StopAcceptingSuccessors();
 }
 
-Descriptor Handover::TakeListener() {
+Descriptor Handover::RequestListener() {
   sockaddr_un address;
   if (path_.empty() || !ToAddress(path_, address)) return Descriptor();
   Descriptor channel = UnixSocket(0);
@@ -206,7 +206,7 @@
     return Descriptor();
   }
   errno = 0;
-  Descriptor listener = ReceiveListener(channel.get());
+  Descriptor listener = ReceiveListenerMessage(channel.get());
   if (listener.get() < 0) {
     const int error = errno;
     log::Warn("handover-failed", {{"what", std::strerror(error)}});
@@ -215,14 +215,14 @@
     if (error != EAGAIN && error != EWOULDBLOCK) return Descriptor();
   }
   evutil_make_socket_nonblocking(channel.get());
-  settled_ = keys_known_ = false;
+  takeover_complete_ = keys_known_ = false;
   Add(std::move(channel), true);
   if (listener.get() < 0) return listener;
   log::Info("handover-begins");
   return listener;
 }
 
-void Handover::Offer(evutil_socket_t listener) {
+void Handover::AcceptSuccessors(evutil_socket_t listener) {
   sockaddr_un address;
   const std::string fresh = path_ + '.' + std::to_string(getpid());
   if (path_.empty() || server_.get() >= 0 || !ToAddress(fresh, address)) return;
@@ -257,15 +257,15 @@
   for (const proto::LearnedClassMessage& learned : events_.learned()) {
     if (const auto line = proto::EncodeLearnedClassMessage(learned)) channels_.back()->Say(*line);
   }
-  events_.load();
+  events_.siblings_load_changed();
 }
 
 void Handover::Add(Descriptor fd, bool to_predecessor) {
   channels_.push_back(std::make_unique<Channel>(*this, std::move(fd), to_predecessor));
-  told_ = {};  // As far as it knows: the next Tell() says what is true.
+  told_ = {};  // As far as it knows: the next SendLoad() says what is true.
 }
 
-void Handover::SayReady() {
+void Handover::SendReady() {
   for (const auto& channel : channels_) {
     if (!channel->to_predecessor_) continue;
     channel->Say(proto::kHandoverKeys);
@@ -279,7 +279,7 @@
     channel.ready_ = true;
     // Before the word that it may run them.
     if (channel.keys_) {
-      events_.keys(
+      events_.send_keys(
           [&channel](const proto::KeyMessage& key, std::string_view result) { channel.SayKey(key, result); });
     }
     channel.Say(proto::kHandoverDraining);
@@ -287,8 +287,8 @@
     events_.successor_ready();
   } else if (line == proto::kHandoverDraining && channel.to_predecessor_) {
     overdue_.Stop();
-    settled_ = keys_known_ = true;
-    events_.settled();
+    takeover_complete_ = keys_known_ = true;
+    events_.takeover_state_changed();
     log::Info("handover-done");
   } else if (line == proto::kHandoverKeys) {
     channel.keys_ = true;
@@ -296,7 +296,7 @@
     channel.ends_ = true;
   } else if (const auto load = proto::ParseLoadMessage(line.substr(0, line.size() - 1))) {
     channel.load_ = *load;
-    events_.load();
+    events_.siblings_load_changed();
   } else if (const auto learned = proto::ParseLearnedClassMessage(line.substr(0, line.size() - 1));
              learned && channel.to_predecessor_) {
     events_.predecessor_learned(*learned);
@@ -315,17 +315,17 @@
   if (channel.to_predecessor_) {
     overdue_.Stop();
     // One that has ended runs nothing more, as behind a crash.
-    settled_ = keys_known_ = true;
-    events_.settled();
+    takeover_complete_ = keys_known_ = true;
+    events_.takeover_state_changed();
   }
-  events_.load();
+  events_.siblings_load_changed();
   if (channel.ready_ && !channel.ends_) {
     handed_over_ = std::any_of(channels_.begin(), channels_.end(), [](const auto& c) { return c->ready_; });
     if (handed_over_) return;
     // The lost one has put its socket where this one's was.
     accept_.reset();
     server_ = Descriptor();
-    Offer(listener_);
+    AcceptSuccessors(listener_);
     events_.successor_lost();
   }
 }
@@ -334,13 +334,13 @@
   return std::any_of(channels_.begin(), channels_.end(), [](const auto& c) { return c->to_predecessor_; });
 }
 
-void Handover::TellKey(const proto::KeyMessage& line, std::string_view result) {
+void Handover::SendKey(const proto::KeyMessage& line, std::string_view result) {
   for (const auto& channel : channels_) {
     if (channel->keys_ && channel->ready_) channel->SayKey(line, result);
   }
 }
 
-proto::LoadMessage Handover::others_load() const {
+proto::LoadMessage Handover::siblings_load() const {
   proto::LoadMessage sum;
   for (const auto& channel : channels_) {
     sum.running += channel->load_.running;
@@ -351,7 +351,7 @@
   return sum;
 }
 
-void Handover::Tell(const proto::LoadMessage& load) {
+void Handover::SendLoad(const proto::LoadMessage& load) {
   if (load == told_) return;
   told_ = load;
   const std::string line = proto::EncodeLoadMessage(load);
--- a/src/net/loop_group.cpp
+++ b/src/net/loop_group.cpp
@@ -40,10 +40,10 @@
             }),
       book_(options_.loops),
       placement_([this] {
-        options_.placement.loops = options_.loops;
-        return options_.placement;
+        options_.balancer.loops = options_.loops;
+        return options_.balancer;
       }()),
-      door_({.loops = options_.loops, .max_connections = options_.most_connections}),
+      door_({.loops = options_.loops, .max_connections = options_.max_connections}),
       watchdog_(options_.loops, kHungLooks) {
   if (!wake_) throw std::runtime_error("libevent: no event");
   event_add(wake_.get(), nullptr);
@@ -58,7 +58,7 @@
 LoopGroup::~LoopGroup() { Shutdown({}); }
 
 std::vector<std::size_t> LoopGroup::Counts() const {
-  std::vector<std::size_t> counts;
+  std::vector<std::size_t> class_counts;
   for (std::size_t i = 0; i < members_.size(); ++i) counts.push_back(book_.count(i));
   return counts;
 }
@@ -154,7 +154,7 @@
   if (!settled) return;
   if (released.moving) {
     for (auto& open : released.moving->open_requests)
-      open.counts = options_.counts(open.class_name, settled->loop);
+      open.counts = options_.class_counts(open.class_name, settled->loop);
     ++members_[settled->loop].taken;
     Send(settled->loop, AdoptConnection{std::move(released.moving)});
   }
--- a/src/net/loop_group.h
+++ b/src/net/loop_group.h
@@ -23,11 +23,11 @@
  public:
   struct Options {
     std::size_t loops = 1;
-    std::size_t most_connections = 1;
-    decide::ConnectionBalancerOptions placement;  // But for its `loops`.
+    std::size_t max_connections = 1;
+    decide::ConnectionBalancerOptions balancer;  // But for its `loops`.
     // The counts of a loop for all classes there are, and for one that may have been dropped since (or null).
     std::function<ClassTablePtr(std::size_t loop)> classes;
-    std::function<core::ClassCountsPtr(std::string_view kind, std::size_t loop)> counts;
+    std::function<core::ClassCountsPtr(std::string_view kind, std::size_t loop)> class_counts;
   };
 
   // Listens at once; on a socket that was handed over, from ResumeListening() on. Throws std::runtime_error
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -67,14 +67,14 @@
       handover_(base_.get(), handover_folder,
                 {.successor_ready = [this] { HandOverToSuccessor(); },
                  .successor_lost = [this] { ResumeServing(); },
-                 .load = [this] { OnSiblingLoadChanged(); },
+                 .siblings_load_changed = [this] { OnSiblingLoadChanged(); },
                  .learned = [this] { return LearnedForSuccessor(); },
                  .predecessor_learned =
                      [this](const proto::LearnedClassMessage& line) { OnPredecessorLearned(line); },
-                 .keys = [this](const net::Handover::EachKey& each) { ReportKeys(each); },
-                 .key_told = [this](const proto::KeyMessage& line,
-                                    std::string_view result) { OnKeyReported(line, result); },
-                 .settled = [this] { UpdateSiblingKeys(); }}),
+                 .send_keys = [this](const net::Handover::KeyVisitor& each) { ReportKeys(each); },
+                 .key_received = [this](const proto::KeyMessage& line,
+                                        std::string_view result) { OnKeyReported(line, result); },
+                 .takeover_state_changed = [this] { UpdateSiblingKeys(); }}),
       front_(CreateFront()),
       table_(
           config_.settings, *front_, metrics_,
@@ -98,12 +98,12 @@
           net::kHighPriority),
       gauge_timer_(base_.get(), [this] { pool_->Poll(); }),
       // Beside a predecessor, once there is a worker pool to run what comes.
-      listening_(!handover_.has_others()),
+      listening_(!handover_.has_siblings()),
       drain_timer_(base_.get(), [] {}) {
   ConnectStore(config_.store_address);
   OnSiblingLoadChanged();
   UpdateSiblingKeys();
-  if (listening_) handover_.Offer(front_->listener());
+  if (listening_) handover_.AcceptSuccessors(front_->listener());
   if (!config_.admin_address.empty()) {
     admin_server_.emplace(base_.get(), net::ParseAddress(config_.admin_address),
                           net::OpsServer::Answers{.ready = [this] { return Ready(); },
@@ -202,23 +202,23 @@
       .deep_check = [this](StreamAddress from) { checks_.Ask(from); },
       .class_counts = [this](std::string_view class_name) { return metrics_.CountsFor(class_name); }};
   if (loops() == 0) {
-    return std::make_unique<net::SingleLoopFrontEnd>(base_.get(), listen, handover_.TakeListener(), most,
+    return std::make_unique<net::SingleLoopFrontEnd>(base_.get(), listen, handover_.RequestListener(), most,
                                                      std::move(events));
   }
   net::LoopGroup::Options options;
   options.loops = loops();
-  options.most_connections = most;
+  options.max_connections = most;
   options.classes = [this](std::size_t loop) {
     auto table = std::make_shared<net::ClassTable>();
     for (const std::string& name : metrics_.class_names())
       table->emplace(name, metrics_.CountsFor(name, loop));
     return table;
   };
-  options.counts = [this](std::string_view kind, std::size_t loop) {
+  options.class_counts = [this](std::string_view kind, std::size_t loop) {
     return metrics_.CountsForReported(kind, loop);
   };
-  return std::make_unique<net::LoopGroup>(base_.get(), listen, handover_.TakeListener(), std::move(options),
-                                          std::move(events));
+  return std::make_unique<net::LoopGroup>(base_.get(), listen, handover_.RequestListener(),
+                                          std::move(options), std::move(events));
 }
 
 // The front tells the table of each connection that it ends, so it must end them while the table stands.
@@ -293,8 +293,8 @@
   if (listening_ || draining_) return;
   listening_ = true;
   front_->ResumeListening();
-  handover_.Offer(front_->listener());
-  handover_.SayReady();
+  handover_.AcceptSuccessors(front_->listener());
+  handover_.SendReady();
 }
 
 // All that is ready goes to the policy in one call; then its actions are executed in order.
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -103,7 +103,7 @@
   void OnPoolConnected(bool warming_up);
   void DrainStep();
   // Whether this process takes clients.
-  bool Ready() const { return listening_ && policy_ && !draining_ && handover_.settled(); }
+  bool Ready() const { return listening_ && policy_ && !draining_ && handover_.takeover_complete(); }
   // Another process takes the clients from now on, or none does any more.
   void HandOverToSuccessor();
   void ResumeServing();
@@ -111,7 +111,7 @@
   void OnSiblingLoadChanged();
   // What is known of their keys has changed; a key of this process has; another tells of one of its own.
   void UpdateSiblingKeys();
-  void ReportKeys(const net::Handover::EachKey& each) const;
+  void ReportKeys(const net::Handover::KeyVisitor& each) const;
   void ReportKey(const core::IdempotencyKey& key);
   void OnKeyReported(const proto::KeyMessage& line, std::string_view result);
   std::string MetricsText() const;
--- a/src/node/node_drain.cpp
+++ b/src/node/node_drain.cpp
@@ -106,7 +106,7 @@
 void Node::DrainStep() {
   if (!listening_ || Steady::now() < kill_at_ - kCloseListenerLead) return;
   listening_ = false;
-  handover_.Withdraw();
+  handover_.StopAcceptingSuccessors();
   front_->StopListening();
   front_->StopNewRequests();
 }
--- a/src/node/node_siblings.cpp
+++ b/src/node/node_siblings.cpp
@@ -29,24 +29,24 @@
 
 void Node::SiblingProcesses::AddEvents(EventBatch& batch) {
   if (!changed_) return;
-  const proto::LoadMessage load = node_.handover_.others_load();
+  const proto::LoadMessage load = node_.handover_.siblings_load();
   changed_ = !batch.Add(hingelink::SiblingLoad{{load.running, load.memory_kb, load.queued_work_ms}});
 }
 
 void Node::SiblingProcesses::OnStepCompleted() {
-  if (!node_.handover_.has_others() || Steady::now() - reported_at_ < kLoadReportInterval) return;
+  if (!node_.handover_.has_siblings() || Steady::now() - reported_at_ < kLoadReportInterval) return;
   reported_at_ = Steady::now();
   const hingelink::Load load = node_.policy_->CurrentLoad();
-  node_.handover_.Tell({load.running, load.memory_kb, load.queued_work_ms, node_.front_->connections()});
+  node_.handover_.SendLoad({load.running, load.memory_kb, load.queued_work_ms, node_.front_->connections()});
 }
 
 void Node::OnSiblingLoadChanged() {
   sibling_processes_.Changed();
   // The descriptors are one limit for all processes of this node, and each keeps its own reserve.
   const std::size_t taken =
-      ReservedDescriptors() * (1 + handover_.others()) + handover_.others_load().connections;
+      ReservedDescriptors() * (1 + handover_.sibling_count()) + handover_.siblings_load().connections;
   const auto sockets = static_cast<std::size_t>(config_.max_descriptors);
-  front_->SetMaxConnections(sockets > taken ? sockets - taken : 1, handover_.has_others());
+  front_->SetMaxConnections(sockets > taken ? sockets - taken : 1, handover_.has_siblings());
 }
 
 void Node::UpdateSiblingKeys() {
@@ -57,7 +57,7 @@
                                                    : SiblingKeys::kPending);
 }
 
-void Node::ReportKeys(const net::Handover::EachKey& each) const {
+void Node::ReportKeys(const net::Handover::KeyVisitor& each) const {
   table_.keys().ForEachRetained(Steady::now(),
                                 [&each](const KeyUpdate& update) { each(LineOf(update), ResultOf(update)); });
 }
@@ -65,7 +65,7 @@
 void Node::ReportKey(const core::IdempotencyKey& key) {
   if (!handed_over_) return;
   const KeyUpdate update = table_.keys().UpdateOf(key, Steady::now());
-  handover_.TellKey(LineOf(update), ResultOf(update));
+  handover_.SendKey(LineOf(update), ResultOf(update));
 }
 
 void Node::OnKeyReported(const proto::KeyMessage& line, std::string_view result) {
--- a/tests/background/learned_state_persister_test.cpp
+++ b/tests/background/learned_state_persister_test.cpp
@@ -162,7 +162,7 @@
   static net::Handover::Events IgnoredEvents() {
     return {.successor_ready = [] {},
             .successor_lost = [] {},
-            .load = [] {},
+            .siblings_load_changed = [] {},
             .learned = [] { return std::vector<proto::LearnedClassMessage>(); },
             .predecessor_learned = [](const proto::LearnedClassMessage&) {}};
   }
@@ -180,7 +180,7 @@
     received.push_back(line);
   };
   net::Handover successor(base_.get(), directory_, std::move(events));
-  ASSERT_GE(successor.TakeListener().get(), 0);
+  ASSERT_GE(successor.RequestListener().get(), 0);
   RunLoopUntil(base_.get(), [&] { return !received.empty(); });
   ASSERT_EQ(received.size(), 1u);
   EXPECT_EQ(received[0].name, "order-lodge");
@@ -211,7 +211,7 @@
                                                      {"usage-view", 1500, 9999, 333, 333, 300, 100}};
     };
     predecessor.emplace(host.base(), directory_, std::move(events));
-    predecessor->Offer(listener.get());
+    predecessor->AcceptSuccessors(listener.get());
   });
   {
     RunningNode successor(disk_, directory_ + "/state", directory_);
--- a/tests/net/handover_test.cpp
+++ b/tests/net/handover_test.cpp
@@ -44,7 +44,7 @@
 Handover::Events Deaf() {
   return {.successor_ready = [] {},
           .successor_lost = [] {},
-          .load = [] {},
+          .siblings_load_changed = [] {},
           .learned = [] { return std::vector<LearnedClassMessage>(); },
           .predecessor_learned = [](const LearnedClassMessage&) {}};
 }
@@ -61,7 +61,7 @@
     Handover::Events events = Deaf();
     events.learned = [&known] { return known; };
     predecessor.emplace(host.base(), folder, std::move(events));
-    predecessor->Offer(listener.get());
+    predecessor->AcceptSuccessors(listener.get());
   });
   {
     const BasePtr base = MakeBase();
@@ -69,7 +69,7 @@
     Handover::Events events = Deaf();
     events.predecessor_learned = [&heard](const LearnedClassMessage& line) { heard.push_back(line); };
     Handover successor(base.get(), folder, std::move(events));
-    ASSERT_GE(successor.TakeListener().get(), 0);
+    ASSERT_GE(successor.RequestListener().get(), 0);
     const auto end = Steady::now() + 40s;
     while (heard.size() < known.size() && Steady::now() < end) event_base_loop(base.get(), EVLOOP_ONCE);
     EXPECT_EQ(heard, known);
--- a/tests/net/loop_rig.h
+++ b/tests/net/loop_rig.h
@@ -29,10 +29,10 @@
     host.Do([&] {
       LoopGroup::Options options;
       options.loops = loops;
-      options.most_connections = most;
-      options.placement.min_gap_cores = min_gap_cores;
+      options.max_connections = most;
+      options.balancer.min_gap_cores = min_gap_cores;
       options.classes = [this](std::size_t loop) { return Table(loop); };
-      options.counts = [this](std::string_view kind, std::size_t loop) {
+      options.class_counts = [this](std::string_view kind, std::size_t loop) {
         return kind == "order-lodge" ? counts_[loop] : nullptr;
       };
       for (std::size_t i = 0; i < loops; ++i) {
--- a/tests/node/deep_checks_test.cpp
+++ b/tests/node/deep_checks_test.cpp
@@ -46,9 +46,9 @@
       } else {
         net::LoopGroup::Options group;
         group.loops = loops;
-        group.most_connections = 100;
+        group.max_connections = 100;
         group.classes = [](std::size_t) { return std::make_shared<net::ClassTable>(); };
-        group.counts = [](std::string_view, std::size_t) { return nullptr; };
+        group.class_counts = [](std::string_view, std::size_t) { return nullptr; };
         front_ = std::make_unique<net::LoopGroup>(host_.base(), any, net::Descriptor(), std::move(group),
                                                   std::move(events));
       }
