--- a/src/net/handover.cpp
+++ b/src/net/handover.cpp
@@ -17,19 +17,23 @@
 
 using namespace std::chrono_literals;
 
-constexpr char kName[] = "/hingelink.sock";
-constexpr int kBacklog = 4;
-// Successors at a time. Guards the descriptors.
-constexpr std::size_t kMostChannels = 4;
-// For the predecessor to send its listening socket, in the middle of a flood and on part of a core. Guards
-// against one that hangs: this process then listens for itself.
-constexpr timeval kPatience{2, 0};
-// For its word that it takes no more clients.
-constexpr auto kSettle = 1s;
-// Unsent bytes from which keys are told without their results; the keys alone are told in any case.
-constexpr std::size_t kUnsentResults = 4 << 20;
-
-// Whether `path` fits into an address.
+constexpr char kSocketName[] = "/hingelink.sock";
+constexpr int kListenBacklog = 4;
+// Maximum number of sibling connections; bounds the file descriptors that they use.
+constexpr std::size_t kMaxChannels = 4;
+// Timeout for the predecessor to send its listening socket. Long enough for a predecessor that is flooded
+// with requests and has only part of a core. If the predecessor hangs, this process opens a listener of its
+// own.
+constexpr timeval kListenerTimeout{2, 0};
+// Timeout for the predecessor's confirmation that it accepts no more clients.
+constexpr auto kDrainConfirmationTimeout = 1s;
+// A sibling that hangs and reads nothing is sent no more lines (other than keys) once this many bytes are
+// unsent.
+constexpr std::size_t kMaxUnsentLineBytes = 64 * proto::kMaxHandoverLineBytes;
+// Once this many bytes are unsent, idempotency keys are sent without their results.
+constexpr std::size_t kMaxUnsentResultBytes = 4 << 20;
+
+// Returns false if `path` is too long for the address of a UNIX socket.
 bool ToAddress(const std::string& path, sockaddr_un& address) {
   address = {};
   address.sun_family = AF_UNIX;
@@ -42,26 +46,26 @@
   return Descriptor(socket(AF_UNIX, SOCK_STREAM | SOCK_CLOEXEC | flags, 0));
 }
 
-// A message of one line that carries one descriptor. Not to be moved: it points into itself.
-struct LineWithSocket {
+// A message of one line that carries one descriptor. Neither copyable nor movable, as it points into itself.
+struct ListenerMessage {
   char line[proto::kHandoverListener.size()];
   iovec text{line, sizeof line};
   alignas(cmsghdr) char control[CMSG_SPACE(sizeof(int))] = {};
   msghdr message{};
 
-  LineWithSocket() {
+  ListenerMessage() {
     message.msg_iov = &text;
     message.msg_iovlen = 1;
     message.msg_control = control;
     message.msg_controllen = sizeof control;
   }
-  LineWithSocket(const LineWithSocket&) = delete;
-  LineWithSocket& operator=(const LineWithSocket&) = delete;
+  ListenerMessage(const ListenerMessage&) = delete;
+  ListenerMessage& operator=(const ListenerMessage&) = delete;
 };
 
-// Sends the first line, with the listening socket.
+// Sends the first line of the protocol together with the listening socket.
 bool SendListener(evutil_socket_t to, evutil_socket_t listener) {
-  LineWithSocket out;
+  ListenerMessage out;
   std::memcpy(out.line, proto::kHandoverListener.data(), sizeof out.line);
   cmsghdr* head = CMSG_FIRSTHDR(&out.message);
   head->cmsg_level = SOL_SOCKET;
@@ -71,20 +75,23 @@
   return sendmsg(to, &out.message, MSG_NOSIGNAL) == static_cast<ssize_t>(sizeof out.line);
 }
 
+// Returns an empty descriptor if the first line or the socket is missing; errno says why if the receive
+// failed.
 Descriptor ReceiveListenerMessage(evutil_socket_t from) {
-  LineWithSocket in;
+  ListenerMessage in;
   const ssize_t got = recvmsg(from, &in.message, MSG_CMSG_CLOEXEC | MSG_WAITALL);
   const cmsghdr* head = got > 0 ? CMSG_FIRSTHDR(&in.message) : nullptr;
   if (head == nullptr || head->cmsg_type != SCM_RIGHTS) return Descriptor();
   int fd = -1;
   std::memcpy(&fd, CMSG_DATA(head), sizeof fd);
   Descriptor listener(fd);
-  const bool whole = std::string_view(in.line, static_cast<std::size_t>(got)) == proto::kHandoverListener;
-  return whole ? std::move(listener) : Descriptor();
+  const bool is_valid = std::string_view(in.line, static_cast<std::size_t>(got)) == proto::kHandoverListener;
+  return is_valid ? std::move(listener) : Descriptor();
 }
 
 }  // namespace
 
+// The connection to one sibling.
 class Handover::Channel {
  public:
   Channel(Handover& handover, Descriptor fd, bool to_predecessor)
@@ -94,65 +101,68 @@
     if (!bev_) throw std::runtime_error("libevent: no bufferevent");
     bufferevent_priority_set(bev_.get(), kHighPriority);
     bufferevent_setcb(
-        bev_.get(), [](bufferevent*, void* self) { static_cast<Channel*>(self)->Read(); }, nullptr,
+        bev_.get(), [](bufferevent*, void* self) { static_cast<Channel*>(self)->ReadLines(); }, nullptr,
         [](bufferevent*, short what, void* self) {
-          auto* it = static_cast<Channel*>(self);
-          it->handover_.End(*it, (what & BEV_EVENT_EOF) != 0 ? "peer-closed" : "reset");
+          auto* channel = static_cast<Channel*>(self);
+          channel->handover_.EndChannel(*channel, (what & BEV_EVENT_EOF) != 0 ? "peer-closed" : "reset");
         },
         this);
     bufferevent_setwatermark(bev_.get(), EV_READ, 0, 2 * proto::kMaxKeyResultBytes);
     bufferevent_enable(bev_.get(), EV_READ | EV_WRITE);
   }
 
-  void Say(std::string_view line) {
-    // Guards against a process that hangs and takes nothing: it is told no more.
-    if (UnsentBytes(bev_.get()) < 64 * proto::kMaxHandoverLineBytes) Send(bev_.get(), line);
+  // Drops the line if the sibling hangs and reads nothing, which bounds the unsent bytes.
+  void SendLine(std::string_view line) {
+    if (UnsentBytes(bev_.get()) < kMaxUnsentLineBytes) Send(bev_.get(), line);
   }
-  // Never left out: guards against a key that runs in both processes. Their number has its bound.
-  void SayKey(proto::KeyMessage line, std::string_view result) {
-    line.has_result = line.has_result && UnsentBytes(bev_.get()) < kUnsentResults;
+  // Always sends the key, so that no request with this key is executed by both processes. The number of keys
+  // is bounded. Leaves out the result if too many bytes are unsent.
+  void SendKey(proto::KeyMessage line, std::string_view result) {
+    line.has_result = line.has_result && UnsentBytes(bev_.get()) < kMaxUnsentResultBytes;
     Send(bev_.get(), proto::EncodeKeyMessage(line));
     if (!line.has_result) return;
     Send(bev_.get(), result);
     Send(bev_.get(), "\n");
   }
-  // At the end of this process, past the loop.
-  void SayEnds() {
+  // Reports that this process exits. Writes to the socket directly, as the event loop no longer runs.
+  void SendExiting() {
     const auto size = static_cast<ssize_t>(proto::kHandoverExiting.size());
     if (UnsentBytes(bev_.get()) > 0) return;
     if (send(bufferevent_getfd(bev_.get()), proto::kHandoverExiting.data(), proto::kHandoverExiting.size(),
              MSG_NOSIGNAL | MSG_DONTWAIT) != size) {
-      log::Warn("handover-unsaid");
+      log::Warn("handover-exit-not-sent");
     }
   }
+  // No callback is called after this.
   void Stop() {
     bufferevent_setcb(bev_.get(), nullptr, nullptr, nullptr, nullptr);
     bufferevent_disable(bev_.get(), EV_READ | EV_WRITE);
   }
 
   const bool to_predecessor_;
-  proto::LoadMessage load_;
-  bool keys_ = false;   // A successor that takes what is told of keys.
-  bool ready_ = false;  // A successor that takes the clients.
-  bool ends_ = false;   // It said so.
+  proto::LoadMessage load_;    // As last reported by the sibling.
+  bool accepts_keys_ = false;  // The sibling is a successor that accepts KeyMessages.
+  bool ready_ = false;         // The sibling is a successor that accepts clients.
+  bool exiting_ = false;       // The sibling reported that it exits.
 
  private:
-  void Read() {
+  // Processes all complete lines that have arrived.
+  void ReadLines() {
     for (;;) {
       const std::string_view all = ReceivedBytes(bev_.get());
       const std::size_t end = all.find('\n');
       if (end == std::string_view::npos) {
-        if (all.size() >= proto::kMaxHandoverLineBytes) handover_.End(*this, "line");
+        if (all.size() >= proto::kMaxHandoverLineBytes) handover_.EndChannel(*this, "line");
         return;
       }
       std::size_t size = end + 1;
       if (const auto key = proto::ParseKeyMessage(all.substr(0, end)); key && to_predecessor_) {
-        const std::size_t behind = key->has_result ? key->size + 1 : 0;
-        if (all.size() < size + behind) return;
+        const std::size_t result_size = key->has_result ? key->size + 1 : 0;
+        if (all.size() < size + result_size) return;
         handover_.events_.key_received(*key, all.substr(size, key->size));
-        size += behind;
+        size += result_size;
       } else {
-        handover_.Take(*this, all.substr(0, size));
+        handover_.OnLine(*this, all.substr(0, size));
       }
       Consume(bev_.get(), size);
     }
@@ -163,14 +173,14 @@
 };
 
 Handover::Handover(event_base* base, const std::string& folder, Events events)
-    : base_(base), events_(std::move(events)), overdue_(base, [this] {
+    : base_(base), events_(std::move(events)), drain_timeout_(base, [this] {
         log::Warn("handover-overdue");
         takeover_complete_ = true;
         events_.takeover_state_changed();
       }) {
   sockaddr_un address;
   if (folder.empty()) return;
-  // The longer name that is bound first must fit, too.
+  // AcceptSuccessors() first binds a longer name, which must fit as well.
   if (ToAddress(folder + kName + '.' + std::to_string(getpid()), address)) {
     path_ = folder + kName;
   } else {
@@ -179,16 +189,17 @@
 }
 
 void Handover::StopAcceptingSuccessors() {
-  // A successor has put its own socket there.
+  // After a handover the path is that of the successor's socket, which must stay.
   if (server_.get() >= 0 && !handed_over_) unlink(path_.c_str());
   accept_.reset();
   server_ = Descriptor();
 }
 
 Handover::~Handover() {
-  // Guards against a predecessor that takes clients again, though a third process does.
+  // The predecessor must not accept clients again when this process exits, since a successor of this process
+  // accepts them.
   for (const auto& channel : channels_) {
-    if (handed_over_ && channel->to_predecessor_) channel->SayEnds();
+    if (handed_over_ && channel->to_predecessor_) channel->SendExiting();
   }
   StopAcceptingSuccessors();
 }
@@ -198,10 +209,10 @@
   if (path_.empty() || !ToAddress(path_, address)) return Descriptor();
   Descriptor channel = UnixSocket(0);
   if (channel.get() < 0) return Descriptor();
-  // Also bounds connect().
-  setsockopt(channel.get(), SOL_SOCKET, SO_RCVTIMEO, &kPatience, sizeof kPatience);
-  setsockopt(channel.get(), SOL_SOCKET, SO_SNDTIMEO, &kPatience, sizeof kPatience);
-  // Guards against a file that a killed process left behind: nobody accepts there.
+  // The send timeout also bounds connect().
+  setsockopt(channel.get(), SOL_SOCKET, SO_RCVTIMEO, &kListenerTimeout, sizeof kListenerTimeout);
+  setsockopt(channel.get(), SOL_SOCKET, SO_SNDTIMEO, &kListenerTimeout, sizeof kListenerTimeout);
+  // Connecting fails if the socket file was left behind by a killed process.
   if (connect(channel.get(), reinterpret_cast<const sockaddr*>(&address), sizeof address) != 0) {
     return Descriptor();
   }
@@ -210,8 +221,9 @@
   if (listener.get() < 0) {
     const int error = errno;
     log::Warn("handover-failed", {{"what", std::strerror(error)}});
-    // It hangs, and may have run anything: it stays the predecessor until it ends, or wakes and tells. Guards
-    // against a keyed request that runs here too; its listening socket, once it comes, is not taken any more.
+    // On a timeout the predecessor hangs and may still be executing requests. The channel is kept until the
+    // predecessor exits or recovers and reports its keys, so that no request with an idempotency key is
+    // executed by both processes. A listening socket that arrives later is not used.
     if (error != EAGAIN && error != EWOULDBLOCK) return Descriptor();
   }
   evutil_make_socket_nonblocking(channel.get());
@@ -224,17 +236,18 @@
 
 void Handover::AcceptSuccessors(evutil_socket_t listener) {
   sockaddr_un address;
-  const std::string fresh = path_ + '.' + std::to_string(getpid());
-  if (path_.empty() || server_.get() >= 0 || !ToAddress(fresh, address)) return;
+  const std::string temporary_path = path_ + '.' + std::to_string(getpid());
+  if (path_.empty() || server_.get() >= 0 || !ToAddress(temporary_path, address)) return;
   listener_ = listener;
   Descriptor server = UnixSocket(SOCK_NONBLOCK);
-  unlink(fresh.c_str());
-  // Bound under a name of its own and then moved there: at no time is there a socket that nobody serves.
+  unlink(temporary_path.c_str());
+  // Bound under a temporary name and then renamed: at any time the path leads to a process that accepts
+  // connections.
   if (server.get() < 0 ||
       bind(server.get(), reinterpret_cast<const sockaddr*>(&address), sizeof address) != 0 ||
-      listen(server.get(), kBacklog) != 0 || std::rename(fresh.c_str(), path_.c_str()) != 0) {
+      listen(server.get(), kListenBacklog) != 0 || std::rename(temporary_path.c_str(), path_.c_str()) != 0) {
     log::Warn("handover-off", {{"what", std::strerror(errno)}});
-    unlink(fresh.c_str());
+    unlink(temporary_path.c_str());
     return;
   }
   server_ = std::move(server);
@@ -248,52 +261,53 @@
 
 void Handover::Accept() {
   Descriptor fd(accept4(server_.get(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC));
-  if (fd.get() < 0 || channels_.size() >= kMostChannels) return;
+  if (fd.get() < 0 || channels_.size() >= kMaxChannels) return;
   if (!SendListener(fd.get(), listener_)) return;
   log::Info("handover-begins", {{"successor", true}});
   Add(std::move(fd), false);
-  // Right behind the listener: it is there before the successor's worker pool is bound, and its decisions
-  // begin.
+  // Sent right after the listener, so that the successor has the learned values before its worker pool is
+  // connected and it begins to admit requests.
   for (const proto::LearnedClassMessage& learned : events_.learned()) {
-    if (const auto line = proto::EncodeLearnedClassMessage(learned)) channels_.back()->Say(*line);
+    if (const auto line = proto::EncodeLearnedClassMessage(learned)) channels_.back()->SendLine(*line);
   }
   events_.siblings_load_changed();
 }
 
 void Handover::Add(Descriptor fd, bool to_predecessor) {
   channels_.push_back(std::make_unique<Channel>(*this, std::move(fd), to_predecessor));
-  told_ = {};  // As far as it knows: the next SendLoad() says what is true.
+  last_sent_load_ = {};  // The new sibling assumes no load; the next SendLoad() sends the actual one.
 }
 
 void Handover::SendReady() {
   for (const auto& channel : channels_) {
     if (!channel->to_predecessor_) continue;
-    channel->Say(proto::kHandoverKeys);
-    channel->Say(proto::kHandoverReady);
-    overdue_.Start(kSettle);
+    channel->SendLine(proto::kHandoverKeys);
+    channel->SendLine(proto::kHandoverReady);
+    drain_timeout_.Start(kDrainConfirmationTimeout);
   }
 }
 
-void Handover::Take(Channel& channel, std::string_view line) {
+void Handover::OnLine(Channel& channel, std::string_view line) {
   if (line == proto::kHandoverReady && !channel.to_predecessor_) {
     channel.ready_ = true;
-    // Before the word that it may run them.
-    if (channel.keys_) {
-      events_.send_keys(
-          [&channel](const proto::KeyMessage& key, std::string_view result) { channel.SayKey(key, result); });
+    // The keys are sent before the confirmation that the successor may execute requests with these keys.
+    if (channel.accepts_keys_) {
+      events_.send_keys([&channel](const proto::KeyMessage& key, std::string_view result) {
+        channel.SendKey(key, result);
+      });
     }
-    channel.Say(proto::kHandoverDraining);
+    channel.SendLine(proto::kHandoverDraining);
     handed_over_ = true;
     events_.successor_ready();
   } else if (line == proto::kHandoverDraining && channel.to_predecessor_) {
-    overdue_.Stop();
+    drain_timeout_.Stop();
     takeover_complete_ = keys_known_ = true;
     events_.takeover_state_changed();
     log::Info("handover-done");
   } else if (line == proto::kHandoverKeys) {
-    channel.keys_ = true;
+    channel.accepts_keys_ = true;
   } else if (line == proto::kHandoverExiting) {
-    channel.ends_ = true;
+    channel.exiting_ = true;
   } else if (const auto load = proto::ParseLoadMessage(line.substr(0, line.size() - 1))) {
     channel.load_ = *load;
     events_.siblings_load_changed();
@@ -303,26 +317,27 @@
   }
 }
 
-void Handover::End(Channel& channel, const char* reason) {
+void Handover::EndChannel(Channel& channel, const char* reason) {
   const auto it = std::find_if(channels_.begin(), channels_.end(),
                                [&channel](const auto& entry) { return entry.get() == &channel; });
   if (it == channels_.end()) return;
-  log::Info("handover-channel-end", {{"reason", channel.ends_ ? "ended" : reason},
+  log::Info("handover-channel-end", {{"reason", channel.exiting_ ? "ended" : reason},
                                      {"other", channel.to_predecessor_ ? "predecessor" : "successor"}});
   channel.Stop();
   ended_.push_back(std::move(*it));
   channels_.erase(it);
   if (channel.to_predecessor_) {
-    overdue_.Stop();
-    // One that has ended runs nothing more, as behind a crash.
+    drain_timeout_.Stop();
+    // A predecessor that has exited or crashed executes no more requests, so there are no more keys to wait
+    // for.
     takeover_complete_ = keys_known_ = true;
     events_.takeover_state_changed();
   }
   events_.siblings_load_changed();
-  if (channel.ready_ && !channel.ends_) {
+  if (channel.ready_ && !channel.exiting_) {
     handed_over_ = std::any_of(channels_.begin(), channels_.end(), [](const auto& c) { return c->ready_; });
     if (handed_over_) return;
-    // The lost one has put its socket where this one's was.
+    // The lost successor replaced the UNIX socket of this process, which is therefore created again.
     accept_.reset();
     server_ = Descriptor();
     AcceptSuccessors(listener_);
@@ -336,7 +351,7 @@
 
 void Handover::SendKey(const proto::KeyMessage& line, std::string_view result) {
   for (const auto& channel : channels_) {
-    if (channel->keys_ && channel->ready_) channel->SayKey(line, result);
+    if (channel->accepts_keys_ && channel->ready_) channel->SendKey(line, result);
   }
 }
 
@@ -352,10 +367,10 @@
 }
 
 void Handover::SendLoad(const proto::LoadMessage& load) {
-  if (load == told_) return;
-  told_ = load;
+  if (load == last_sent_load_) return;
+  last_sent_load_ = load;
   const std::string line = proto::EncodeLoadMessage(load);
-  for (const auto& channel : channels_) channel->Say(line);
+  for (const auto& channel : channels_) channel->SendLine(line);
 }
 
 void Handover::Sweep() { ended_.clear(); }
--- a/src/net/handover.h
+++ b/src/net/handover.h
@@ -1,5 +1,9 @@
-// Between two processes of one node: the successor gets the listening socket over a UNIX socket in a folder
-// that both share, says when it takes clients, and both tell what they have in hand.
+// Hands the clients of one node over from its running process (the predecessor) to a new one (the successor).
+//
+// The processes share a folder that holds a UNIX socket. The successor connects to the socket and receives
+// the predecessor's listening socket. It reports when it accepts clients, and the predecessor confirms that
+// it accepts no more. Afterwards both processes report their load to each other, and the predecessor reports
+// its idempotency keys, until one of the processes exits.
 #ifndef HINGELINK_NET_HANDOVER_H_
 #define HINGELINK_NET_HANDOVER_H_
 
@@ -13,53 +17,65 @@
 
 namespace hingelink::net {
 
+// A sibling is another process of this node: the predecessor or a successor. Not thread-safe: all calls and
+// all events are on the thread that runs `base`.
 class Handover {
  public:
   using KeyVisitor = std::function<void(const proto::KeyMessage&, std::string_view result)>;
   struct Events {
-    std::function<void()> successor_ready;        // Another process takes the clients from now on.
-    std::function<void()> successor_lost;         // None does any more.
-    std::function<void()> siblings_load_changed;  // What the others have in hand may have changed.
-    std::function<std::vector<proto::LearnedClassMessage>()> learned;  // For a successor to begin with.
+    // A successor accepts clients; this process must accept no more.
+    std::function<void()> successor_ready;
+    // The connection to the ready successor was lost and no other successor is ready. This process must
+    // accept clients again.
+    std::function<void()> successor_lost;
+    std::function<void()> siblings_load_changed;  // The result of siblings_load() may have changed.
+    // Returns the learned values that a new successor starts from.
+    std::function<std::vector<proto::LearnedClassMessage>()> learned;
     std::function<void(const proto::LearnedClassMessage&)> predecessor_learned;
-    // All keys that this process keeps, for a successor that is ready; and: the predecessor tells of one.
+    // Passes each idempotency key that this process retains to the visitor, which sends it to a successor.
     std::function<void(const KeyVisitor&)> send_keys = [](const KeyVisitor&) {};
+    // The predecessor reported an idempotency key.
     std::function<void(const proto::KeyMessage&, std::string_view result)> key_received =
         [](const proto::KeyMessage&, std::string_view) {};
-    // keys_known() or keys_overdue() has changed.
+    // The result of takeover_complete(), keys_known() or keys_overdue() may have changed.
     std::function<void()> takeover_state_changed = [] {};
   };
 
-  // `folder` may be empty: there is neither predecessor nor successor then.
+  // An empty `folder` disables handover: there is neither a predecessor nor a successor.
   Handover(event_base* base, const std::string& folder, Events events);
   ~Handover();
 
-  // The listening socket of the process that serves, or none where no such process answers.
+  // Connects to the predecessor and receives its listening socket. Blocks for a bounded time. Returns an
+  // empty descriptor if no process answers, or if the predecessor does not send its socket in time.
   Descriptor RequestListener();
-  // This process is the one that a successor asks from now on.
+  // From now on successors connect to this process and receive `listener`. Replaces the predecessor's UNIX
+  // socket.
   void AcceptSuccessors(evutil_socket_t listener);
-  // It is so no more.
+  // Accepts no more successors. Existing connections to siblings remain.
   void StopAcceptingSuccessors();
-  // This process takes clients. Told to the predecessor.
+  // Reports to the predecessor, if there is one, that this process accepts clients.
   void SendReady();
-  // Whether the predecessor, if any, takes no more clients.
+  // Whether there is no predecessor, or the predecessor accepts no more clients, or its confirmation is
+  // overdue.
   bool takeover_complete() const { return takeover_complete_; }
 
   bool has_predecessor() const;
-  // Whether all that a predecessor kept of keys has been told; and whether one that stands has failed to.
+  // Whether all idempotency keys that the predecessor retained are known here, or the predecessor has exited.
   bool keys_known() const { return keys_known_; }
+  // Whether the predecessor is still connected but did not send its keys in time.
   bool keys_overdue() const { return !keys_known_ && takeover_complete_; }
-  // A key of this process has changed: told to the successors.
+  // Reports a changed idempotency key of this process to the ready successors. `result` is sent only if
+  // `line.has_result`.
   void SendKey(const proto::KeyMessage& line, std::string_view result);
 
   bool has_siblings() const { return !channels_.empty(); }
   std::size_t sibling_count() const { return channels_.size(); }
-  // What the others have in hand, in sum.
+  // The sum of the loads that the siblings last reported.
   proto::LoadMessage siblings_load() const;
-  // Tells the others, where it has changed.
+  // Reports the load of this process to all siblings if the load differs from the last report.
   void SendLoad(const proto::LoadMessage& load);
 
-  // Frees the channels that ended since the last call. Not to be called from within a callback.
+  // Frees the channels that ended since the last call. Must not be called from within a callback.
   void Sweep();
 
  private:
@@ -67,22 +83,22 @@
 
   void Accept();
   void Add(Descriptor fd, bool to_predecessor);
-  void Take(Channel& channel, std::string_view line);
-  void End(Channel& channel, const char* reason);
+  void OnLine(Channel& channel, std::string_view line);
+  void EndChannel(Channel& channel, const char* reason);
 
   event_base* base_;
-  std::string path_;  // Empty where nothing is shared.
+  std::string path_;  // Of the UNIX socket; empty if handover is disabled.
   Events events_;
-  Descriptor server_;
+  Descriptor server_;  // The UNIX socket on which successors connect.
   EventPtr accept_;
-  evutil_socket_t listener_ = -1;
+  evutil_socket_t listener_ = -1;  // Of the clients; not owned.
   std::vector<std::unique_ptr<Channel>> channels_;
-  std::vector<std::unique_ptr<Channel>> ended_;
-  Timer overdue_;  // The predecessor's word that it takes no more.
+  std::vector<std::unique_ptr<Channel>> ended_;  // Freed by Sweep().
+  Timer drain_timeout_;  // For the predecessor's confirmation that it accepts no more clients.
   bool takeover_complete_ = true;
   bool keys_known_ = true;
-  bool handed_over_ = false;
-  proto::LoadMessage told_;
+  bool handed_over_ = false;  // A successor accepts clients.
+  proto::LoadMessage last_sent_load_;
 };
 
 }  // namespace hingelink::net
--- a/tests/net/handover_test.cpp
+++ b/tests/net/handover_test.cpp
@@ -1,4 +1,4 @@
-// What a predecessor tells its successor of what it has learned.
+// Tests how a predecessor sends the learned values of its classes to its successor.
 #include "net/handover.h"
 
 #include <gtest/gtest.h>
@@ -18,7 +18,7 @@
 using namespace std::chrono_literals;
 using proto::LearnedClassMessage;
 
-TEST(HandoverLines, WhatWasLearnedComesBackAsItWas) {
+TEST(HandoverLines, LearnedClassLineParsesToTheEncodedValues) {
   const LearnedClassMessage learned{"usage-view", 500, 1200, 31.5, 30.25, 0, 41};
   const auto line = proto::EncodeLearnedClassMessage(learned);
   ASSERT_TRUE(line);
@@ -32,16 +32,16 @@
   EXPECT_FALSE(proto::EncodeLearnedClassMessage({std::string(300, 'x'), 1, 1, 1, 1, 1, 1}));
 }
 
-RC_GTEST_PROP(HandoverLinesProperty, AnyNameComesBack, (const std::string& name)) {
+RC_GTEST_PROP(HandoverLinesProperty, AnyClassNameSurvivesEncodingAndParsing, (const std::string& name)) {
   RC_PRE(!name.empty());
   const auto line = proto::EncodeLearnedClassMessage({name, 1, 2, 3, 4, 5, 6});
-  if (!line) return;  // Too long.
+  if (!line) return;  // The name is too long for a line.
   RC_ASSERT(line->find('\n') == line->size() - 1);
   RC_ASSERT(proto::ParseLearnedClassMessage(line->substr(0, line->size() - 1)) ==
             (LearnedClassMessage{name, 1, 2, 3, 4, 5, 6}));
 }
 
-Handover::Events Deaf() {
+Handover::Events IgnoredEvents() {
   return {.successor_ready = [] {},
           .successor_lost = [] {},
           .siblings_load_changed = [] {},
@@ -49,7 +49,7 @@
           .predecessor_learned = [](const LearnedClassMessage&) {}};
 }
 
-TEST(Handover, ASuccessorIsToldWhatItsPredecessorHasLearned) {
+TEST(Handover, SuccessorReceivesTheLearnedClassesOfItsPredecessor) {
   char name[] = "/tmp/hingelink.handover.XXXXXX";
   const std::string folder = mkdtemp(name);
   const std::vector<LearnedClassMessage> known = {{"usage-view", 500, 1200, 31.5, 30, 28, 41},
@@ -58,21 +58,21 @@
   standin::Host host;
   std::optional<Handover> predecessor;
   host.Do([&] {
-    Handover::Events events = Deaf();
+    Handover::Events events = IgnoredEvents();
     events.learned = [&known] { return known; };
     predecessor.emplace(host.base(), folder, std::move(events));
     predecessor->AcceptSuccessors(listener.get());
   });
   {
     const BasePtr base = MakeBase();
-    std::vector<LearnedClassMessage> heard;
-    Handover::Events events = Deaf();
-    events.predecessor_learned = [&heard](const LearnedClassMessage& line) { heard.push_back(line); };
+    std::vector<LearnedClassMessage> received;
+    Handover::Events events = IgnoredEvents();
+    events.predecessor_learned = [&received](const LearnedClassMessage& line) { received.push_back(line); };
     Handover successor(base.get(), folder, std::move(events));
     ASSERT_GE(successor.RequestListener().get(), 0);
     const auto end = Steady::now() + 40s;
-    while (heard.size() < known.size() && Steady::now() < end) event_base_loop(base.get(), EVLOOP_ONCE);
-    EXPECT_EQ(heard, known);
+    while (received.size() < known.size() && Steady::now() < end) event_base_loop(base.get(), EVLOOP_ONCE);
+    EXPECT_EQ(received, known);
   }
   host.Do([&] { predecessor.reset(); });
   std::filesystem::remove_all(folder);
