--- a/src/net/channel.h
+++ b/src/net/channel.h
@@ -21,7 +21,8 @@
 
 namespace hingelink::net {
 
-// Wakes a thread that waits in its event loop. Any number of messages causes at most one wakeup.
+// Wakes a thread that waits in its event loop. The messages of all writers cause only one wakeup until the
+// thread waits again.
 //
 // The waiting thread calls, in this order: Clear(), then reads all its queues, then BeginWait(), then checks
 // all its queues once more. If that check finds a message, it calls CancelWait() and reads the queues again.
--- a/src/net/loop.h
+++ b/src/net/loop.h
@@ -81,8 +81,8 @@
   bool no_other_server = false;
   std::optional<std::chrono::milliseconds> retry_after;
   std::string result;
-  std::optional<bool> is_healthy =
-      std::nullopt;  // Where set: the answer to a deep check, and no more than that.
+  // If set, this is the answer to a deep health check, and only `to` is used besides.
+  std::optional<bool> is_healthy = std::nullopt;
 };
 // Adds an accepted connection.
 struct AddConnection {
@@ -172,18 +172,20 @@
   EventPtr wakeup_event_;
   Timer heartbeat_timer_;
   Timer report_timer_;
+  // Only causes an iteration of the event loop, after which Run() checks for unsent answers.
   Timer unsent_check_timer_;
   std::uint64_t executed_command_count_ = 0;
   std::uint64_t last_cpu_ns_ = 0;
   Steady::time_point last_report_ = Steady::now();
-  bool reading_stopped_ = false;
-  bool draining_ = false;
-  bool stopped_ = false;
+  bool reading_stopped_ = false;            // kStopReading was executed.
+  bool draining_ = false;                   // kStopNewRequests or kStopReading was executed.
+  bool stopped_ = false;                    // kShutdown was executed.
   bool shutdown_requested_ = false;         // Only used by the node's main thread.
   Steady::time_point shutdown_deadline_{};  // Written before kShutdown is sent, read after it is received.
   std::atomic<std::uint64_t> heartbeats_{0};
   std::atomic<std::uint64_t> last_read_connection_{0};
   std::atomic<std::uint64_t> flushed_command_count_{0};
+  // The captured stack trace, written by the signal handler.
   std::array<void*, 32> frames_{};
   std::atomic<int> frame_count_{0};
   std::thread thread_;
--- a/src/net/loop_group.cpp
+++ b/src/net/loop_group.cpp
@@ -63,7 +63,7 @@
 LoopGroup::~LoopGroup() { Shutdown({}); }
 
 std::vector<std::size_t> LoopGroup::ConnectionCounts() const {
-  std::vector<std::size_t> class_counts;
+  std::vector<std::size_t> counts;
   for (std::size_t i = 0; i < members_.size(); ++i) counts.push_back(locations_.count(i));
   return counts;
 }
