--- a/tests/net/interleaving_test.cpp
+++ b/tests/net/interleaving_test.cpp
@@ -87,7 +87,7 @@
 };
 
 // Executes the operations, then answers all requests and checks that no answer is missing or superfluous.
-void RunSequence(const std::vector<Operation>& ops) {
+void RunSequence(const std::vector<Operation>& operations) {
   Rig rig(kLoops);
   rig.RunOnNodeThread([&] { rig.hold_answers = true; });
   std::vector<Peer> peers;
@@ -98,23 +98,23 @@
     peer.requests[stream] = {Peer::State::kOpen, "body " + std::to_string(++number)};
     return Request(stream, number);
   };
-  for (const Operation& operation : ops) {
-    Peer* peer = peers.empty() ? nullptr : &peers[operation.which % peers.size()];
-    switch (operation.kind) {
+  for (const Operation& op : operations) {
+    Peer* peer = peers.empty() ? nullptr : &peers[op.which % peers.size()];
+    switch (op.kind) {
       case OperationKind::kConnect:
         if (peers.size() < kMaxGateways) peers.emplace_back().gateway = std::make_unique<Gateway>(rig.port);
         break;
       case OperationKind::kSend:
         if (peer == nullptr) break;
         peer->Flush();
-        for (std::uint32_t i = 0; i < operation.count && peer->open_count() < kMaxOpenRequests; ++i)
+        for (std::uint32_t i = 0; i < op.count && peer->open_count() < kMaxOpenRequests; ++i)
           peer->gateway->Write(frame(*peer));
         break;
       case OperationKind::kSendPart: {
         if (peer == nullptr || peer->open_count() >= kMaxOpenRequests) break;
         peer->Flush();
         const std::string bytes = frame(*peer);
-        const std::size_t cut = 1 + operation.which % (bytes.size() - 1);
+        const std::size_t cut = 1 + op.which % (bytes.size() - 1);
         peer->gateway->Write(bytes.substr(0, cut));
         peer->rest = bytes.substr(cut);
         break;
@@ -123,15 +123,15 @@
         rig.RunOnNodeThread([&] {
           if (rig.received.empty()) return;
           rig.group->BeginMove(
-              {rig.received[operation.which % rig.received.size()].connection, 0, operation.count % kLoops});
+              {rig.received[op.which % rig.received.size()].connection, 0, op.count % kLoops});
           ++moves;
         });
         break;
       case OperationKind::kAnswer:
         rig.RunOnNodeThread([&] {
-          for (std::uint32_t i = 0; i < operation.count && !rig.unanswered.empty(); ++i) {
+          for (std::uint32_t i = 0; i < op.count && !rig.unanswered.empty(); ++i) {
             const auto at =
-                rig.unanswered.begin() + static_cast<std::ptrdiff_t>(operation.which % rig.unanswered.size());
+                rig.unanswered.begin() + static_cast<std::ptrdiff_t>(op.which % rig.unanswered.size());
             const auto [to, body] = *at;
             rig.unanswered.erase(at);
             rig.group->Deliver(to, core::Served(body));
@@ -162,7 +162,7 @@
         break;
       case OperationKind::kClose:
         if (peer != nullptr)
-          peers.erase(peers.begin() + static_cast<std::ptrdiff_t>(operation.which % peers.size()));
+          peers.erase(peers.begin() + static_cast<std::ptrdiff_t>(op.which % peers.size()));
         break;
       case OperationKind::kCount:
         break;
@@ -229,8 +229,8 @@
   rig.RunOnNodeThread([&] {
     for (const core::StreamAddress& to : rig.received) ids.push_back(to.connection);
     rig.received.clear();
-    rig.received.reserve(kClients *
-                         kConnectionsPerClient);  // The test's own list must not grow in later rounds.
+    // The test's own list must not grow in later rounds.
+    rig.received.reserve(kClients * kConnectionsPerClient);
   });
   std::size_t first_heap = 0, first_descriptors = 0, max_heap = 0;
   for (int round = 0; round < kRounds; ++round) {
