--- a/src/net/channel.h
+++ b/src/net/channel.h
@@ -68,7 +68,7 @@
 
   // ---- Called by the writer ----
   // Whether messages wait in the overflow list, so that the writer should accept no more work.
-  bool full() const { return !overflow_.empty(); }
+  bool has_overflow() const { return !overflow_.empty(); }
   // Never fails: a message that does not fit into the queue goes to the overflow list, so that no message is
   // lost. The reader is woken only by the next Flush().
   void Send(Message message) {
--- a/src/net/handover.cpp
+++ b/src/net/handover.cpp
@@ -98,7 +98,7 @@
       : to_predecessor_(to_predecessor),
         handover_(handover),
         bev_(bufferevent_socket_new(handover.base_, fd.release(), BEV_OPT_CLOSE_ON_FREE)) {
-    if (!bev_) throw std::runtime_error("libevent: no bufferevent");
+    if (!bev_) throw std::runtime_error("libevent cannot create a bufferevent for a handover");
     bufferevent_priority_set(bev_.get(), kHighPriority);
     bufferevent_setcb(
         bev_.get(), [](bufferevent*, void* self) { static_cast<Channel*>(self)->ReadLines(); }, nullptr,
@@ -254,7 +254,7 @@
   accept_.reset(event_new(
       base_, server_.get(), EV_READ | EV_PERSIST,
       [](evutil_socket_t, short, void* self) { static_cast<Handover*>(self)->Accept(); }, this));
-  if (!accept_) throw std::runtime_error("libevent: no event");
+  if (!accept_) throw std::runtime_error("libevent cannot create the accept event for a handover");
   event_priority_set(accept_.get(), kHighPriority);
   event_add(accept_.get(), nullptr);
 }
--- a/src/net/handover.h
+++ b/src/net/handover.h
@@ -46,7 +46,8 @@
   ~Handover();
 
   // Connects to the predecessor and receives its listening socket. Blocks for a bounded time. Returns an
-  // empty descriptor if no process answers, or if the predecessor does not send its socket in time.
+  // empty descriptor if no process answers or the socket does not arrive in time. In the latter case the
+  // process that hangs remains the predecessor until it exits.
   Descriptor RequestListener();
   // From now on successors connect to this process and receive `listener`. Replaces the predecessor's UNIX
   // socket.
@@ -56,7 +57,7 @@
   // Reports to the predecessor, if there is one, that this process accepts clients.
   void SendReady();
   // Whether there is no predecessor, or the predecessor accepts no more clients, or its confirmation is
-  // overdue.
+  // overdue. The wait for the confirmation begins with SendReady().
   bool takeover_complete() const { return takeover_complete_; }
 
   bool has_predecessor() const;
--- a/src/net/loop.cpp
+++ b/src/net/loop.cpp
@@ -77,7 +77,7 @@
                  return known == classes_->end() ? nullptr : known->second;
                },
            .closed = [this](std::uint64_t id) { messages_.Send(ConnectionClosed{id}); },
-           .may_read_frame = [this] { return !messages_.full() && !reading_stopped_; },
+           .may_read_frame = [this] { return !messages_.has_overflow() && !reading_stopped_; },
            .before_read =
                [this](std::uint64_t id) { last_read_connection_.store(id, std::memory_order_relaxed); }}),
       wakeup_event_(event_new(
@@ -119,7 +119,7 @@
   RequestShutdown({});
   // If the command queue is full, kShutdown waits in the overflow until the loop has executed earlier
   // commands.
-  while (commands_.full()) {
+  while (commands_.has_overflow()) {
     std::this_thread::sleep_for(1ms);
     commands_.Flush();
   }
@@ -175,8 +175,8 @@
     Execute(command);
   executed_command_count_ += done;
   commands_.NotifyWriter();
-  if (messages_.full()) messages_.Flush();
-  if (!messages_.full()) connections_.ResumeReading();
+  if (messages_.has_overflow()) messages_.Flush();
+  if (!messages_.has_overflow()) connections_.ResumeReading();
   waker_.BeginWait();
   if (commands_.empty()) return;
   waker_.CancelWait();
@@ -245,7 +245,7 @@
   report_timer_.Start(kReportInterval);
   // Otherwise the overflow would grow by a report every half second while the node's main thread is stalled.
   // The next report also covers the time of the skipped one.
-  if (messages_.full()) return;
+  if (messages_.has_overflow()) return;
   LoopReportMessage message;
   const std::uint64_t cpu = ThreadCpuNs();
   const Steady::time_point now = Steady::now();
--- a/tests/net/interleaving_test.cpp
+++ b/tests/net/interleaving_test.cpp
@@ -91,8 +91,7 @@
   Rig rig(kLoops);
   rig.RunOnNodeThread([&] { rig.hold_answers = true; });
   std::vector<Peer> peers;
-  std::uint64_t number = 0;
-  std::size_t moves = 0;
+  std::uint64_t number = 0, moves = 0;
   const auto frame = [&number](Peer& peer) {
     const std::uint32_t stream = ++peer.last_stream;
     peer.requests[stream] = {Peer::State::kOpen, "body " + std::to_string(++number)};
@@ -122,18 +121,17 @@
       case OperationKind::kMove:
         rig.RunOnNodeThread([&] {
           if (rig.received.empty()) return;
-          rig.group->BeginMove(
-              {rig.received[op.which % rig.received.size()].connection, 0, op.count % kLoops});
+          const std::uint64_t id = rig.received[op.which % rig.received.size()].connection;
+          rig.group->BeginMove({id, 0, op.count % kLoops});
           ++moves;
         });
         break;
       case OperationKind::kAnswer:
         rig.RunOnNodeThread([&] {
           for (std::uint32_t i = 0; i < op.count && !rig.unanswered.empty(); ++i) {
-            const auto at =
-                rig.unanswered.begin() + static_cast<std::ptrdiff_t>(op.which % rig.unanswered.size());
-            const auto [to, body] = *at;
-            rig.unanswered.erase(at);
+            const std::size_t at = op.which % rig.unanswered.size();
+            const auto [to, body] = rig.unanswered[at];
+            rig.unanswered.erase(rig.unanswered.begin() + static_cast<std::ptrdiff_t>(at));
             rig.group->Deliver(to, core::Served(body));
           }
         });
