--- a/src/net/handover.cpp
+++ b/src/net/handover.cpp
@@ -157,6 +157,8 @@
       }
       std::size_t size = end + 1;
       if (const auto key = proto::ParseKeyMessage(all.substr(0, end)); key && to_predecessor_) {
+        // A result follows its key and ends with a newline. Both are processed once the whole result has
+        // arrived.
         const std::size_t result_size = key->has_result ? key->size + 1 : 0;
         if (all.size() < size + result_size) return;
         handover_.events_.key_received(*key, all.substr(size, key->size));
--- a/src/net/loop.cpp
+++ b/src/net/loop.cpp
@@ -20,6 +20,7 @@
 // Capacity of the queues to and from the node's main thread. With bodies of 2 KiB a queue takes at most 16
 // MiB per loop. While the message queue is full, the loop reads no frames from its sockets.
 constexpr std::size_t kMessageQueueCapacity = 4096, kCommandQueueCapacity = 8192;
+// Shorter than the interval at which LoopGroup observes the heartbeats.
 constexpr auto kHeartbeatInterval = 100ms;
 constexpr auto kReportInterval = 500ms;
 // Connections in a report: those with the most work, and those with a snapshot.
