--- a/src/cli/services.cpp
+++ b/src/cli/services.cpp
@@ -38,14 +38,15 @@
   if (!faults.empty()) throw std::runtime_error(faults);
   net::PoolGroupOptions options;
   options.zone = json.value("zone", "");
-  options.spread.subset_size = json.value("subset", options.spread.subset_size);
-  options.spread.policy = *decide::ParsePolicy(json.value("way", decide::PolicyName(options.spread.policy)));
+  options.load_balancing.subset_size = json.value("subset", options.load_balancing.subset_size);
+  options.load_balancing.policy =
+      *decide::ParsePolicy(json.value("way", decide::PolicyName(options.load_balancing.policy)));
   std::set<std::string> names, addresses;
   std::size_t place = 0;
   for (const auto& one : json["services"]) {
     const std::string at = "/services/" + std::to_string(place++);
-    net::ServiceAt service{one["name"], one.value("zone", ""), one.value("cores", 1.0),
-                           one.value("address", "")};
+    net::ServiceEndpoint service{one["name"], one.value("zone", ""), one.value("cores", 1.0),
+                                 one.value("address", "")};
     if (!names.insert(service.name).second)
       bad(at + "/name: found \"" + service.name + "\" twice; wanted names of their own");
     if (!service.address.empty() && !addresses.insert(service.address).second)
@@ -63,18 +64,19 @@
   explicit SharedServices(std::string path) : path_(std::move(path)), options_(ReadFile(path_)) {}
 
   node::Node::WorkerPoolFactory Maker() override {
-    return [this](event_base* base, const std::string& name, net::PoolEvents events, net::PoolAsks asks) {
+    return [this](event_base* base, const std::string& name, net::PoolEvents events,
+                  net::PoolGroupCallbacks callbacks) {
       net::PoolGroupOptions options = options_;
       options.self = name;
       auto draw = std::make_shared<pcg64>(pcg_extras::seed_seq_from<std::random_device>{});
-      options.draw = [draw] { return (*draw)(); };
+      options.random = [draw] { return (*draw)(); };
       auto group =
-          std::make_unique<net::PoolGroup>(base, std::move(options), std::move(events), std::move(asks));
+          std::make_unique<net::PoolGroup>(base, std::move(options), std::move(events), std::move(callbacks));
       group_ = group.get();
       self_ = name;
       log::Info("services", {{"told", options_.services.size()},
                              {"in_use", group_->load_balancer().active_endpoints().size()},
-                             {"way", decide::PolicyName(options_.spread.policy)}});
+                             {"way", decide::PolicyName(options_.load_balancing.policy)}});
       return group;
     };
   }
@@ -134,11 +136,11 @@
   const decide::LoadBalancer& spread = group_->load_balancer();
   const decide::Milliseconds now = group_->Now();
   Json json = {{"self", self_},
-               {"way", decide::PolicyName(options_.spread.policy)},
+               {"way", decide::PolicyName(options_.load_balancing.policy)},
                {"nodes", spread.node_count()},
                {"in_use", spread.active_endpoints().size()},
-               {"links", group_->links()},
-               {"in_hand", group_->in_hand()}};
+               {"links", group_->link_count()},
+               {"in_hand", group_->in_flight()}};
   json["services"] = Json::array();
   for (const decide::EndpointId id : spread.endpoints()) {
     const decide::EndpointSnapshot look = spread.Snapshot(now, id);
--- a/src/net/pool_group.cpp
+++ b/src/net/pool_group.cpp
@@ -21,24 +21,25 @@
 constexpr std::size_t kSpare = 2;
 constexpr int kPlaceBits = 48;
 
-PoolSide::Mark MarkOf(decide::EndpointId id, PoolSide::Mark mark) {
-  return (static_cast<PoolSide::Mark>(id) << kPlaceBits) | mark;
+WorkerPool::CommandMark MarkOf(decide::EndpointId id, WorkerPool::CommandMark mark) {
+  return (static_cast<WorkerPool::CommandMark>(id) << kPlaceBits) | mark;
 }
 
-std::vector<decide::SubsetEndpoint> Records(const std::vector<ServiceAt>& services) {
+std::vector<decide::SubsetEndpoint> Records(const std::vector<ServiceEndpoint>& services) {
   std::vector<decide::SubsetEndpoint> records;
-  for (const ServiceAt& s : services) records.push_back({s.name, s.zone, s.cores});
+  for (const ServiceEndpoint& s : services) records.push_back({s.name, s.zone, s.cores});
   return records;
 }
 
 }  // namespace
 
-PoolGroup::PoolGroup(event_base* base, PoolGroupOptions options, PoolEvents events, PoolAsks asks)
+PoolGroup::PoolGroup(event_base* base, PoolGroupOptions options, PoolEvents events,
+                     PoolGroupCallbacks callbacks)
     : base_(base),
       options_(std::move(options)),
       events_(std::move(events)),
-      asks_(std::move(asks)),
-      load_balancer_(options_.spread, options_.self, options_.zone, options_.draw),
+      callbacks_(std::move(callbacks)),
+      load_balancer_(options_.load_balancing, options_.self, options_.zone, options_.random),
       timer_(base, [this] { Tick(); }) {
   SetServices(options_.services);
   Tick();
@@ -46,15 +47,15 @@
 
 PoolGroup::~PoolGroup() = default;
 
-std::size_t PoolGroup::links() const {
+std::size_t PoolGroup::link_count() const {
   return static_cast<std::size_t>(std::count_if(services_.begin(), services_.end(),
                                                 [](const auto& s) { return s.second.link != nullptr; }));
 }
 
-void PoolGroup::SetServices(std::vector<ServiceAt> services) {
+void PoolGroup::SetServices(std::vector<ServiceEndpoint> services) {
   for (auto& [id, service] : services_) service.told = false;
   load_balancer_.SetEndpoints(Now(), Records(services));
-  for (const ServiceAt& at : services) {
+  for (const ServiceEndpoint& at : services) {
     if (const auto known = services_.find(load_balancer_.FindEndpoint(at.name)); known != services_.end()) {
       known->second.told = known->second.at.name == at.name;
     }
@@ -66,7 +67,7 @@
     if (service.second.up) --up_;
     return true;
   });
-  for (ServiceAt& at : services) {
+  for (ServiceEndpoint& at : services) {
     const Id id = load_balancer_.FindEndpoint(at.name);
     Service& service = services_[id];
     if (service.link && service.at.address != at.address) {
@@ -75,7 +76,7 @@
         if (service.up) SetUp(id, false);
         service.link.reset();
       } else {
-        service.link->Move(ParseAddress(at.address));
+        service.link->ChangeAddress(ParseAddress(at.address));
       }
     }
     service.at = std::move(at);
@@ -106,7 +107,7 @@
                        if (events_.verified) events_.verified(tag, good);
                      },
                  .spawn_unknown = [this, id](std::uint64_t req) { Unknown(id, req); },
-                 .settled = [this, id] { Settled(id); }},
+                 .ready = [this, id] { Settled(id); }},
       PoolLink::Watch{.lost = [this, id] { SetUp(id, false); }, .polled = [this, id] { Polled(id); }});
 }
 
@@ -126,16 +127,16 @@
   SetUp(id, true);
   settling_ = id;
   // Spawns of this service that it may not have read, and those that were never sent anywhere.
-  events_.settled();
+  events_.ready();
   settling_ = decide::kNoEndpoint;
 }
 
-bool PoolGroup::Processed(Mark mark) const {
+bool PoolGroup::Processed(CommandMark mark) const {
   if (mark == kNeverSent) return false;
   const auto id = static_cast<Id>(mark >> kPlaceBits);
   // Guards against sending again what other services have in hand.
   if (id != settling_) return true;
-  return services_.at(id).link->Processed(mark & ((Mark{1} << kPlaceBits) - 1));
+  return services_.at(id).link->Processed(mark & ((CommandMark{1} << kPlaceBits) - 1));
 }
 
 std::uint32_t PoolGroup::KindOf(std::string_view kind) {
@@ -144,10 +145,10 @@
   return kinds_.emplace(std::string(kind), static_cast<std::uint32_t>(kinds_.size())).first->second;
 }
 
-PoolSide::Mark PoolGroup::Spawn(std::uint64_t req, std::string_view kind, std::string_view body) {
+WorkerPool::CommandMark PoolGroup::Spawn(std::uint64_t req, std::string_view kind, std::string_view body) {
   auto it = sent_.find(req);
   if (it == sent_.end()) {
-    const RequestTraits run{KindOf(kind), asks_.safe(kind)};
+    const RequestTraits run{KindOf(kind), callbacks_.is_idempotent(kind)};
     const auto start = load_balancer_.ChooseEndpoint(Now(), run);
     if (!start) return kNeverSent;
     it = sent_.emplace(req, Sent{start->endpoint, run}).first;
@@ -155,9 +156,9 @@
   }
   // Sent again to where it was sent: the pool tells then how it ended, and starts nothing twice.
   Service& service = services_[it->second.service];
-  const Mark mark = service.link ? service.link->Spawn(req, kind, body) : kNeverSent;
+  const CommandMark mark = service.link ? service.link->Spawn(req, kind, body) : kNeverSent;
   // Guards against a run that is counted nowhere: the link broke just now, and its end settles it.
-  return mark == kNeverSent ? MarkOf(it->second.service, (Mark{1} << kPlaceBits) - 2)
+  return mark == kNeverSent ? MarkOf(it->second.service, (CommandMark{1} << kPlaceBits) - 2)
                             : MarkOf(it->second.service, mark);
 }
 
@@ -192,24 +193,26 @@
     return;
   }
   // A run that went on elsewhere makes no call here: what it asks for may be made once.
-  if (Service& service = services_[id]; service.link) service.link->Pass(run.request_id, run.notice_number);
+  if (Service& service = services_[id]; service.link)
+    service.link->SkipUpstreamCall(run.request_id, run.notice_number);
 }
 
-PoolSide::Mark PoolGroup::AtItsService(std::uint64_t req, const std::function<Mark(PoolLink&)>& send) {
+WorkerPool::CommandMark PoolGroup::AtItsService(std::uint64_t req,
+                                                const std::function<CommandMark(PoolLink&)>& send) {
   const auto it = sent_.find(req);
   if (it == sent_.end()) return kNeverSent;
   Service& service = services_[it->second.service];
-  const Mark mark = service.link ? send(*service.link) : kNeverSent;
-  return mark == kNeverSent ? MarkOf(it->second.service, (Mark{1} << kPlaceBits) - 2)
+  const CommandMark mark = service.link ? send(*service.link) : kNeverSent;
+  return mark == kNeverSent ? MarkOf(it->second.service, (CommandMark{1} << kPlaceBits) - 2)
                             : MarkOf(it->second.service, mark);
 }
 
-PoolSide::Mark PoolGroup::Supply(std::uint64_t req, std::string_view reply) {
-  return AtItsService(req, [&](PoolLink& link) { return link.Supply(req, reply); });
+WorkerPool::CommandMark PoolGroup::SendUpstreamReply(std::uint64_t req, std::string_view reply) {
+  return AtItsService(req, [&](PoolLink& link) { return link.SendUpstreamReply(req, reply); });
 }
 
-PoolSide::Mark PoolGroup::Pass(std::uint64_t req, std::uint64_t notice) {
-  return AtItsService(req, [&](PoolLink& link) { return link.Pass(req, notice); });
+WorkerPool::CommandMark PoolGroup::SkipUpstreamCall(std::uint64_t req, std::uint64_t notice) {
+  return AtItsService(req, [&](PoolLink& link) { return link.SkipUpstreamCall(req, notice); });
 }
 
 // At the first that carries commands.
@@ -244,7 +247,7 @@
   bool sent_on = start && start->endpoint != from;
   if (sent_on) {
     MoveTo(sent, start->endpoint);
-    sent_on = asks_.again(req);
+    sent_on = callbacks_.restart_execution(req);
     if (!sent_on) MoveTo(sent, from);
   }
   if (sent_on) {
@@ -266,7 +269,7 @@
   Service& service = services_[id];
   service.gauges = service.link->last_gauges();
   service.gauges_at = Now();
-  const std::size_t at = asks_.gauge_at("runnable");
+  const std::size_t at = callbacks_.gauge_index("runnable");
   if (service.asked && at < service.gauges.size())
     load_balancer_.OnLoadReport(Now(), id, service.gauges[at], *service.asked);
   service.asked.reset();
@@ -312,7 +315,7 @@
     Service& s = services_[id];
     if (!s.up || s.asked) continue;
     s.asked = now;
-    s.link->Poll();
+    s.link->PollGauges();
   }
   SeeAway();
 }
--- a/src/net/pool_group.h
+++ b/src/net/pool_group.h
@@ -19,61 +19,61 @@
 
 #include "decide/load_balancing/load_balancer.h"
 #include "net/pool_link.h"
-#include "net/pool_side.h"
+#include "net/worker_pool.h"
 
 namespace hingelink::net {
 
-struct ServiceAt {
+struct ServiceEndpoint {
   std::string name, zone;
   double cores = 1;
   std::string address;  // This node's own at that pool; empty: not to be reached from here, but counted.
-  bool operator==(const ServiceAt&) const = default;
+  bool operator==(const ServiceEndpoint&) const = default;
 };
 
 struct PoolGroupOptions {
-  std::vector<ServiceAt> services;
-  decide::LoadBalancerOptions spread;
+  std::vector<ServiceEndpoint> services;
+  decide::LoadBalancerOptions load_balancing;
   std::string self, zone;  // This node.
   // Safe runs leave a service that is away for so long.
   std::chrono::milliseconds leave_after{400};
   // What is still owed by one that is away for so long has failed. Longer than any request waits.
   std::chrono::milliseconds lost_after{30'000};
-  decide::RandomSource draw;
+  decide::RandomSource random;
 };
 
-class PoolGroup : public PoolSide {
+class PoolGroup : public WorkerPool {
  public:
-  PoolGroup(event_base* base, PoolGroupOptions options, PoolEvents events, PoolAsks asks);
+  PoolGroup(event_base* base, PoolGroupOptions options, PoolEvents events, PoolGroupCallbacks callbacks);
   ~PoolGroup() override;
 
   // Another list: links to what is no longer in it end once nothing is owed there. Not to be called from
   // within a link's own callbacks.
-  void SetServices(std::vector<ServiceAt> services);
+  void SetServices(std::vector<ServiceEndpoint> services);
   // The nodes that share the services, this one too.
   void SetNodes(std::vector<decide::SubsetNode> nodes);
 
-  // ---- PoolSide ----
+  // ---- WorkerPool ----
   // The addresses are those of the services.
-  void Move(const sockaddr_in& pool) override { static_cast<void>(pool); }
-  Mark Spawn(std::uint64_t req, std::string_view kind, std::string_view body) override;
-  Mark Supply(std::uint64_t req, std::string_view reply) override;
-  Mark Pass(std::uint64_t req, std::uint64_t notice) override;
+  void ChangeAddress(const sockaddr_in& pool) override { static_cast<void>(pool); }
+  CommandMark Spawn(std::uint64_t req, std::string_view kind, std::string_view body) override;
+  CommandMark SendUpstreamReply(std::uint64_t req, std::string_view reply) override;
+  CommandMark SkipUpstreamCall(std::uint64_t req, std::uint64_t notice) override;
   bool Verify(std::uint64_t tag) override;
-  void Poll() override {}
-  bool Processed(Mark mark) const override;
-  bool settled() const override { return up_ > 0; }
+  void PollGauges() override {}
+  bool Processed(CommandMark mark) const override;
+  bool ready() const override { return up_ > 0; }
   // Means of the services in use, by their cores.
   const std::vector<double>& gauges() const override { return gauges_; }
 
   const decide::LoadBalancer& load_balancer() const { return load_balancer_; }
   decide::Milliseconds Now() const { return Steady::now() - began_; }
-  std::size_t links() const;
-  std::size_t in_hand() const { return sent_.size(); }
+  std::size_t link_count() const;
+  std::size_t in_flight() const { return sent_.size(); }
 
  private:
   using Id = decide::EndpointId;
   struct Service {
-    ServiceAt at;
+    ServiceEndpoint at;
     bool told = true;  // In the list.
     std::unique_ptr<PoolLink> link;
     bool up = false;
@@ -96,7 +96,7 @@
   void Settled(Id id);
   void Finished(Id id, const proto::RunFinished& run);
   void Blocked(Id id, const proto::RunBlocked& run);
-  Mark AtItsService(std::uint64_t req, const std::function<Mark(PoolLink&)>& send);
+  CommandMark AtItsService(std::uint64_t req, const std::function<CommandMark(PoolLink&)>& send);
   void Unknown(Id id, std::uint64_t req);
   void Polled(Id id);
   void Again(std::uint64_t req, Sent& sent, bool never_ran);
@@ -109,7 +109,7 @@
   event_base* base_;
   PoolGroupOptions options_;
   PoolEvents events_;
-  PoolAsks asks_;
+  PoolGroupCallbacks callbacks_;
   Steady::time_point began_ = Steady::now();
   decide::LoadBalancer load_balancer_;
   std::map<Id, Service> services_;
--- a/src/net/pool_link.cpp
+++ b/src/net/pool_link.cpp
@@ -81,19 +81,19 @@
   bufferevent_disable(bev_.get(), EV_READ | EV_WRITE);
   lost_ = std::move(bev_);
   // A link lost before it settled adds nothing to what is known of the spawns.
-  if (settled_) answered_at_loss_ = answered_;
-  const bool was_settled = settled_;
-  connected_ = bound_ = settled_ = in_remark_ = false;
+  if (ready_) answered_at_loss_ = answered_;
+  const bool was_ready = ready_;
+  connected_ = bound_ = ready_ = in_remark_ = false;
   silence_.Stop();
   // Guards against cores that idle while a pool that broke the link takes the next at once.
-  reconnect_.Start(was_settled ? Steady::duration(0) : backoff_);
-  if (!was_settled) backoff_ = std::min<Steady::duration>(2 * backoff_, kBackoffMost);
-  if (was_settled && watch_.lost) watch_.lost();
+  reconnect_.Start(was_ready ? Steady::duration(0) : backoff_);
+  if (!was_ready) backoff_ = std::min<Steady::duration>(2 * backoff_, kBackoffMost);
+  if (was_ready && watch_.lost) watch_.lost();
 }
 
 // Guards against commands that die with the old address: it takes nothing new, and closes a little later. Not
 // to be called from within the link's own callbacks.
-void PoolLink::Move(const sockaddr_in& pool) {
+void PoolLink::ChangeAddress(const sockaddr_in& pool) {
   address_ = pool;
   Lose("moved");
   backoff_ = kBackoffLeast;
@@ -102,7 +102,7 @@
 }
 
 void PoolLink::Read() {
-  const bool was_settled = settled_;
+  const bool was_ready = ready_;
   const std::string_view all = ReceivedBytes(bev_.get());
   std::size_t done = 0;
   while (bev_ && done < all.size()) {
@@ -122,7 +122,7 @@
   }
   Consume(bev_.get(), done);
   // Only now: guards against a second run of what ended behind the barrier, in the same piece.
-  if (settled_ && !was_settled) events_.settled();
+  if (ready_ && !was_ready) events_.ready();
 }
 
 bool PoolLink::Take(const proto::PoolMessage& message) {
@@ -135,7 +135,7 @@
     bound_ = ever_bound_ = true;
     backoff_ = kBackoffLeast;
     events_.bound(bound->warming_up);
-    Ask();
+    SendPoll();
     barrier_ = polls_;
   } else if (const auto* finished = std::get_if<proto::RunFinished>(&message)) {
     if (IsNew(finished->notice_number)) events_.finished(*finished);
@@ -152,7 +152,7 @@
     gauges_ = polled->gauges;
     polled_at_ = Steady::now();
     silence_.Stop();
-    settled_ = settled_ || (bound_ && tag >= barrier_);
+    ready_ = ready_ || (bound_ && tag >= barrier_);
     if (watch_.polled) watch_.polled();
   } else if (const auto* unknown = std::get_if<proto::UnknownCommand>(&message)) {
     log::PeerEvent("pool-unknown", {{"req", proto::FormatRequestId(unknown->request_id)}});
@@ -178,38 +178,38 @@
   return true;
 }
 
-PoolLink::Mark PoolLink::Spawn(std::uint64_t req, std::string_view kind, std::string_view body) {
-  if (!settled_) return kNeverSent;
+PoolLink::CommandMark PoolLink::Spawn(std::uint64_t req, std::string_view kind, std::string_view body) {
+  if (!ready_) return kNeverSent;
   Send(bev_.get(), proto::EncodeSpawnHeader(req, kind, body.size()));
   Send(bev_.get(), body);
   Send(bev_.get(), "\r\n");
   return polls_;
 }
 
-PoolLink::Mark PoolLink::Supply(std::uint64_t req, std::string_view reply) {
-  if (!settled_) return kNeverSent;
+PoolLink::CommandMark PoolLink::SendUpstreamReply(std::uint64_t req, std::string_view reply) {
+  if (!ready_) return kNeverSent;
   Send(bev_.get(), proto::EncodeSupplyHeader(req, reply.size()));
   Send(bev_.get(), reply);
   Send(bev_.get(), "\r\n");
   return polls_;
 }
 
-PoolLink::Mark PoolLink::Pass(std::uint64_t req, std::uint64_t notice) {
-  if (!settled_) return kNeverSent;
+PoolLink::CommandMark PoolLink::SkipUpstreamCall(std::uint64_t req, std::uint64_t notice) {
+  if (!ready_) return kNeverSent;
   Send(bev_.get(), proto::EncodePassCommand(req, notice));
   return polls_;
 }
 
 bool PoolLink::Verify(std::uint64_t tag) {
-  if (settled_) Send(bev_.get(), proto::EncodeVerifyCommand(std::to_string(tag)));
-  return settled_;
+  if (ready_) Send(bev_.get(), proto::EncodeVerifyCommand(std::to_string(tag)));
+  return ready_;
 }
 
-void PoolLink::Poll() {
-  if (settled_ && answered_ == polls_) Ask();
+void PoolLink::PollGauges() {
+  if (ready_ && answered_ == polls_) SendPoll();
 }
 
-void PoolLink::Ask() {
+void PoolLink::SendPoll() {
   Send(bev_.get(), proto::EncodePollCommand(std::to_string(++polls_)));
   silence_.Start(kSilence);
 }
--- a/src/net/pool_link.h
+++ b/src/net/pool_link.h
@@ -9,12 +9,12 @@
 #include <vector>
 
 #include "net/event.h"
-#include "net/pool_side.h"
+#include "net/worker_pool.h"
 #include "proto/pool_lines.h"
 
 namespace hingelink::net {
 
-class PoolLink : public PoolSide {
+class PoolLink : public WorkerPool {
  public:
   // For who has several: the link carries no commands any more; gauges have come.
   struct Watch {
@@ -23,15 +23,15 @@
 
   PoolLink(event_base* base, const sockaddr_in& pool, PoolEvents events, Watch watch = {});
 
-  void Move(const sockaddr_in& pool) override;
-  Mark Spawn(std::uint64_t req, std::string_view kind, std::string_view body) override;
-  Mark Supply(std::uint64_t req, std::string_view reply) override;
-  Mark Pass(std::uint64_t req, std::uint64_t notice) override;
+  void ChangeAddress(const sockaddr_in& pool) override;
+  CommandMark Spawn(std::uint64_t req, std::string_view kind, std::string_view body) override;
+  CommandMark SendUpstreamReply(std::uint64_t req, std::string_view reply) override;
+  CommandMark SkipUpstreamCall(std::uint64_t req, std::uint64_t notice) override;
   bool Verify(std::uint64_t tag) override;
-  void Poll() override;
-  bool Processed(Mark mark) const override { return mark < answered_at_loss_; }
+  void PollGauges() override;
+  bool Processed(CommandMark mark) const override { return mark < answered_at_loss_; }
 
-  bool settled() const override { return settled_; }
+  bool ready() const override { return ready_; }
   const std::vector<double>& gauges() const override;
   // However old.
   const std::vector<double>& last_gauges() const { return gauges_; }
@@ -43,7 +43,7 @@
   void Read();
   bool Take(const proto::PoolMessage& message);
   bool IsNew(std::uint64_t number);
-  void Ask();
+  void SendPoll();
 
   event_base* base_;
   sockaddr_in address_;
@@ -57,7 +57,7 @@
   bool connected_ = false;
   bool bound_ = false;  // On this link.
   bool ever_bound_ = false;
-  bool settled_ = false;  // On this link.
+  bool ready_ = false;  // On this link.
   bool in_remark_ = false;
   std::uint64_t last_notice_ = 0;
   std::uint64_t polls_ = 0;     // Asked so far; also the tag of the last.
--- a/src/net/store/store_client.cpp
+++ b/src/net/store/store_client.cpp
@@ -43,7 +43,7 @@
 }
 
 void StoreClient::Call(std::uint64_t req, Millis limit, std::string_view body) {
-  Drop(req);
+  Abandon(req);
   ++counts_.calls;
   const Steady::time_point now = Steady::now();
   Out& call = calls_[req];
@@ -98,7 +98,7 @@
   limit_.Start(0ms);
 }
 
-void StoreClient::Drop(std::uint64_t req) {
+void StoreClient::Abandon(std::uint64_t req) {
   const auto it = calls_.find(req);
   if (it == calls_.end()) return;
   ++counts_.dropped;
@@ -219,7 +219,7 @@
   retiring_.push_back(std::move(*at));
   open_.erase(at);
   connection.Retire(patience);
-  if (retiring_.size() > kRetiringMost) Lost(*retiring_.front());
+  if (retiring_.size() > kMaxRetiringConnections) Lost(*retiring_.front());
 }
 
 // Guards against a connection whose other end is gone without a word: no call would ever end well again.
@@ -227,9 +227,9 @@
   if (connection.calls() == 0) return;
   using Verdict = decide::UnresponsiveConnectionDetector::Verdict;
   const Millis patience = silence_.timeout();
-  const Verdict verdict =
-      silence_.Evaluate(Steady::now() - connection.heard(), connection.left_after(),
-                        !connection.retiring() && retiring_.size() < kRetiringMost, connection.overtaken());
+  const Verdict verdict = silence_.Evaluate(
+      Steady::now() - connection.heard(), connection.left_after(),
+      !connection.retiring() && retiring_.size() < kMaxRetiringConnections, connection.overtaken());
   if (verdict == Verdict::kClose) return Lost(connection);
   if (verdict == Verdict::kStopUsing) {
     ++counts_.silent;
@@ -240,7 +240,7 @@
   connection.ListenFor(connection.left_after() > Millis(0) ? connection.left_after() : patience);
 }
 
-void StoreClient::Move(const sockaddr_in& store) {
+void StoreClient::ChangeAddress(const sockaddr_in& store) {
   address_ = store;
   while (!open_.empty()) Retire(*open_.front(), Millis(0));
   PlaceWaiting();
@@ -283,6 +283,6 @@
   Arm();
 }
 
-void StoreClient::Sweep() { over_.clear(); }
+void StoreClient::FreeEndedConnections() { over_.clear(); }
 
 }  // namespace hingelink::net
--- a/src/net/store/store_client.h
+++ b/src/net/store/store_client.h
@@ -3,7 +3,7 @@
 //
 // What each end of a call tells (Outcome): kOk with the reply; kFull (BUSY) and kConnectFailed (VOID,
 // refused, or never written) prove that it never ran; kTimeout (limit, LATE), kError (ERR) and kReset (broken
-// off) prove nothing. Every call ends once, or is dropped by Drop(), or replaced by a second call for its
+// off) prove nothing. Every call ends once, or is dropped by Abandon(), or replaced by a second call for its
 // request.
 //
 // Which connection a call goes over is decide::SelectConnection's; when a silent one is left, and when its
@@ -11,8 +11,8 @@
 // ReconnectBackoff's: until then calls wait, and a try that is refused ends all that wait.
 //
 // Bounds: calls are as many as the module lets out. Unsent bytes of a connection above kUnsentMost: a new
-// call ends at once as never written. Connections: decide::kMaxUpstreamConnections, and kRetiringMost
-// retiring ones.
+// call ends at once as never written. Connections: decide::kMaxUpstreamConnections, and
+// kMaxRetiringConnections retiring ones.
 #ifndef HINGELINK_NET_STORE_STORE_CLIENT_H_
 #define HINGELINK_NET_STORE_STORE_CLIENT_H_
 
@@ -39,14 +39,14 @@
 class StoreClient {
  public:
   using Millis = std::chrono::duration<double, std::milli>;
-  // From the loop, never from within Call() or Drop(). `reply` is good during the call only.
+  // From the loop, never from within Call() or Abandon(). `reply` is good during the call only.
   using Ended = std::function<void(std::uint64_t req, hingelink::Outcome outcome, Millis elapsed,
                                    std::string_view reply)>;
   struct Counts {
     std::uint64_t calls = 0, ok = 0, busy = 0, errors = 0, late = 0, refused = 0, broken = 0, dropped = 0;
     std::uint64_t connects = 0, silent = 0;  // The latter: connections that were left as silent.
   };
-  static constexpr std::size_t kRetiringMost = decide::kMaxUpstreamConnections;
+  static constexpr std::size_t kMaxRetiringConnections = decide::kMaxUpstreamConnections;
 
   StoreClient(event_base* base, const sockaddr_in& store, std::uint64_t seed, Ended ended);
   ~StoreClient();
@@ -56,14 +56,14 @@
   // A call for `req`; one that is still out for it is given up without a word.
   void Call(std::uint64_t req, Millis limit, std::string_view body);
   // Gives a call up without a word. Does nothing where none is out.
-  void Drop(std::uint64_t req);
+  void Abandon(std::uint64_t req);
   // Another address from now on. Calls that are out stay on the connections they went over.
-  void Move(const sockaddr_in& store);
+  void ChangeAddress(const sockaddr_in& store);
 
   // Frees the connections that ended since the last call. Not to be called from within a callback.
-  void Sweep();
+  void FreeEndedConnections();
 
-  std::size_t in_hand() const { return calls_.size(); }
+  std::size_t in_flight() const { return calls_.size(); }
   bool up() const;
   // Connections that take new calls.
   std::size_t open() const { return open_.size(); }
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -96,7 +96,7 @@
             event_base_loopbreak(base_.get());
           },
           net::kHighPriority),
-      gauge_timer_(base_.get(), [this] { pool_->Poll(); }),
+      gauge_timer_(base_.get(), [this] { pool_->PollGauges(); }),
       // Beside a predecessor, once there is a worker pool to run what comes.
       listening_(!handover_.has_others()),
       drain_timer_(base_.get(), [] {}) {
@@ -118,7 +118,7 @@
       this);
 }
 
-std::unique_ptr<net::PoolSide> Node::CreatePool(const WorkerPoolFactory& create_pool) {
+std::unique_ptr<net::WorkerPool> Node::CreatePool(const WorkerPoolFactory& create_pool) {
   net::PoolEvents events;
   events.bound = [this](bool warming_up) { OnPoolConnected(warming_up); };
   events.finished = [this](const proto::RunFinished& run) {
@@ -129,48 +129,49 @@
   };
   events.spawn_unknown = [this](std::uint64_t req) { table_.OnExecutionUnknown(req); };
   events.verified = [this](std::uint64_t tag, bool good) { checks_.Verified(tag, good); };
-  events.settled = [this] {
+  events.ready = [this] {
     table_.Resend([this](RequestTable::CommandMark mark) { return pool_->Processed(mark); });
     checks_.Rebound();
   };
   if (!create_pool)
     return std::make_unique<net::PoolLink>(base_.get(), net::ParseAddress(config_.pool_address),
                                            std::move(events));
-  net::PoolAsks asks;
-  asks.again = [this](std::uint64_t req) { return table_.RestartExecution(req); };
-  asks.safe = [this](std::string_view kind) {
+  net::PoolGroupCallbacks callbacks;
+  callbacks.restart_execution = [this](std::uint64_t req) { return table_.RestartExecution(req); };
+  callbacks.is_idempotent = [this](std::string_view kind) {
     const auto& classes = config_.settings.classes;
     const auto at =
         std::find_if(classes.begin(), classes.end(), [kind](const auto& c) { return c.name == kind; });
     return at != classes.end() && at->idempotency == hingelink::Idempotency::kIdempotent;
   };
-  asks.gauge_at = [this](std::string_view name) {
+  callbacks.gauge_index = [this](std::string_view name) {
     const auto& names = config_.settings.gauges;
     return static_cast<std::size_t>(std::find(names.begin(), names.end(), name) - names.begin());
   };
-  return create_pool(base_.get(), config_.name, std::move(events), std::move(asks));
+  return create_pool(base_.get(), config_.name, std::move(events), std::move(callbacks));
 }
 
 UpstreamCalls::Links Node::UpstreamLinks() {
-  return {
-      .send_reply = [this](std::uint64_t req, std::string_view reply) { return pool_->Supply(req, reply); },
-      .send_skip = [this](std::uint64_t req, std::uint64_t notice) { return pool_->Pass(req, notice); },
-      .start =
-          [this](std::uint64_t req, Millis limit, std::string_view body) {
-            if (store_) store_->Call(req, limit, body);
-            return store_.has_value();
-          },
-      .abandon =
-          [this](std::uint64_t req) {
-            if (store_) store_->Drop(req);
-          }};
+  return {.send_reply = [this](std::uint64_t req,
+                               std::string_view reply) { return pool_->SendUpstreamReply(req, reply); },
+          .send_skip = [this](std::uint64_t req,
+                              std::uint64_t notice) { return pool_->SkipUpstreamCall(req, notice); },
+          .start =
+              [this](std::uint64_t req, Millis limit, std::string_view body) {
+                if (store_) store_->Call(req, limit, body);
+                return store_.has_value();
+              },
+          .abandon =
+              [this](std::uint64_t req) {
+                if (store_) store_->Abandon(req);
+              }};
 }
 
 void Node::ConnectStore(const std::string& address) {
   if (address.empty()) return;
   const sockaddr_in at = net::ParseAddress(address);
   if (store_) {
-    store_->Move(at);
+    store_->ChangeAddress(at);
     return;
   }
   store_.emplace(base_.get(), at, config_.seed,
@@ -242,7 +243,7 @@
     if (step_due_ || table_.has_events() || (draining_ && !notice_given_) || AnyExtensionHasEvents()) Step();
     front_->Sweep();
     for (NodeExtension* extension : extensions_) extension->OnRoundCompleted();
-    if (store_) store_->Sweep();
+    if (store_) store_->FreeEndedConnections();
     if (admin_server_) admin_server_->Sweep();
     // Its runs too must be over: the successor counts them for as long as this process tells of them.
     if (handed_over_ && table_.empty() && front_->AllSent() && front_->connections() == 0) break;
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -16,9 +16,9 @@
 #include "net/gateway_front_end.h"
 #include "net/handover.h"
 #include "net/ops_server.h"
-#include "net/pool_side.h"
 #include "net/registry_client.h"
 #include "net/store/store_client.h"
+#include "net/worker_pool.h"
 #include "node/checks/deep_checks.h"
 #include "node/config.h"
 #include "node/metrics.h"
@@ -35,8 +35,8 @@
   // Processes of one node that share `handover_folder` take over from each other there; empty: none does.
   // With more than one thread, this one decides and the others carry the gateways' connections.
   // Without `create_pool` it has the one worker pool of its configuration.
-  using WorkerPoolFactory = std::function<std::unique_ptr<net::PoolSide>(
-      event_base* base, const std::string& name, net::PoolEvents events, net::PoolAsks asks)>;
+  using WorkerPoolFactory = std::function<std::unique_ptr<net::WorkerPool>(
+      event_base* base, const std::string& name, net::PoolEvents events, net::PoolGroupCallbacks callbacks)>;
   Node(Config config, std::function<Config()> reread, const std::string& handover_folder = {},
        std::size_t threads = 1, const WorkerPoolFactory& create_pool = {});
   ~Node();
@@ -89,8 +89,9 @@
   // Descriptors that are not the gateways': a loop has its epoll, its timer and its wake; the store its
   // connections.
   std::size_t ReservedDescriptors() const {
-    const std::size_t store =
-        config_.store_address.empty() ? 0 : decide::kMaxUpstreamConnections + net::StoreClient::kRetiringMost;
+    const std::size_t store = config_.store_address.empty() ? 0
+                                                            : decide::kMaxUpstreamConnections +
+                                                                  net::StoreClient::kMaxRetiringConnections;
     return kReservedDescriptors + 3 * loops() + store;
   }
   std::size_t loops() const { return threads_ - 1; }  // Those that carry connections, beside this one.
@@ -145,7 +146,7 @@
     Steady::time_point reported_at_{};
   };
 
-  std::unique_ptr<net::PoolSide> CreatePool(const WorkerPoolFactory& create_pool);
+  std::unique_ptr<net::WorkerPool> CreatePool(const WorkerPoolFactory& create_pool);
   // What the table's runs stand on.
   UpstreamCalls::Links UpstreamLinks();
   void ConnectStore(const std::string& address);
@@ -156,7 +157,7 @@
   net::Handover handover_;
   std::unique_ptr<net::GatewayFrontEnd> front_;
   RequestTable table_;
-  std::unique_ptr<net::PoolSide> pool_;
+  std::unique_ptr<net::WorkerPool> pool_;
   std::optional<net::StoreClient> store_;
   DeepChecks checks_;
   net::RegistryClient registry_;
--- a/src/node/node_drain.cpp
+++ b/src/node/node_drain.cpp
@@ -88,7 +88,8 @@
     front_->ClassesChanged();
     metrics_.CountReload(true);
     OnSiblingLoadChanged();
-    if (std::exchange(config_.pool_address, fresh.pool_address) != fresh.pool_address) pool_->Move(pool);
+    if (std::exchange(config_.pool_address, fresh.pool_address) != fresh.pool_address)
+      pool_->ChangeAddress(pool);
     if (std::exchange(config_.store_address, fresh.store_address) != fresh.store_address)
       ConnectStore(fresh.store_address);
     if (std::exchange(config_.registry_address, fresh.registry_address) != fresh.registry_address) {
--- a/src/node/node_snapshot.cpp
+++ b/src/node/node_snapshot.cpp
@@ -61,7 +61,7 @@
   seen.connections = front_->connections();
   seen.executions = metrics_.executions();
   if (policy_) seen.reserved_kb = policy_->CurrentLoad().memory_kb;
-  seen.pool_connected = pool_->settled();
+  seen.pool_connected = pool_->ready();
   seen.pool_address = config_.pool_address;
   const auto& names = config_.settings.gauges;
   const auto busy = std::find(names.begin(), names.end(), "cpu_busy");
--- a/src/node/upstream_calls.h
+++ b/src/node/upstream_calls.h
@@ -27,7 +27,7 @@
 // Not thread-safe. Executions are named by the ids of their attempts.
 class UpstreamCalls {
  public:
-  // Where a command stands in the order of the pool's commands (net::PoolSide::Mark).
+  // Where a command stands in the order of the pool's commands (net::WorkerPool::CommandMark).
   using CommandMark = std::uint64_t;
   using Millis = std::chrono::duration<double, std::milli>;
   // The links that carry the calls.
--- a/src/node/upstream_metrics.cpp
+++ b/src/node/upstream_metrics.cpp
@@ -40,7 +40,7 @@
   families.AddSingle("store_connects", MetricType::Counter, "Connections to the store that were tried.",
                      static_cast<double>(counts.connects));
   families.AddSingle("store_in_hand", MetricType::Gauge, "Calls to the store in hand.",
-                     static_cast<double>(store.in_hand()));
+                     static_cast<double>(store.in_flight()));
   families.AddSingle("runs_at_calls", MetricType::Gauge, "Runs that have stood at a call and not ended.",
                      static_cast<double>(calls.executions()));
 }
--- a/tests/net/pool_group_test.cpp
+++ b/tests/net/pool_group_test.cpp
@@ -30,10 +30,10 @@
       options.services.push_back({"s" + std::to_string(i), "", 2, pools_[i]->address()});
     }
     services_ = options.services;
-    options.spread = spread;
+    options.load_balancing = spread;
     options.self = "n0";
     options.lost_after = lost_after_;
-    options.draw = [this] {
+    options.random = [this] {
       return draw_ = draw_ * 6364136223846793005ULL + 1442695040888963407ULL, draw_ >> 16 | draw_ << 48;
     };
     PoolEvents events;
@@ -43,23 +43,23 @@
                                                                                    : "error");
     };
     events.spawn_unknown = [this](std::uint64_t req) { ended_[req].push_back("unknown"); };
-    events.settled = [this] {
+    events.ready = [this] {
       for (auto& [req, run] : runs_) {
         if (!ended_.contains(req) && !group_->Processed(run.mark)) Send(req);
       }
     };
-    PoolAsks asks;
-    asks.again = [this](std::uint64_t req) {
+    PoolGroupCallbacks callbacks;
+    callbacks.restart_execution = [this](std::uint64_t req) {
       ++again_;
       if (nobody_waits_) return false;
       Send(req);
       return true;
     };
-    asks.safe = [](std::string_view kind) { return kind != "write"; };
-    asks.gauge_at = [](std::string_view name) {
+    callbacks.is_idempotent = [](std::string_view kind) { return kind != "write"; };
+    callbacks.gauge_index = [](std::string_view name) {
       return name == "runnable" ? std::size_t{1} : std::size_t{9};
     };
-    group_.emplace(base_.get(), std::move(options), std::move(events), std::move(asks));
+    group_.emplace(base_.get(), std::move(options), std::move(events), std::move(callbacks));
   }
   void Send(std::uint64_t req) {
     Run& run = runs_[req];
@@ -108,12 +108,12 @@
 
   struct Run {
     std::string kind, body;
-    PoolSide::Mark mark = 0;
+    WorkerPool::CommandMark mark = 0;
   };
   BasePtr base_ = MakeBase();
   std::uint64_t draw_ = 99;
   std::vector<std::unique_ptr<standin::Pool>> pools_;
-  std::vector<ServiceAt> services_;
+  std::vector<ServiceEndpoint> services_;
   std::optional<PoolGroup> group_;
   std::map<std::uint64_t, Run> runs_;
   std::map<std::uint64_t, std::vector<std::string>> ended_;
@@ -135,7 +135,7 @@
   ExpectOneEndEach();
   for (const auto& pool : pools_) EXPECT_GT(pool->counts().started, 5u);
   EXPECT_EQ(Started(), 200u);
-  EXPECT_EQ(group_->in_hand(), 0u);
+  EXPECT_EQ(group_->in_flight(), 0u);
 }
 
 TEST_F(GroupTest, WhatOneDoesNotKnowRunsOnceElsewhereWithinTheBudget) {
@@ -187,7 +187,7 @@
   std::uint64_t writes_ended = 0;
   for (const std::uint64_t req : writes) writes_ended += ended_.contains(req) ? 1 : 0;
   EXPECT_LT(writes_ended, 4u);
-  EXPECT_EQ(group_->in_hand(), 4 - writes_ended);
+  EXPECT_EQ(group_->in_flight(), 4 - writes_ended);
 }
 
 TEST_F(GroupTest, WhatAServiceOwesThatNeverComesBackEndsOnceAndRunsNowhereElse) {
@@ -209,7 +209,7 @@
   for (const auto& [req, ends] : ended_) errors += ends[0] == "error" ? 1 : 0;
   EXPECT_EQ(errors, lost);
   EXPECT_EQ(pools_[1]->counts().started, 8 - lost);
-  EXPECT_EQ(group_->in_hand(), 0u);
+  EXPECT_EQ(group_->in_flight(), 0u);
 }
 
 TEST_F(GroupTest, WhatNeverRanEndsThoughNobodyWaitsForIt) {
@@ -219,7 +219,7 @@
   for (int i = 0; i < 10; ++i) Start();
   ASSERT_TRUE(AllEnded());
   EXPECT_GT(again_, 0);
-  EXPECT_EQ(group_->in_hand(), 0u);
+  EXPECT_EQ(group_->in_flight(), 0u);
   ExpectOneEndEach();
 }
 
@@ -248,7 +248,7 @@
   ASSERT_TRUE(AllUp());
   for (int round = 0; round < 40; ++round) {
     for (int i = 0; i < 3; ++i) Start();
-    std::vector<ServiceAt> fewer(services_);
+    std::vector<ServiceEndpoint> fewer(services_);
     fewer.erase(fewer.begin() + round % 5);
     group_->SetServices(round % 2 == 0 ? fewer : services_);
     Until([&, ended = ended_.size()] { return ended_.size() > ended; });
@@ -256,7 +256,7 @@
   ASSERT_TRUE(AllEnded());
   ExpectOneEndEach();
   group_->SetServices({services_[0]});
-  ASSERT_TRUE(Until([this] { return group_->links() == 1; }));
+  ASSERT_TRUE(Until([this] { return group_->link_count() == 1; }));
   Start();
   EXPECT_TRUE(AllEnded());
 }
--- a/tests/net/store_client_test.cpp
+++ b/tests/net/store_client_test.cpp
@@ -63,7 +63,7 @@
     const auto end = Steady::now() + most;
     while (!done() && Steady::now() < end) {
       event_base_loop(base.get(), EVLOOP_ONCE);
-      client->Sweep();
+      client->FreeEndedConnections();
     }
     ASSERT_TRUE(done());
   }
@@ -190,7 +190,7 @@
   }
   store.SetWork(Millis(400));
   for (std::uint64_t req = 100; req < 116; ++req) Call(req, 60s);
-  Turn([&] { return client->in_hand() == 0; });
+  Turn([&] { return client->in_flight() == 0; });
   EXPECT_GT(client->counts().silent, 0u);  // Left, as they look dead for a while; but not broken off.
   EXPECT_EQ(client->counts().broken, 0u);
   EXPECT_EQ(client->counts().ok, 56u);
@@ -200,7 +200,7 @@
 TEST_F(StoreClientTest, TheNextCallOfARequestIsNotAnsweredWithTheReplyToTheOneBefore) {
   Call(1, 5s, "first ");
   Turn([&] { return store.in_hand() == 1; });
-  client->Drop(1);
+  client->Abandon(1);
   Call(1, 5s, "second ");
   Turn([&] { return ends.size() == 1; });
   EXPECT_EQ(ends[1].outcome, Outcome::kOk);
@@ -213,7 +213,7 @@
   store.SetStill(true);
   Call(1);
   Turn([&] { return store.in_hand() == 1; });
-  client->Move(ParseAddress(other.address()));
+  client->ChangeAddress(ParseAddress(other.address()));
   Call(2);
   Turn([&] { return ends.size() == 1; });
   EXPECT_EQ(ends[2].outcome, Outcome::kOk);
@@ -239,7 +239,7 @@
   Turn([&] { return ends.size() == 20; });
   store.SetStill(true);
   for (std::uint64_t req = 1000; req < 1200; ++req) Call(req, 60s);
-  Turn([&] { return !ends.empty() && client->in_hand() == 0; });
+  Turn([&] { return !ends.empty() && client->in_flight() == 0; });
   store.SetStill(false);
   Call(3000, 60s);
   Turn([&] { return ends.count(3000) != 0; });
--- a/tests/net/upstream_lifecycle_test.cpp
+++ b/tests/net/upstream_lifecycle_test.cpp
@@ -116,7 +116,7 @@
       events.bound = [this](bool) { ++bound_; };
       events.finished = [this](const proto::RunFinished& run) { finished_.emplace_back(run.result); };
       events.spawn_unknown = [](std::uint64_t) {};
-      events.settled = [this] { ++settled_; };
+      events.ready = [this] { ++settled_; };
       link_ = std::make_unique<PoolLink>(host_.base(), ParseAddress(pool_.Address()), std::move(events));
     });
   }
--- a/tests/node/deep_checks_test.cpp
+++ b/tests/node/deep_checks_test.cpp
@@ -33,7 +33,7 @@
       below.finished = [](const proto::RunFinished&) {};
       below.spawn_unknown = [](std::uint64_t) {};
       below.verified = [this](std::uint64_t tag, bool good) { checks_->Verified(tag, good); };
-      below.settled = [this] { checks_->Rebound(); };
+      below.ready = [this] { checks_->Rebound(); };
       core::FrontEndEvents events;
       events.request = [](const core::IncomingRequest&) {};
       events.disconnected = [this](core::StreamAddress from) { checks_->Left(from); };
