--- a/tests/net/pool_group_test.cpp
+++ b/tests/net/pool_group_test.cpp
@@ -124,7 +124,7 @@
 
 TEST_F(GroupTest, RunsGoToAllAndEachHasItsOwnResult) {
   Make(4);
-  EXPECT_FALSE(group_->settled());
+  EXPECT_FALSE(group_->ready());
   ASSERT_TRUE(AllUp());
   EXPECT_EQ(bound_, 1);  // The module begins once.
   for (int i = 0; i < 200; ++i) {
