--- a/src/net/pool_group.cpp
+++ b/src/net/pool_group.cpp
@@ -108,7 +108,7 @@
                      },
                  .spawn_unknown = [this, id](std::uint64_t req) { Unknown(id, req); },
                  .ready = [this, id] { Settled(id); }},
-      PoolLink::Watch{.lost = [this, id] { SetUp(id, false); }, .polled = [this, id] { Polled(id); }});
+      PoolLink::Callbacks{.not_ready = [this, id] { SetUp(id, false); }, .gauges_received = [this, id] { Polled(id); }});
 }
 
 void PoolGroup::SetUp(Id id, bool up) {
