--- a/src/net/pool_group.cpp
+++ b/src/net/pool_group.cpp
@@ -14,21 +14,23 @@
 using decide::RequestOutcome;
 using decide::RequestTraits;
 
-constexpr auto kTickEach = 25ms;
-// Gauges of services are asked for more seldom than those of one pool of its own.
-constexpr Milliseconds kGaugesGood{1'000};
-// Links beyond those of the services in use, so that there is something to widen to.
-constexpr std::size_t kSpare = 2;
-constexpr int kPlaceBits = 48;
-
-WorkerPool::CommandMark MarkOf(decide::EndpointId id, WorkerPool::CommandMark mark) {
-  return (static_cast<WorkerPool::CommandMark>(id) << kPlaceBits) | mark;
+constexpr auto kTickInterval = 25ms;
+// Older gauges do not describe the present load. Longer than PoolLink's limit, because shared services are
+// polled less often than the single pool of a node.
+constexpr Milliseconds kMaxGaugeAge{1'000};
+// Standby services that are kept connected, so that the load balancer can expand the active services at once.
+constexpr std::size_t kStandbyLinks = 2;
+// A mark of the group holds the mark of the link in the low bits and the endpoint id in the remaining bits.
+constexpr int kLinkMarkBits = 48;
+
+WorkerPool::CommandMark ToGroupMark(decide::EndpointId id, WorkerPool::CommandMark mark) {
+  return (static_cast<WorkerPool::CommandMark>(id) << kLinkMarkBits) | mark;
 }
 
-std::vector<decide::SubsetEndpoint> Records(const std::vector<ServiceEndpoint>& services) {
-  std::vector<decide::SubsetEndpoint> records;
-  for (const ServiceEndpoint& s : services) records.push_back({s.name, s.zone, s.cores});
-  return records;
+std::vector<decide::SubsetEndpoint> ToSubsetEndpoints(const std::vector<ServiceEndpoint>& services) {
+  std::vector<decide::SubsetEndpoint> endpoints;
+  for (const ServiceEndpoint& s : services) endpoints.push_back({s.name, s.zone, s.cores});
+  return endpoints;
 }
 
 }  // namespace
@@ -53,36 +55,38 @@
 }
 
 void PoolGroup::SetServices(std::vector<ServiceEndpoint> services) {
-  for (auto& [id, service] : services_) service.told = false;
-  load_balancer_.SetEndpoints(Now(), Records(services));
-  for (const ServiceEndpoint& at : services) {
-    if (const auto known = services_.find(load_balancer_.FindEndpoint(at.name)); known != services_.end()) {
-      known->second.told = known->second.at.name == at.name;
+  for (auto& [id, service] : services_) service.listed = false;
+  load_balancer_.SetEndpoints(Now(), ToSubsetEndpoints(services));
+  for (const ServiceEndpoint& endpoint : services) {
+    if (const auto known = services_.find(load_balancer_.FindEndpoint(endpoint.name));
+        known != services_.end()) {
+      known->second.listed = known->second.endpoint.name == endpoint.name;
     }
   }
-  // At once: guards against one that is told again before the next tick, which the load balancer has anew and
-  // without a link by then.
+  // Removed here and not by the next Tick(): if such a service is listed again before the tick, the load
+  // balancer already treats it as new and disconnected, and the old link must not be reused.
   std::erase_if(services_, [this](auto& service) {
-    if (service.second.told || service.second.owed > 0) return false;
-    if (service.second.up) --up_;
+    if (service.second.listed || service.second.executions > 0) return false;
+    if (service.second.is_ready) --ready_services_;
     return true;
   });
-  for (ServiceEndpoint& at : services) {
-    const Id id = load_balancer_.FindEndpoint(at.name);
+  for (ServiceEndpoint& endpoint : services) {
+    const Id id = load_balancer_.FindEndpoint(endpoint.name);
     Service& service = services_[id];
-    if (service.link && service.at.address != at.address) {
-      // The same one elsewhere: guards against a write that is sent anew to what may have run it.
-      if (at.address.empty()) {
-        if (service.up) SetUp(id, false);
+    if (service.link && service.endpoint.address != endpoint.address) {
+      // The same service at another address. It keeps its executions: it may have run them, and a write must
+      // not be started again.
+      if (endpoint.address.empty()) {
+        if (service.is_ready) SetReady(id, false);
         service.link.reset();
       } else {
-        service.link->ChangeAddress(ParseAddress(at.address));
+        service.link->ChangeAddress(ParseAddress(endpoint.address));
       }
     }
-    service.at = std::move(at);
-    service.told = true;
+    service.endpoint = std::move(endpoint);
+    service.listed = true;
   }
-  MixGauges();
+  UpdateMeanGauges();
 }
 
 void PoolGroup::SetNodes(std::vector<decide::SubsetNode> nodes) {
@@ -91,261 +95,267 @@
 
 void PoolGroup::Connect(Id id) {
   Service& service = services_[id];
-  if (service.link || service.at.address.empty()) return;
-  service.down_since = Now();
+  if (service.link || service.endpoint.address.empty()) return;
+  service.disconnected_since = Now();
   service.link = std::make_unique<PoolLink>(
-      base_, ParseAddress(service.at.address),
+      base_, ParseAddress(service.endpoint.address),
       PoolEvents{.bound =
                      [this](bool warming_up) {
-                       // The module begins with the first.
-                       if (!std::exchange(bound_, true)) events_.bound(warming_up);
+                       // The decision module starts when the first service accepts a link.
+                       if (!std::exchange(ever_bound_, true)) events_.bound(warming_up);
                      },
-                 .finished = [this, id](const proto::RunFinished& run) { Finished(id, run); },
-                 .blocked = [this, id](const proto::RunBlocked& run) { Blocked(id, run); },
+                 .finished = [this, id](const proto::RunFinished& run) { OnFinished(id, run); },
+                 .blocked = [this, id](const proto::RunBlocked& run) { OnBlocked(id, run); },
                  .verified =
                      [this](std::uint64_t tag, bool good) {
                        if (events_.verified) events_.verified(tag, good);
                      },
-                 .spawn_unknown = [this, id](std::uint64_t req) { Unknown(id, req); },
-                 .ready = [this, id] { Settled(id); }},
-      PoolLink::Callbacks{.not_ready = [this, id] { SetUp(id, false); }, .gauges_received = [this, id] { Polled(id); }});
+                 .spawn_unknown = [this, id](std::uint64_t req) { OnUnknown(id, req); },
+                 .ready = [this, id] { OnLinkReady(id); }},
+      PoolLink::Callbacks{.not_ready = [this, id] { SetReady(id, false); },
+                          .gauges_received = [this, id] { OnGaugesReceived(id); }});
 }
 
-void PoolGroup::SetUp(Id id, bool up) {
+void PoolGroup::SetReady(Id id, bool is_ready) {
   Service& service = services_[id];
-  if (service.up == up) return;
-  service.up = up;
-  up_ += up ? 1 : static_cast<std::size_t>(-1);
-  service.asked.reset();
+  if (service.is_ready == is_ready) return;
+  service.is_ready = is_ready;
+  ready_services_ += is_ready ? 1 : static_cast<std::size_t>(-1);
+  service.polled_at.reset();
   service.gauges.clear();
-  if (!up) service.down_since = Now();
-  load_balancer_.SetConnected(Now(), id, up);
-  MixGauges();
+  if (!is_ready) service.disconnected_since = Now();
+  load_balancer_.SetConnected(Now(), id, is_ready);
+  UpdateMeanGauges();
 }
 
-void PoolGroup::Settled(Id id) {
-  SetUp(id, true);
-  settling_ = id;
-  // Spawns of this service that it may not have read, and those that were never sent anywhere.
+void PoolGroup::OnLinkReady(Id id) {
+  SetReady(id, true);
+  newly_ready_ = id;
+  // Sends the commands that this service may not have read, and those that were never sent to any service.
   events_.ready();
-  settling_ = decide::kNoEndpoint;
+  newly_ready_ = decide::kNoEndpoint;
 }
 
 bool PoolGroup::Processed(CommandMark mark) const {
   if (mark == kNeverSent) return false;
-  const auto id = static_cast<Id>(mark >> kPlaceBits);
-  // Guards against sending again what other services have in hand.
-  if (id != settling_) return true;
-  return services_.at(id).link->Processed(mark & ((CommandMark{1} << kPlaceBits) - 1));
+  const auto id = static_cast<Id>(mark >> kLinkMarkBits);
+  // Commands to other services must not be sent again.
+  if (id != newly_ready_) return true;
+  return services_.at(id).link->Processed(mark & ((CommandMark{1} << kLinkMarkBits) - 1));
 }
 
-std::uint32_t PoolGroup::KindOf(std::string_view kind) {
-  const auto at = kinds_.find(kind);
-  if (at != kinds_.end()) return at->second;
-  return kinds_.emplace(std::string(kind), static_cast<std::uint32_t>(kinds_.size())).first->second;
+std::uint32_t PoolGroup::ClassIndex(std::string_view kind) {
+  const auto at = class_indexes_.find(kind);
+  if (at != class_indexes_.end()) return at->second;
+  return class_indexes_.emplace(std::string(kind), static_cast<std::uint32_t>(class_indexes_.size()))
+      .first->second;
 }
 
 WorkerPool::CommandMark PoolGroup::Spawn(std::uint64_t req, std::string_view kind, std::string_view body) {
-  auto it = sent_.find(req);
-  if (it == sent_.end()) {
-    const RequestTraits run{KindOf(kind), callbacks_.is_idempotent(kind)};
-    const auto start = load_balancer_.ChooseEndpoint(Now(), run);
-    if (!start) return kNeverSent;
-    it = sent_.emplace(req, Sent{start->endpoint, run}).first;
-    ++services_[start->endpoint].owed;
+  auto it = executions_.find(req);
+  if (it == executions_.end()) {
+    const RequestTraits traits{ClassIndex(kind), callbacks_.is_idempotent(kind)};
+    const auto choice = load_balancer_.ChooseEndpoint(Now(), traits);
+    if (!choice) return kNeverSent;
+    it = executions_.emplace(req, Execution{choice->endpoint, traits}).first;
+    ++services_[choice->endpoint].executions;
   }
-  // Sent again to where it was sent: the pool tells then how it ended, and starts nothing twice.
+  // A repeated command goes to the same service, which does not start the execution twice and repeats the
+  // notice of its end.
   Service& service = services_[it->second.service];
   const CommandMark mark = service.link ? service.link->Spawn(req, kind, body) : kNeverSent;
-  // Guards against a run that is counted nowhere: the link broke just now, and its end settles it.
-  return mark == kNeverSent ? MarkOf(it->second.service, (CommandMark{1} << kPlaceBits) - 2)
-                            : MarkOf(it->second.service, mark);
+  // If the link is not ready, the execution still counts as in flight at the service. Its mark is above all
+  // marks of the link, so that Processed() returns false and the command is sent when the link is ready.
+  return mark == kNeverSent ? ToGroupMark(it->second.service, (CommandMark{1} << kLinkMarkBits) - 2)
+                            : ToGroupMark(it->second.service, mark);
 }
 
-void PoolGroup::Drop(std::unordered_map<std::uint64_t, Sent>::iterator it) {
-  --services_[it->second.service].owed;
-  sent_.erase(it);
+void PoolGroup::EraseExecution(std::unordered_map<std::uint64_t, Execution>::iterator it) {
+  --services_[it->second.service].executions;
+  executions_.erase(it);
 }
 
-void PoolGroup::Finished(Id id, const proto::RunFinished& run) {
-  const auto it = sent_.find(run.request_id);
-  // Of a run that has ended elsewhere, or told again by a pool to a link that is new here.
-  if (it == sent_.end()) return;
-  const Sent& sent = it->second;
-  if (sent.service == id) {
-    const RequestOutcome how =
+void PoolGroup::OnFinished(Id id, const proto::RunFinished& run) {
+  const auto it = executions_.find(run.request_id);
+  // The execution has ended at another service, or the pool repeats an old notice on a new link.
+  if (it == executions_.end()) return;
+  const Execution& execution = it->second;
+  if (execution.service == id) {
+    const RequestOutcome outcome =
         run.outcome == proto::RunOutcome::kComplete ? RequestOutcome::kSuccess : RequestOutcome::kError;
-    load_balancer_.OnRequestFinished(Now(), id, sent.run, how, run.elapsed);
+    load_balancer_.OnRequestFinished(Now(), id, execution.traits, outcome, run.elapsed);
   } else if (run.outcome != proto::RunOutcome::kComplete) {
-    // Where it was before it was moved: that it failed there decides nothing.
+    // A failure at the previous service does not end the execution, which was restarted elsewhere.
     return;
   } else {
-    load_balancer_.OnRequestAbandoned(Now(), sent.service);
+    load_balancer_.OnRequestAbandoned(Now(), execution.service);
   }
-  Drop(it);
+  EraseExecution(it);
   events_.finished(run);
 }
 
-void PoolGroup::Blocked(Id id, const proto::RunBlocked& run) {
-  const auto it = sent_.find(run.request_id);
-  if (it != sent_.end() && it->second.service == id) {
+void PoolGroup::OnBlocked(Id id, const proto::RunBlocked& run) {
+  const auto it = executions_.find(run.request_id);
+  if (it != executions_.end() && it->second.service == id) {
     if (events_.blocked) events_.blocked(run);
     return;
   }
-  // A run that went on elsewhere makes no call here: what it asks for may be made once.
+  // The execution was restarted at another service. Its upstream call must be made at most once, and is left
+  // to that service.
   if (Service& service = services_[id]; service.link)
     service.link->SkipUpstreamCall(run.request_id, run.notice_number);
 }
 
-WorkerPool::CommandMark PoolGroup::AtItsService(std::uint64_t req,
-                                                const std::function<CommandMark(PoolLink&)>& send) {
-  const auto it = sent_.find(req);
-  if (it == sent_.end()) return kNeverSent;
+WorkerPool::CommandMark PoolGroup::SendToService(std::uint64_t req,
+                                                 const std::function<CommandMark(PoolLink&)>& send) {
+  const auto it = executions_.find(req);
+  if (it == executions_.end()) return kNeverSent;
   Service& service = services_[it->second.service];
   const CommandMark mark = service.link ? send(*service.link) : kNeverSent;
-  return mark == kNeverSent ? MarkOf(it->second.service, (CommandMark{1} << kPlaceBits) - 2)
-                            : MarkOf(it->second.service, mark);
+  return mark == kNeverSent ? ToGroupMark(it->second.service, (CommandMark{1} << kLinkMarkBits) - 2)
+                            : ToGroupMark(it->second.service, mark);
 }
 
 WorkerPool::CommandMark PoolGroup::SendUpstreamReply(std::uint64_t req, std::string_view reply) {
-  return AtItsService(req, [&](PoolLink& link) { return link.SendUpstreamReply(req, reply); });
+  return SendToService(req, [&](PoolLink& link) { return link.SendUpstreamReply(req, reply); });
 }
 
 WorkerPool::CommandMark PoolGroup::SkipUpstreamCall(std::uint64_t req, std::uint64_t notice) {
-  return AtItsService(req, [&](PoolLink& link) { return link.SkipUpstreamCall(req, notice); });
+  return SendToService(req, [&](PoolLink& link) { return link.SkipUpstreamCall(req, notice); });
 }
 
-// At the first that carries commands.
+// Uses the first service that is ready.
 bool PoolGroup::Verify(std::uint64_t tag) {
   for (auto& [id, service] : services_) {
-    if (service.up && service.link && service.link->Verify(tag)) return true;
+    if (service.is_ready && service.link && service.link->Verify(tag)) return true;
   }
   return false;
 }
 
-void PoolGroup::Unknown(Id id, std::uint64_t req) {
-  const auto it = sent_.find(req);
-  if (it == sent_.end() || it->second.service != id) return events_.spawn_unknown(req);
-  load_balancer_.OnRequestFinished(Now(), id, it->second.run, RequestOutcome::kNotExecuted, Milliseconds(0));
-  const bool only_there = it->second.before == decide::kNoEndpoint;
-  if (it->second.tries == 1 && only_there && load_balancer_.TryConsumeRetry())
-    return Again(req, it->second, true);
-  Drop(it);
+void PoolGroup::OnUnknown(Id id, std::uint64_t req) {
+  const auto it = executions_.find(req);
+  if (it == executions_.end() || it->second.service != id) return events_.spawn_unknown(req);
+  load_balancer_.OnRequestFinished(Now(), id, it->second.traits, RequestOutcome::kNotExecuted,
+                                   Milliseconds(0));
+  const bool sent_nowhere_else = it->second.previous_service == decide::kNoEndpoint;
+  if (it->second.attempts == 1 && sent_nowhere_else && load_balancer_.TryConsumeRetry())
+    return RestartElsewhere(req, it->second, true);
+  EraseExecution(it);
   events_.spawn_unknown(req);
 }
 
-void PoolGroup::MoveTo(Sent& sent, Id service) {
-  --services_[sent.service].owed;
-  sent.service = service;
-  ++services_[service].owed;
+void PoolGroup::AssignTo(Execution& execution, Id service) {
+  --services_[execution.service].executions;
+  execution.service = service;
+  ++services_[service].executions;
 }
 
-// Somewhere else, once. The table sends it: it has the body.
-void PoolGroup::Again(std::uint64_t req, Sent& sent, bool never_ran) {
-  const Id from = sent.service;
-  const auto start = load_balancer_.ChooseEndpoint(Now(), sent.run, from);
-  bool sent_on = start && start->endpoint != from;
-  if (sent_on) {
-    MoveTo(sent, start->endpoint);
-    sent_on = callbacks_.restart_execution(req);
-    if (!sent_on) MoveTo(sent, from);
+// The execution is sent by the caller's callback, because the group does not keep the body.
+void PoolGroup::RestartElsewhere(std::uint64_t req, Execution& execution, bool never_ran) {
+  const Id from = execution.service;
+  const auto choice = load_balancer_.ChooseEndpoint(Now(), execution.traits, from);
+  bool is_restarted = choice && choice->endpoint != from;
+  if (is_restarted) {
+    AssignTo(execution, choice->endpoint);
+    is_restarted = callbacks_.restart_execution(req);
+    if (!is_restarted) AssignTo(execution, from);
   }
-  if (sent_on) {
-    ++sent.tries;
+  if (is_restarted) {
+    ++execution.attempts;
     if (never_ran) return;
     load_balancer_.OnRequestAbandoned(Now(), from);
-    sent.before = from;
+    execution.previous_service = from;
     return;
   }
-  if (start) load_balancer_.OnRequestAbandoned(Now(), start->endpoint);
-  // Guards against a run that the module counts for ever: what never ran ends here, though nobody waits; what
-  // may have run is owed where it is.
+  if (choice) load_balancer_.OnRequestAbandoned(Now(), choice->endpoint);
+  // An execution that never ran ends here even if no caller waits for it: the decision module would otherwise
+  // count it as in flight forever. An execution that may have run stays at its service.
   if (!never_ran) return;
-  Drop(sent_.find(req));
+  EraseExecution(executions_.find(req));
   events_.spawn_unknown(req);
 }
 
-void PoolGroup::Polled(Id id) {
+void PoolGroup::OnGaugesReceived(Id id) {
   Service& service = services_[id];
   service.gauges = service.link->last_gauges();
   service.gauges_at = Now();
   const std::size_t at = callbacks_.gauge_index("runnable");
-  if (service.asked && at < service.gauges.size())
-    load_balancer_.OnLoadReport(Now(), id, service.gauges[at], *service.asked);
-  service.asked.reset();
-  MixGauges();
+  if (service.polled_at && at < service.gauges.size())
+    load_balancer_.OnLoadReport(Now(), id, service.gauges[at], *service.polled_at);
+  service.polled_at.reset();
+  UpdateMeanGauges();
 }
 
-void PoolGroup::MixGauges() {
+void PoolGroup::UpdateMeanGauges() {
   gauges_.clear();
   double cores = 0;
   const Milliseconds now = Now();
   for (const Id id : load_balancer_.active_endpoints()) {
     const Service& s = services_[id];
-    if (!s.up || s.gauges.empty() || now - s.gauges_at > kGaugesGood) continue;
+    if (!s.is_ready || s.gauges.empty() || now - s.gauges_at > kMaxGaugeAge) continue;
     if (gauges_.empty()) gauges_.resize(s.gauges.size());
     for (std::size_t g = 0; g < gauges_.size() && g < s.gauges.size(); ++g)
-      gauges_[g] += s.gauges[g] * s.at.cores;
-    cores += s.at.cores;
+      gauges_[g] += s.gauges[g] * s.endpoint.cores;
+    cores += s.endpoint.cores;
   }
   for (double& gauge : gauges_) gauge /= cores;
 }
 
 void PoolGroup::Tick() {
-  timer_.Start(kTickEach);
+  timer_.Start(kTickInterval);
   const Milliseconds now = Now();
   load_balancer_.Tick(now);
   for (const Id id : load_balancer_.active_endpoints()) Connect(id);
-  std::size_t spare = 0;
-  for (const Id id : load_balancer_.StandbyEndpoints(kSpare)) {
+  std::size_t standbys = 0;
+  for (const Id id : load_balancer_.StandbyEndpoints(kStandbyLinks)) {
     Connect(id);
-    ++spare;
+    ++standbys;
   }
   for (auto it = services_.begin(); it != services_.end();) {
     Service& s = it->second;
-    const bool wanted = s.told && (load_balancer_.Snapshot(now, it->first).is_active ||
-                                   load_balancer_.IsStandby(it->first, kSpare));
-    if (!wanted && s.owed == 0 && s.link) {
-      if (s.up) SetUp(it->first, false);
+    const bool wanted = s.listed && (load_balancer_.Snapshot(now, it->first).is_active ||
+                                     load_balancer_.IsStandby(it->first, kStandbyLinks));
+    if (!wanted && s.executions == 0 && s.link) {
+      if (s.is_ready) SetReady(it->first, false);
       s.link.reset();
     }
-    it = !s.told && !s.link ? services_.erase(it) : std::next(it);
+    it = !s.listed && !s.link ? services_.erase(it) : std::next(it);
   }
   for (const Id id : load_balancer_.EndpointsToPoll(now)) {
     Service& s = services_[id];
-    if (!s.up || s.asked) continue;
-    s.asked = now;
+    if (!s.is_ready || s.polled_at) continue;
+    s.polled_at = now;
     s.link->PollGauges();
   }
-  SeeAway();
+  HandleDisconnectedServices();
 }
 
-// What waits at services that are away: it leaves if it may run twice, and ends where they stay away.
-void PoolGroup::SeeAway() {
+void PoolGroup::HandleDisconnectedServices() {
   const Milliseconds now = Now();
-  std::vector<std::uint64_t> leave, lost;
-  for (const auto& [req, sent] : sent_) {
-    const Service& s = services_[sent.service];
-    if (s.up) continue;
-    const Milliseconds away = now - s.down_since;
-    if (away > Milliseconds(options_.lost_after)) {
-      lost.push_back(req);
-    } else if (sent.run.is_idempotent && sent.tries == 1 && away > Milliseconds(options_.leave_after)) {
-      leave.push_back(req);
+  std::vector<std::uint64_t> restart, fail;
+  for (const auto& [req, execution] : executions_) {
+    const Service& s = services_[execution.service];
+    if (s.is_ready) continue;
+    const Milliseconds disconnected_for = now - s.disconnected_since;
+    if (disconnected_for > Milliseconds(options_.fail_after)) {
+      fail.push_back(req);
+    } else if (execution.traits.is_idempotent && execution.attempts == 1 &&
+               disconnected_for > Milliseconds(options_.restart_after)) {
+      restart.push_back(req);
     }
   }
-  // In an order that does not hang on the table's.
-  std::sort(leave.begin(), leave.end());
-  std::sort(lost.begin(), lost.end());
-  for (const std::uint64_t req : leave) {
-    if (up_ == 0 || !load_balancer_.TryConsumeRetry()) break;
-    Again(req, sent_.at(req), false);
+  // The order must not depend on the order in the hash table.
+  std::sort(restart.begin(), restart.end());
+  std::sort(fail.begin(), fail.end());
+  for (const std::uint64_t req : restart) {
+    if (ready_services_ == 0 || !load_balancer_.TryConsumeRetry()) break;
+    RestartElsewhere(req, executions_.at(req), false);
   }
-  for (const std::uint64_t req : lost) {
+  for (const std::uint64_t req : fail) {
     proto::RunFinished failed;
     failed.request_id = req;
     failed.outcome = proto::RunOutcome::kError;
-    Finished(sent_.at(req).service, failed);
+    OnFinished(executions_.at(req).service, failed);
   }
 }
 
--- a/src/net/pool_group.h
+++ b/src/net/pool_group.h
@@ -1,11 +1,13 @@
-// Several worker pools ("services") as one, shared with other nodes: links to those that this node uses, and
-// the decisions of decide::LoadBalancer executed. Each pool has an address of its own for each node, as the
-// protocol has one link at each address.
+// Several worker pools, called services, that this node shares with other nodes and uses like one pool. The
+// group holds the links to the services that this node uses, and decide::LoadBalancer chooses the service of
+// each execution. A pool accepts one link at each of its addresses, so it has a separate address for each
+// node.
 //
-// A run stays where it was sent: what was sent there again is sent there, whatever the load balancer would
-// choose now. It goes elsewhere only if the service proves that it never ran, or if the service is away and
-// the class may run twice; both within the load balancer's budget. The first end that is told counts, and
-// there is one. What a service owes that never comes back ends as an error, and runs nowhere else.
+// An execution stays at the service that received it: if the command is sent again, it is sent to the same
+// service, even if the load balancer would now choose another. The execution moves to another service only if
+// the service reports that it was not started, or if the service is disconnected and the class may run twice.
+// Both consume the load balancer's retry budget. Only the first end that is reported for an execution counts.
+// An execution at a service that stays disconnected ends as an error and is not restarted elsewhere.
 #ifndef HINGELINK_NET_POOL_GROUP_H_
 #define HINGELINK_NET_POOL_GROUP_H_
 
@@ -23,101 +25,120 @@
 
 namespace hingelink::net {
 
+// A worker pool of the group.
 struct ServiceEndpoint {
   std::string name, zone;
   double cores = 1;
-  std::string address;  // This node's own at that pool; empty: not to be reached from here, but counted.
+  // The address of the pool for this node. Empty if this node cannot reach the pool, which then still counts
+  // when the services are distributed over the nodes.
+  std::string address;
   bool operator==(const ServiceEndpoint&) const = default;
 };
 
 struct PoolGroupOptions {
   std::vector<ServiceEndpoint> services;
   decide::LoadBalancerOptions load_balancing;
-  std::string self, zone;  // This node.
-  // Safe runs leave a service that is away for so long.
-  std::chrono::milliseconds leave_after{400};
-  // What is still owed by one that is away for so long has failed. Longer than any request waits.
-  std::chrono::milliseconds lost_after{30'000};
+  std::string self, zone;  // Name and zone of this node.
+  // Executions that may run twice are restarted elsewhere if their service is disconnected for this long.
+  std::chrono::milliseconds restart_after{400};
+  // Executions fail if their service is disconnected for this long, which is longer than any request waits.
+  std::chrono::milliseconds fail_after{30'000};
   decide::RandomSource random;
 };
 
+// Not thread-safe: used on the thread of the event loop only.
 class PoolGroup : public WorkerPool {
  public:
   PoolGroup(event_base* base, PoolGroupOptions options, PoolEvents events, PoolGroupCallbacks callbacks);
   ~PoolGroup() override;
 
-  // Another list: links to what is no longer in it end once nothing is owed there. Not to be called from
-  // within a link's own callbacks.
+  // Replaces the list of services. The link to a service that is no longer listed is closed once no execution
+  // is in flight there. Must not be called from a callback of a link.
   void SetServices(std::vector<ServiceEndpoint> services);
-  // The nodes that share the services, this one too.
+  // Replaces the list of the nodes that share the services, including this node.
   void SetNodes(std::vector<decide::SubsetNode> nodes);
 
   // ---- WorkerPool ----
-  // The addresses are those of the services.
+  // Does nothing: the addresses are set by SetServices().
   void ChangeAddress(const sockaddr_in& pool) override { static_cast<void>(pool); }
   CommandMark Spawn(std::uint64_t req, std::string_view kind, std::string_view body) override;
   CommandMark SendUpstreamReply(std::uint64_t req, std::string_view reply) override;
   CommandMark SkipUpstreamCall(std::uint64_t req, std::uint64_t notice) override;
   bool Verify(std::uint64_t tag) override;
+  // Does nothing: Tick() polls the services when the load balancer requests it.
   void PollGauges() override {}
   bool Processed(CommandMark mark) const override;
-  bool ready() const override { return up_ > 0; }
-  // Means of the services in use, by their cores.
+  bool ready() const override { return ready_services_ > 0; }
+  // The mean gauges of the active services, weighted by their cores.
   const std::vector<double>& gauges() const override { return gauges_; }
 
   const decide::LoadBalancer& load_balancer() const { return load_balancer_; }
-  decide::Milliseconds Now() const { return Steady::now() - began_; }
+  // Time since the group was created: the clock of the load balancer.
+  decide::Milliseconds Now() const { return Steady::now() - start_time_; }
+  // Open links, ready or not.
   std::size_t link_count() const;
-  std::size_t in_flight() const { return sent_.size(); }
+  // Executions in flight.
+  std::size_t in_flight() const { return executions_.size(); }
 
  private:
   using Id = decide::EndpointId;
   struct Service {
-    ServiceEndpoint at;
-    bool told = true;  // In the list.
+    ServiceEndpoint endpoint;
+    bool listed = true;  // In the latest list of services.
     std::unique_ptr<PoolLink> link;
-    bool up = false;
-    decide::Milliseconds down_since{0};
-    std::optional<decide::Milliseconds> asked;
+    bool is_ready = false;  // The link is ready for commands.
+    decide::Milliseconds disconnected_since{0};
+    std::optional<decide::Milliseconds> polled_at;  // Set while a poll is unanswered.
     std::vector<double> gauges;
     decide::Milliseconds gauges_at{0};
-    std::size_t owed = 0;  // Runs.
+    std::size_t executions = 0;  // Executions of this node in flight at the service.
   };
-  struct Sent {
+  // An execution in flight.
+  struct Execution {
     Id service = decide::kNoEndpoint;
-    decide::RequestTraits run;
-    int tries = 1;
-    Id before = decide::kNoEndpoint;  // Where it may have run first, and may still end.
+    decide::RequestTraits traits;
+    int attempts = 1;  // Services that have received it.
+    // The disconnected service from which it was restarted. It may still run and end there.
+    Id previous_service = decide::kNoEndpoint;
   };
 
   void Tick();
+  // Creates the link, unless the service has one or has no address.
   void Connect(Id id);
-  void SetUp(Id id, bool up);
-  void Settled(Id id);
-  void Finished(Id id, const proto::RunFinished& run);
-  void Blocked(Id id, const proto::RunBlocked& run);
-  CommandMark AtItsService(std::uint64_t req, const std::function<CommandMark(PoolLink&)>& send);
-  void Unknown(Id id, std::uint64_t req);
-  void Polled(Id id);
-  void Again(std::uint64_t req, Sent& sent, bool never_ran);
-  void MoveTo(Sent& sent, Id service);
-  void SeeAway();
-  void MixGauges();
-  void Drop(std::unordered_map<std::uint64_t, Sent>::iterator it);
-  std::uint32_t KindOf(std::string_view kind);
+  // Updates the service, the load balancer and the gauges if the state has changed.
+  void SetReady(Id id, bool is_ready);
+  void OnLinkReady(Id id);
+  void OnFinished(Id id, const proto::RunFinished& run);
+  void OnBlocked(Id id, const proto::RunBlocked& run);
+  // Sends a command by `send` on the link of the service that received the execution. Returns kNeverSent if
+  // the execution is unknown.
+  CommandMark SendToService(std::uint64_t req, const std::function<CommandMark(PoolLink&)>& send);
+  // The service has not started the execution.
+  void OnUnknown(Id id, std::uint64_t req);
+  void OnGaugesReceived(Id id);
+  // Restarts the execution at another service. If that is not possible, an execution that never ran ends, and
+  // one that may have run stays at its service.
+  void RestartElsewhere(std::uint64_t req, Execution& execution, bool never_ran);
+  void AssignTo(Execution& execution, Id service);
+  // Restarts or fails the executions whose service has been disconnected for too long.
+  void HandleDisconnectedServices();
+  void UpdateMeanGauges();
+  void EraseExecution(std::unordered_map<std::uint64_t, Execution>::iterator it);
+  // Returns the number by which the load balancer identifies the class.
+  std::uint32_t ClassIndex(std::string_view kind);
 
   event_base* base_;
   PoolGroupOptions options_;
   PoolEvents events_;
   PoolGroupCallbacks callbacks_;
-  Steady::time_point began_ = Steady::now();
+  Steady::time_point start_time_ = Steady::now();
   decide::LoadBalancer load_balancer_;
   std::map<Id, Service> services_;
-  std::unordered_map<std::uint64_t, Sent> sent_;
-  std::map<std::string, std::uint32_t, std::less<>> kinds_;
-  Id settling_ = decide::kNoEndpoint;
-  bool bound_ = false;
-  std::size_t up_ = 0;
+  std::unordered_map<std::uint64_t, Execution> executions_;  // By request id.
+  std::map<std::string, std::uint32_t, std::less<>> class_indexes_;
+  Id newly_ready_ = decide::kNoEndpoint;  // The service for which PoolEvents::ready is being called.
+  bool ever_bound_ = false;               // A service has accepted a link.
+  std::size_t ready_services_ = 0;
   std::vector<double> gauges_;
   Timer timer_;
 };
--- a/tests/net/pool_group_test.cpp
+++ b/tests/net/pool_group_test.cpp
@@ -32,7 +32,7 @@
     services_ = options.services;
     options.load_balancing = spread;
     options.self = "n0";
-    options.lost_after = lost_after_;
+    options.fail_after = fail_after_;
     options.random = [this] {
       return draw_ = draw_ * 6364136223846793005ULL + 1442695040888963407ULL, draw_ >> 16 | draw_ << 48;
     };
@@ -117,7 +117,7 @@
   std::optional<PoolGroup> group_;
   std::map<std::uint64_t, Run> runs_;
   std::map<std::uint64_t, std::vector<std::string>> ended_;
-  std::chrono::milliseconds lost_after_{30'000};
+  std::chrono::milliseconds fail_after_{30'000};
   bool nobody_waits_ = false;
   int bound_ = 0, again_ = 0;
 };
@@ -191,7 +191,7 @@
 }
 
 TEST_F(GroupTest, WhatAServiceOwesThatNeverComesBackEndsOnceAndRunsNowhereElse) {
-  lost_after_ = 700ms;
+  fail_after_ = 700ms;
   nobody_waits_ = true;  // So that reads stay there, too.
   Make(2);
   ASSERT_TRUE(AllUp());
