--- a/src/net/pool_group.h
+++ b/src/net/pool_group.h
@@ -7,7 +7,8 @@
 // service, even if the load balancer would now choose another. The execution moves to another service only if
 // the service reports that it was not started, or if the service is disconnected and the class may run twice.
 // Both consume the load balancer's retry budget. Only the first end that is reported for an execution counts.
-// An execution at a service that stays disconnected ends as an error and is not restarted elsewhere.
+// An execution that stays at a disconnected service ends as an error after PoolGroupOptions::fail_after and
+// is not started elsewhere.
 #ifndef HINGELINK_NET_POOL_GROUP_H_
 #define HINGELINK_NET_POOL_GROUP_H_
 
--- a/src/net/store/store_client.cpp
+++ b/src/net/store/store_client.cpp
@@ -11,252 +11,258 @@
 using namespace std::chrono_literals;
 using hingelink::Outcome;
 
-constexpr std::size_t kUnsentMost = 1 << 20;
+constexpr std::size_t kMaxUnsentBytes = 1 << 20;  // Per connection.
 
 }  // namespace
 
-StoreClient::StoreClient(event_base* base, const sockaddr_in& store, std::uint64_t seed, Ended ended)
+StoreClient::StoreClient(event_base* base, const sockaddr_in& store, std::uint64_t seed,
+                         FinishedCallback finished)
     : base_(base),
       address_(store),
-      ended_(std::move(ended)),
-      draw_(seed),
-      backoff_([this] { return std::generate_canonical<double, 32>(draw_); }),
-      events_{.refused = [this](StoreConnection& c) { Refused(c); },
-              .lost = [this](StoreConnection& c) { Lost(c); },
-              .reply = [this](StoreConnection& c, const proto::StoreReply& reply) { Took(c, reply); },
-              .look = [this](StoreConnection& c) { Look(c); }},
-      reconnect_(base,
-                 [this] {
-                   waiting_ = false;
-                   PlaceWaiting();
-                 }),
-      limit_(base, [this] { EndDue(); }) {}
+      finished_(std::move(finished)),
+      random_(seed),
+      backoff_([this] { return std::generate_canonical<double, 32>(random_); }),
+      events_{.connect_failed = [this](StoreConnection& c) { OnConnectFailed(c); },
+              .lost = [this](StoreConnection& c) { OnConnectionLost(c); },
+              .reply = [this](StoreConnection& c, const proto::StoreReply& reply) { OnReply(c, reply); },
+              .silent = [this](StoreConnection& c) { OnSilenceTimeout(c); }},
+      reconnect_timer_(base,
+                       [this] {
+                         reconnect_pending_ = false;
+                         WriteWaitingCalls();
+                       }),
+      deadline_timer_(base, [this] { FinishDueCalls(); }) {}
 
 StoreClient::~StoreClient() {
-  for (const auto* all : {&open_, &retiring_}) {
+  for (const auto* all : {&open_connections_, &retiring_}) {
     for (const ConnectionPtr& connection : *all) connection->Stop();
   }
 }
 
-bool StoreClient::up() const {
-  return std::any_of(open_.begin(), open_.end(), [](const ConnectionPtr& c) { return c->connected(); });
+bool StoreClient::connected() const {
+  return std::any_of(open_connections_.begin(), open_connections_.end(),
+                     [](const ConnectionPtr& c) { return c->connected(); });
 }
 
-void StoreClient::Call(std::uint64_t req, Millis limit, std::string_view body) {
+void StoreClient::Call(std::uint64_t req, Millis timeout, std::string_view body) {
   Abandon(req);
   ++counts_.calls;
   const Steady::time_point now = Steady::now();
-  Out& call = calls_[req];
+  PendingCall& call = calls_[req];
   call.body = body;
-  call.since = now;
-  call.until = now + std::chrono::duration_cast<Steady::duration>(std::max(Millis(1), limit));
-  due_.insert({call.until, req});
-  Place(req, call);
-  Arm();
+  call.started = now;
+  call.deadline = now + std::chrono::duration_cast<Steady::duration>(std::max(Millis(1), timeout));
+  deadlines_.insert({call.deadline, req});
+  Write(req, call);
+  ScheduleDeadline();
 }
 
-void StoreClient::Place(std::uint64_t req, Out& call) {
-  StoreConnection* on = ConnectionFor(req);
-  if (on == nullptr) return;
-  // Guards against a store that takes nothing: what would pile up here is never written, and said to be so.
-  if (on->unsent() > kUnsentMost) return EndLater(req);
-  call.on = on;
-  // What is left of the wait: a call that waited for this connection has less of it.
-  on->Write(req, Millis(call.until - Steady::now()), call.body);
-  on->ListenFor(silence_.timeout());
+void StoreClient::Write(std::uint64_t req, PendingCall& call) {
+  StoreConnection* connection = ConnectionFor(req);
+  if (connection == nullptr) return;
+  // If the store reads nothing, new calls are not written, so that the unsent bytes do not pile up.
+  if (connection->unsent() > kMaxUnsentBytes) return FinishUnwrittenLater(req);
+  call.connection = connection;
+  // The store receives the remaining time of the call, which is less than its timeout if the call has waited
+  // for a connection.
+  connection->Write(req, Millis(call.deadline - Steady::now()), call.body);
+  connection->StartSilenceTimer(unresponsive_detector_.timeout());
   call.body.clear();
 }
 
-void StoreClient::PlaceWaiting() {
+void StoreClient::WriteWaitingCalls() {
   std::vector<std::uint64_t> waiting;
   for (const auto& [req, call] : calls_) {
-    if (call.on == nullptr) waiting.push_back(req);
+    if (call.connection == nullptr) waiting.push_back(req);
   }
   std::sort(waiting.begin(), waiting.end());
-  for (const std::uint64_t req : waiting) Place(req, calls_.at(req));
-  Arm();
+  for (const std::uint64_t req : waiting) Write(req, calls_.at(req));
+  ScheduleDeadline();
 }
 
 StoreConnection* StoreClient::ConnectionFor(std::uint64_t req) {
-  std::vector<decide::ConnectionCandidate> places;
-  for (const ConnectionPtr& connection : open_)
-    places.push_back({connection->calls(), connection->GaveUp(req)});
-  const std::size_t at = decide::SelectConnection(places, !waiting_ && backoff_.healthy());
-  if (at != decide::kNewConnection) return open_[at].get();
-  if (waiting_) return nullptr;
-  // Each that stands is barred for this request.
-  if (open_.size() >= decide::kMaxUpstreamConnections) Retire(*open_.front(), Millis(0));
+  std::vector<decide::ConnectionCandidate> candidates;
+  for (const ConnectionPtr& connection : open_connections_)
+    candidates.push_back({connection->calls(), connection->AbandonedRecently(req)});
+  const std::size_t at = decide::SelectConnection(candidates, !reconnect_pending_ && backoff_.healthy());
+  if (at != decide::kNewConnection) return open_connections_[at].get();
+  if (reconnect_pending_) return nullptr;
+  // All connections are excluded for this request.
+  if (open_connections_.size() >= decide::kMaxUpstreamConnections)
+    Retire(*open_connections_.front(), Millis(0));
   ++counts_.connects;
-  open_.push_back(std::make_unique<StoreConnection>(base_, address_, events_, replies_));
-  if (open_.back()->good()) return open_.back().get();
-  Refused(*open_.back());
+  open_connections_.push_back(std::make_unique<StoreConnection>(base_, address_, events_, replies_));
+  if (open_connections_.back()->usable()) return open_connections_.back().get();
+  OnConnectFailed(*open_connections_.back());
   return nullptr;
 }
 
-void StoreClient::EndLater(std::uint64_t req) {
-  never_written_.push_back(req);
-  limit_.Start(0ms);
+void StoreClient::FinishUnwrittenLater(std::uint64_t req) {
+  unwritten_calls_.push_back(req);
+  deadline_timer_.Start(0ms);
 }
 
 void StoreClient::Abandon(std::uint64_t req) {
   const auto it = calls_.find(req);
   if (it == calls_.end()) return;
   ++counts_.dropped;
-  if (it->second.on != nullptr) it->second.on->Over(req, true);
-  Forget(it);
+  if (it->second.connection != nullptr) it->second.connection->EndCall(req, true);
+  EraseCall(it);
 }
 
-void StoreClient::Forget(Calls::iterator it) {
-  due_.erase({it->second.until, it->first});
+void StoreClient::EraseCall(Calls::iterator it) {
+  deadlines_.erase({it->second.deadline, it->first});
   calls_.erase(it);
 }
 
-void StoreClient::End(Calls::iterator it, Outcome outcome, std::string_view reply) {
+void StoreClient::FinishCall(Calls::iterator it, Outcome outcome, std::string_view reply) {
   const std::uint64_t req = it->first;
-  const Millis elapsed = Steady::now() - it->second.since;
-  Forget(it);
-  ended_(req, outcome, elapsed, reply);
+  const Millis elapsed = Steady::now() - it->second.started;
+  EraseCall(it);
+  finished_(req, outcome, elapsed, reply);
 }
 
-void StoreClient::EndDue() {
+void StoreClient::FinishDueCalls() {
   const Steady::time_point now = Steady::now();
-  for (const std::uint64_t req : std::exchange(never_written_, {})) {
-    if (const auto it = calls_.find(req); it != calls_.end() && it->second.on == nullptr) {
+  for (const std::uint64_t req : std::exchange(unwritten_calls_, {})) {
+    if (const auto it = calls_.find(req); it != calls_.end() && it->second.connection == nullptr) {
       ++counts_.refused;
-      End(it, Outcome::kConnectFailed);
+      FinishCall(it, Outcome::kConnectFailed);
     }
   }
-  while (!due_.empty() && due_.begin()->first <= now) {
-    const auto it = calls_.find(due_.begin()->second);
-    StoreConnection* on = it->second.on;
-    if (on == nullptr) {
-      // Never written: it waited for a connection.
+  while (!deadlines_.empty() && deadlines_.begin()->first <= now) {
+    const auto it = calls_.find(deadlines_.begin()->second);
+    StoreConnection* connection = it->second.connection;
+    if (connection == nullptr) {
+      // The call was never written, because it waited for a connection.
       ++counts_.refused;
-      End(it, Outcome::kConnectFailed);
+      FinishCall(it, Outcome::kConnectFailed);
       continue;
     }
     ++counts_.late;
-    on->Over(it->first, true);
-    End(it, Outcome::kTimeout);
+    connection->EndCall(it->first, true);
+    FinishCall(it, Outcome::kTimeout);
   }
-  Arm();
+  ScheduleDeadline();
 }
 
-void StoreClient::Arm() {
-  if (!never_written_.empty()) {
-    limit_.Start(0ms);
-  } else if (due_.empty()) {
-    limit_.Stop();
+void StoreClient::ScheduleDeadline() {
+  if (!unwritten_calls_.empty()) {
+    deadline_timer_.Start(0ms);
+  } else if (deadlines_.empty()) {
+    deadline_timer_.Stop();
   } else {
-    limit_.Start(std::max<Steady::duration>(due_.begin()->first - Steady::now(), 0ms));
+    deadline_timer_.Start(std::max<Steady::duration>(deadlines_.begin()->first - Steady::now(), 0ms));
   }
 }
 
-// The next try after a while; one wait for all connections that fail together.
-void StoreClient::Failed() {
-  if (std::exchange(waiting_, true)) return;
-  reconnect_.Start(std::chrono::duration_cast<Steady::duration>(backoff_.OnFailure()));
+// Delays the next attempt to connect. Connections that fail at the same time share one delay.
+void StoreClient::ScheduleReconnect() {
+  if (std::exchange(reconnect_pending_, true)) return;
+  reconnect_timer_.Start(std::chrono::duration_cast<Steady::duration>(backoff_.OnFailure()));
 }
 
-std::pair<bool, std::vector<std::uint64_t>> StoreClient::TakeOut(StoreConnection& connection) {
+std::pair<bool, std::vector<std::uint64_t>> StoreClient::RemoveConnection(StoreConnection& connection) {
   connection.Stop();
-  const bool took_calls = !connection.retiring();
-  std::vector<ConnectionPtr>& from = took_calls ? open_ : retiring_;
+  const bool took_new_calls = !connection.retiring();
+  std::vector<ConnectionPtr>& from = took_new_calls ? open_connections_ : retiring_;
   const auto at =
       std::find_if(from.begin(), from.end(), [&](const ConnectionPtr& c) { return c.get() == &connection; });
   if (at != from.end()) {
-    over_.push_back(std::move(*at));
+    ended_connections_.push_back(std::move(*at));
     from.erase(at);
   }
-  std::vector<std::uint64_t> on;
+  std::vector<std::uint64_t> calls;
   for (const auto& [req, call] : calls_) {
-    if (call.on == &connection) on.push_back(req);
+    if (call.connection == &connection) calls.push_back(req);
   }
-  std::sort(on.begin(), on.end());
-  return {took_calls, std::move(on)};
+  std::sort(calls.begin(), calls.end());
+  return {took_new_calls, std::move(calls)};
 }
 
-// Nobody listens: what waited for this connection never ran, nor what waits for any.
-void StoreClient::Refused(StoreConnection& connection) {
-  if (!std::exchange(failing_, true)) log::Warn("store-refused");
-  for (const std::uint64_t req : TakeOut(connection).second) {
-    calls_.at(req).on = nullptr;
-    never_written_.push_back(req);
+// The store does not accept connections. The calls of this connection did not run. Calls that wait for a
+// connection end as well if no other connection is open.
+void StoreClient::OnConnectFailed(StoreConnection& connection) {
+  if (!std::exchange(failure_logged_, true)) log::Warn("store-refused");
+  for (const std::uint64_t req : RemoveConnection(connection).second) {
+    calls_.at(req).connection = nullptr;
+    unwritten_calls_.push_back(req);
   }
-  if (open_.empty()) {
+  if (open_connections_.empty()) {
     for (const auto& [req, call] : calls_) {
-      if (call.on == nullptr) never_written_.push_back(req);
+      if (call.connection == nullptr) unwritten_calls_.push_back(req);
     }
-    std::sort(never_written_.begin(), never_written_.end());
+    std::sort(unwritten_calls_.begin(), unwritten_calls_.end());
   }
-  Failed();
-  Arm();
+  ScheduleReconnect();
+  ScheduleDeadline();
 }
 
-// Broken, closed by the store, or idle for long. What was out on it may have run.
-void StoreClient::Lost(StoreConnection& connection) {
-  const auto [took_calls, ends] = TakeOut(connection);
-  if (ends.empty()) return;
-  log::Warn("store-connection-lost", {{"calls", ends.size()}});
-  if (took_calls) Failed();
-  for (const std::uint64_t req : ends) {
+// The connection is broken, was closed by the store, or was idle for too long. Its calls may have run.
+void StoreClient::OnConnectionLost(StoreConnection& connection) {
+  const auto [took_new_calls, lost_calls] = RemoveConnection(connection);
+  if (lost_calls.empty()) return;
+  log::Warn("store-connection-lost", {{"calls", lost_calls.size()}});
+  if (took_new_calls) ScheduleReconnect();
+  for (const std::uint64_t req : lost_calls) {
     const auto it = calls_.find(req);
     if (it == calls_.end()) continue;
     ++counts_.broken;
-    End(it, Outcome::kReset);
+    FinishCall(it, Outcome::kReset);
   }
-  Arm();
+  ScheduleDeadline();
 }
 
-void StoreClient::Retire(StoreConnection& connection, Millis patience) {
+void StoreClient::Retire(StoreConnection& connection, Millis timeout) {
   if (!connection.connected()) {
-    // Its calls have gone nowhere yet: they go over another.
-    for (const std::uint64_t req : TakeOut(connection).second) calls_.at(req).on = nullptr;
+    // Its calls have not been sent yet and can use another connection.
+    for (const std::uint64_t req : RemoveConnection(connection).second) calls_.at(req).connection = nullptr;
     return;
   }
-  const auto at = std::find_if(open_.begin(), open_.end(),
+  const auto at = std::find_if(open_connections_.begin(), open_connections_.end(),
                                [&](const ConnectionPtr& c) { return c.get() == &connection; });
   retiring_.push_back(std::move(*at));
-  open_.erase(at);
-  connection.Retire(patience);
-  if (retiring_.size() > kMaxRetiringConnections) Lost(*retiring_.front());
+  open_connections_.erase(at);
+  connection.Retire(timeout);
+  if (retiring_.size() > kMaxRetiringConnections) OnConnectionLost(*retiring_.front());
 }
 
-// Guards against a connection whose other end is gone without a word: no call would ever end well again.
-void StoreClient::Look(StoreConnection& connection) {
+// Retires or closes a connection whose peer has disappeared without closing it. All calls on such a
+// connection would time out.
+void StoreClient::OnSilenceTimeout(StoreConnection& connection) {
   if (connection.calls() == 0) return;
   using Verdict = decide::UnresponsiveConnectionDetector::Verdict;
-  const Millis patience = silence_.timeout();
-  const Verdict verdict = silence_.Evaluate(
-      Steady::now() - connection.heard(), connection.left_after(),
-      !connection.retiring() && retiring_.size() < kMaxRetiringConnections, connection.overtaken());
-  if (verdict == Verdict::kClose) return Lost(connection);
+  const Millis timeout = unresponsive_detector_.timeout();
+  const Verdict verdict = unresponsive_detector_.Evaluate(
+      Steady::now() - connection.last_received(), connection.retired_after(),
+      !connection.retiring() && retiring_.size() < kMaxRetiringConnections, connection.overtaking_replies());
+  if (verdict == Verdict::kClose) return OnConnectionLost(connection);
   if (verdict == Verdict::kStopUsing) {
-    ++counts_.silent;
+    ++counts_.unresponsive;
     log::Warn("store-silent", {{"calls", connection.calls()}});
-    Retire(connection, patience);
-    if (!connection.good()) return PlaceWaiting();
+    Retire(connection, timeout);
+    if (!connection.usable()) return WriteWaitingCalls();
   }
-  connection.ListenFor(connection.left_after() > Millis(0) ? connection.left_after() : patience);
+  connection.StartSilenceTimer(connection.retired_after() > Millis(0) ? connection.retired_after() : timeout);
 }
 
 void StoreClient::ChangeAddress(const sockaddr_in& store) {
   address_ = store;
-  while (!open_.empty()) Retire(*open_.front(), Millis(0));
-  PlaceWaiting();
+  while (!open_connections_.empty()) Retire(*open_connections_.front(), Millis(0));
+  WriteWaitingCalls();
 }
 
-void StoreClient::Took(StoreConnection& connection, const proto::StoreReply& reply) {
+void StoreClient::OnReply(StoreConnection& connection, const proto::StoreReply& reply) {
   const auto it = calls_.find(reply.request_id);
-  // Of a call that was given up, or was made anew since.
-  if (it == calls_.end() || it->second.on != &connection) return;
+  // The call was abandoned, or replaced by a new call.
+  if (it == calls_.end() || it->second.connection != &connection) return;
   backoff_.OnSuccess();
   if (reply.status != proto::StoreReplyStatus::kBusy && reply.status != proto::StoreReplyStatus::kNotRun) {
     ++replies_;
-    silence_.OnReply(Steady::now() - it->second.since);
+    unresponsive_detector_.OnReply(Steady::now() - it->second.started);
   }
-  if (std::exchange(failing_, false)) log::Info("store-answers-again");
-  connection.Over(reply.request_id, false);
+  if (std::exchange(failure_logged_, false)) log::Info("store-answers-again");
+  connection.EndCall(reply.request_id, false);
   Outcome outcome = Outcome::kError;
   switch (reply.status) {
     case proto::StoreReplyStatus::kOk:
@@ -279,10 +285,10 @@
       outcome = Outcome::kConnectFailed;
       break;
   }
-  End(it, outcome, reply.body);
-  Arm();
+  FinishCall(it, outcome, reply.body);
+  ScheduleDeadline();
 }
 
-void StoreClient::FreeEndedConnections() { over_.clear(); }
+void StoreClient::FreeEndedConnections() { ended_connections_.clear(); }
 
 }  // namespace hingelink::net
--- a/src/net/store/store_client.h
+++ b/src/net/store/store_client.h
@@ -1,18 +1,22 @@
-// Calls to the store that all nodes share, over a few connections. Each call has a limit of its own, kept
-// here, as the store keeps none.
+// The client of the store that all nodes share. It sends upstream calls over a few connections. The store has
+// no timeout for calls, so the client keeps one for each call.
 //
-// What each end of a call tells (Outcome): kOk with the reply; kFull (BUSY) and kConnectFailed (VOID,
-// refused, or never written) prove that it never ran; kTimeout (limit, LATE), kError (ERR) and kReset (broken
-// off) prove nothing. Every call ends once, or is dropped by Abandon(), or replaced by a second call for its
-// request.
+// Each call ends exactly once, unless it is abandoned by Abandon() or replaced by a new call of its request.
+// The outcome shows whether the call may have run:
+// - kOk: the call has run, and the reply is passed on.
+// - kFull (reply BUSY), kConnectFailed (reply VOID, connection refused, or call never written): it did not
+// run.
+// - kTimeout (timeout of the client, or reply LATE), kError (reply ERR), kReset (connection lost): it may
+// have run.
 //
-// Which connection a call goes over is decide::SelectConnection's; when a silent one is left, and when its
-// calls are broken off, decide::UnresponsiveConnectionDetector's; when to try again at a store that fails,
-// ReconnectBackoff's: until then calls wait, and a try that is refused ends all that wait.
+// decide::SelectConnection chooses the connection of a call. decide::UnresponsiveConnectionDetector decides
+// when an unresponsive connection is no longer used, and when its calls fail. decide::ReconnectBackoff delays
+// the reconnects to a failed store. During the delay, calls wait for a connection; if the next attempt is
+// refused, all waiting calls end.
 //
-// Bounds: calls are as many as the module lets out. Unsent bytes of a connection above kUnsentMost: a new
-// call ends at once as never written. Connections: decide::kMaxUpstreamConnections, and
-// kMaxRetiringConnections retiring ones.
+// Limits: the decision module limits the number of calls. If a connection has more than kMaxUnsentBytes
+// unsent bytes, a new call ends as never written. At most decide::kMaxUpstreamConnections connections take
+// new calls, and at most kMaxRetiringConnections are retiring.
 #ifndef HINGELINK_NET_STORE_STORE_CLIENT_H_
 #define HINGELINK_NET_STORE_STORE_CLIENT_H_
 
@@ -36,85 +40,97 @@
 
 namespace hingelink::net {
 
+// Not thread-safe: used on the thread of the event loop only.
 class StoreClient {
  public:
   using Millis = std::chrono::duration<double, std::milli>;
-  // From the loop, never from within Call() or Abandon(). `reply` is good during the call only.
-  using Ended = std::function<void(std::uint64_t req, hingelink::Outcome outcome, Millis elapsed,
-                                   std::string_view reply)>;
+  // Called from the event loop, never from within Call() or Abandon(). `elapsed`: time since Call(). `reply`
+  // is valid during the call only.
+  using FinishedCallback = std::function<void(std::uint64_t req, hingelink::Outcome outcome, Millis elapsed,
+                                              std::string_view reply)>;
   struct Counts {
+    // `refused`: calls that did not run. `broken`: calls on lost connections. `dropped`: abandoned calls.
     std::uint64_t calls = 0, ok = 0, busy = 0, errors = 0, late = 0, refused = 0, broken = 0, dropped = 0;
-    std::uint64_t connects = 0, silent = 0;  // The latter: connections that were left as silent.
+    // `connects`: attempts to connect. `unresponsive`: connections that were retired as unresponsive.
+    std::uint64_t connects = 0, unresponsive = 0;
   };
   static constexpr std::size_t kMaxRetiringConnections = decide::kMaxUpstreamConnections;
 
-  StoreClient(event_base* base, const sockaddr_in& store, std::uint64_t seed, Ended ended);
+  // `seed`: for the random numbers of the reconnect backoff.
+  StoreClient(event_base* base, const sockaddr_in& store, std::uint64_t seed, FinishedCallback finished);
   ~StoreClient();
   StoreClient(const StoreClient&) = delete;
   StoreClient& operator=(const StoreClient&) = delete;
 
-  // A call for `req`; one that is still out for it is given up without a word.
-  void Call(std::uint64_t req, Millis limit, std::string_view body);
-  // Gives a call up without a word. Does nothing where none is out.
+  // Starts a call of the request `req`. A call of this request that is in flight is abandoned.
+  void Call(std::uint64_t req, Millis timeout, std::string_view body);
+  // Abandons the call of the request without calling FinishedCallback. Does nothing if none is in flight.
   void Abandon(std::uint64_t req);
-  // Another address from now on. Calls that are out stay on the connections they went over.
+  // New calls go to this address. Calls in flight stay on their connections.
   void ChangeAddress(const sockaddr_in& store);
 
-  // Frees the connections that ended since the last call. Not to be called from within a callback.
+  // Frees the connections that ended since the last call. Must not be called from a callback.
   void FreeEndedConnections();
 
+  // Calls in flight, including those that wait for a connection.
   std::size_t in_flight() const { return calls_.size(); }
-  bool up() const;
+  bool connected() const;
   // Connections that take new calls.
-  std::size_t open() const { return open_.size(); }
+  std::size_t open_connections() const { return open_connections_.size(); }
   const Counts& counts() const { return counts_; }
 
  private:
   using ConnectionPtr = std::unique_ptr<StoreConnection>;
-  struct Out {
-    StoreConnection* on = nullptr;  // Null: waits for a connection, with its body.
-    std::string body;
-    Steady::time_point since{};
-    Steady::time_point until{};
+  struct PendingCall {
+    StoreConnection* connection = nullptr;  // Null while the call waits for a connection.
+    std::string body;                       // Empty once the call is written.
+    Steady::time_point started{};
+    Steady::time_point deadline{};
   };
-  using Calls = std::unordered_map<std::uint64_t, Out>;
+  using Calls = std::unordered_map<std::uint64_t, PendingCall>;
 
-  // Writes a call over a connection, or leaves it waiting for one.
-  void Place(std::uint64_t req, Out& call);
-  void PlaceWaiting();
+  // Writes the call to a connection, or leaves it waiting if there is none.
+  void Write(std::uint64_t req, PendingCall& call);
+  void WriteWaitingCalls();
+  // Returns the connection for a call, and opens one if needed. Null while the client waits to reconnect, and
+  // if the attempt to connect fails at once.
   StoreConnection* ConnectionFor(std::uint64_t req);
-  void End(Calls::iterator it, hingelink::Outcome outcome, std::string_view reply = {});
-  void Forget(Calls::iterator it);
-  void EndDue();
-  void Arm();
-  // Ends a call in the loop's next round, never from within Call(), as never written.
-  void EndLater(std::uint64_t req);
-  void Failed();
-  // Takes a connection out, stopped. Gives whether it took new calls, and the calls that were on it.
-  std::pair<bool, std::vector<std::uint64_t>> TakeOut(StoreConnection& connection);
-  void Refused(StoreConnection& connection);
-  void Lost(StoreConnection& connection);
-  // It takes no new calls; `patience`: where it was silent for so long.
-  void Retire(StoreConnection& connection, Millis patience);
-  void Look(StoreConnection& connection);
-  void Took(StoreConnection& connection, const proto::StoreReply& reply);
+  void FinishCall(Calls::iterator it, hingelink::Outcome outcome, std::string_view reply = {});
+  void EraseCall(Calls::iterator it);
+  // Ends the calls whose timeout has expired, and those in unwritten_calls_.
+  void FinishDueCalls();
+  // Sets the timer to the next call of FinishDueCalls().
+  void ScheduleDeadline();
+  // Ends a call as never written from the event loop, because Call() must not call FinishedCallback.
+  void FinishUnwrittenLater(std::uint64_t req);
+  void ScheduleReconnect();
+  // Stops and removes a connection. Returns whether it took new calls, and the request ids of its calls.
+  std::pair<bool, std::vector<std::uint64_t>> RemoveConnection(StoreConnection& connection);
+  void OnConnectFailed(StoreConnection& connection);
+  void OnConnectionLost(StoreConnection& connection);
+  // The connection takes no new calls from now on. `timeout`: how long nothing was received on it; 0 if it is
+  // retired for another reason.
+  void Retire(StoreConnection& connection, Millis timeout);
+  void OnSilenceTimeout(StoreConnection& connection);
+  void OnReply(StoreConnection& connection, const proto::StoreReply& reply);
 
   event_base* base_;
   sockaddr_in address_;
-  Ended ended_;
-  std::mt19937_64 draw_;
+  FinishedCallback finished_;
+  std::mt19937_64 random_;
   decide::ReconnectBackoff backoff_;
-  decide::UnresponsiveConnectionDetector silence_;
-  std::uint64_t replies_ = 0;  // But for those that turned a call away, which come at once.
-  Calls calls_;
-  std::set<std::pair<Steady::time_point, std::uint64_t>> due_;
+  decide::UnresponsiveConnectionDetector unresponsive_detector_;
+  // Replies on all connections. Rejections are not counted, because the store sends them at once.
+  std::uint64_t replies_ = 0;
+  Calls calls_;                                                       // By request id.
+  std::set<std::pair<Steady::time_point, std::uint64_t>> deadlines_;  // With request ids.
   StoreConnection::Events events_;
-  std::vector<ConnectionPtr> open_, retiring_, over_;
-  std::vector<std::uint64_t> never_written_;  // To be ended in the loop's next round.
-  Timer reconnect_;
-  Timer limit_;
-  bool waiting_ = false;  // For the next try to connect.
-  bool failing_ = false;  // Said so in the log.
+  std::vector<ConnectionPtr> open_connections_, retiring_, ended_connections_;
+  std::vector<std::uint64_t> unwritten_calls_;  // To be ended by FinishDueCalls().
+  Timer reconnect_timer_;
+  Timer deadline_timer_;
+  bool reconnect_pending_ = false;  // New connections wait for reconnect_timer_.
+  bool failure_logged_ = false;     // Until the next reply, further failures are not logged.
   Counts counts_;
 };
 
--- a/src/net/store/store_connection.cpp
+++ b/src/net/store/store_connection.cpp
@@ -10,13 +10,14 @@
 
 using namespace std::chrono_literals;
 
-// The store closes what is idle for 10 s; this side does so before.
-constexpr auto kIdle = 8s;
-constexpr std::size_t kReadAhead = 2 * (proto::kMaxStoreLineBytes + proto::kMaxStoreReplyBytes);
-constexpr StoreConnection::Millis kLookLeast{25};  // Between looks at one that is silent.
-// For so long a reply may still be on its way behind a DROP; and how many of those are kept in mind.
-constexpr auto kCrossing = 2s;
-constexpr std::size_t kGivenUpKept = 256;
+// The store closes a connection after 10 s without a call. The client closes it earlier.
+constexpr auto kIdleTimeout = 8s;
+constexpr std::size_t kReadBufferBytes = 2 * (proto::kMaxStoreLineBytes + proto::kMaxStoreReplyBytes);
+constexpr StoreConnection::Millis kMinSilenceDelay{25};  // Between two checks of an unresponsive connection.
+// A reply that the store sent before it read the DROP arrives within this time at the latest.
+constexpr auto kMaxReplyDelay = 2s;
+// Abandoned calls that a connection remembers.
+constexpr std::size_t kMaxAbandonedCalls = 256;
 
 }  // namespace
 
@@ -25,107 +26,112 @@
     : events_(events),
       replies_(replies),
       bev_(bufferevent_socket_new(base, -1, BEV_OPT_CLOSE_ON_FREE)),
-      idle_(base, [this] { events_.lost(*this); }),
-      silence_(base, [this] {
-        listening_ = false;
-        events_.look(*this);
+      idle_timer_(base, [this] { events_.lost(*this); }),
+      silence_timer_(base, [this] {
+        silence_timer_running_ = false;
+        events_.silent(*this);
       }) {
   if (!bev_) return;
   bufferevent_setcb(
       bev_.get(), [](bufferevent*, void* self) { static_cast<StoreConnection*>(self)->Read(); }, nullptr,
-      [](bufferevent*, short what, void* self) { static_cast<StoreConnection*>(self)->Event(what); }, this);
-  // Guards against an answer that counts as overdue because gateways flood the loop.
+      [](bufferevent*, short events, void* self) { static_cast<StoreConnection*>(self)->OnEvent(events); },
+      this);
+  // With normal priority, replies would be read too late and count as overdue while gateways keep the event
+  // loop busy.
   bufferevent_priority_set(bev_.get(), kHighPriority);
-  bufferevent_setwatermark(bev_.get(), EV_READ, 0, kReadAhead);
+  bufferevent_setwatermark(bev_.get(), EV_READ, 0, kReadBufferBytes);
   bufferevent_enable(bev_.get(), EV_READ | EV_WRITE);
-  good_ = bufferevent_socket_connect(bev_.get(), reinterpret_cast<const sockaddr*>(&address),
-                                     sizeof address) == 0;
-  RestIfIdle();
+  usable_ = bufferevent_socket_connect(bev_.get(), reinterpret_cast<const sockaddr*>(&address),
+                                       sizeof address) == 0;
+  StartIdleTimerIfIdle();
 }
 
-void StoreConnection::Write(std::uint64_t req, Millis left, std::string_view body) {
-  // From the first call on, and then from each byte that comes.
-  if (calls_++ == 0) Heard();
-  idle_.Stop();
-  Send(bev_.get(), proto::EncodeStoreCallHeader(req, left, body.size()));
+void StoreConnection::Write(std::uint64_t req, Millis remaining, std::string_view body) {
+  // The time without a received byte starts with the first call.
+  if (calls_++ == 0) RecordReceive();
+  idle_timer_.Stop();
+  Send(bev_.get(), proto::EncodeStoreCallHeader(req, remaining, body.size()));
   Send(bev_.get(), body);
   Send(bev_.get(), "\r\n");
 }
 
-void StoreConnection::Over(std::uint64_t req, bool given_up) {
+void StoreConnection::EndCall(std::uint64_t req, bool abandoned) {
   --calls_;
-  if (given_up && good_) {
+  if (abandoned && usable_) {
     Send(bev_.get(), proto::EncodeStoreDropCommand(req));
-    given_up_.push_back({Steady::now(), req});
-    if (given_up_.size() > kGivenUpKept) given_up_.pop_front();
+    abandoned_calls_.push_back({Steady::now(), req});
+    if (abandoned_calls_.size() > kMaxAbandonedCalls) abandoned_calls_.pop_front();
   }
-  RestIfIdle();
+  StartIdleTimerIfIdle();
 }
 
-bool StoreConnection::GaveUp(std::uint64_t req) {
+bool StoreConnection::AbandonedRecently(std::uint64_t req) {
   const Steady::time_point now = Steady::now();
-  while (!given_up_.empty() && now - given_up_.front().first > kCrossing) given_up_.pop_front();
-  return std::any_of(given_up_.begin(), given_up_.end(), [req](const auto& g) { return g.second == req; });
+  while (!abandoned_calls_.empty() && now - abandoned_calls_.front().first > kMaxReplyDelay)
+    abandoned_calls_.pop_front();
+  return std::any_of(abandoned_calls_.begin(), abandoned_calls_.end(),
+                     [req](const auto& g) { return g.second == req; });
 }
 
 void StoreConnection::Stop() {
   if (!bev_) return;
-  good_ = false;
-  idle_.Stop();
-  silence_.Stop();
+  usable_ = false;
+  idle_timer_.Stop();
+  silence_timer_.Stop();
   bufferevent_setcb(bev_.get(), nullptr, nullptr, nullptr, nullptr);
   bufferevent_disable(bev_.get(), EV_READ | EV_WRITE);
-  // At once: closing gives up what is still out on it.
+  // Closed at once and not when the object is freed, so that the store drops the calls in flight.
   if (const auto fd = bufferevent_getfd(bev_.get()); fd >= 0) evutil_closesocket(fd);
   bufferevent_setfd(bev_.get(), -1);
 }
 
-void StoreConnection::Retire(Millis patience) {
+void StoreConnection::Retire(Millis timeout) {
   retiring_ = true;
-  left_after_ = patience;
-  RestIfIdle();
+  retired_after_ = timeout;
+  StartIdleTimerIfIdle();
 }
 
-void StoreConnection::ListenFor(Millis silent) {
-  if (std::exchange(listening_, true)) return;
-  silence_.Start(std::chrono::duration_cast<Steady::duration>(
-      std::max(kLookLeast, silent - Millis(Steady::now() - heard_))));
+void StoreConnection::StartSilenceTimer(Millis duration) {
+  if (std::exchange(silence_timer_running_, true)) return;
+  silence_timer_.Start(std::chrono::duration_cast<Steady::duration>(
+      std::max(kMinSilenceDelay, duration - Millis(Steady::now() - last_received_))));
 }
 
-void StoreConnection::RestIfIdle() {
-  if (calls_ == 0 && good_) idle_.Start(retiring_ ? Steady::duration(0) : Steady::duration(kIdle));
+void StoreConnection::StartIdleTimerIfIdle() {
+  if (calls_ == 0 && usable_)
+    idle_timer_.Start(retiring_ ? Steady::duration(0) : Steady::duration(kIdleTimeout));
 }
 
-void StoreConnection::Event(short what) {
-  if ((what & BEV_EVENT_CONNECTED) != 0) {
+void StoreConnection::OnEvent(short events) {
+  if ((events & BEV_EVENT_CONNECTED) != 0) {
     SetNoDelay(bufferevent_getfd(bev_.get()));
     connected_ = true;
-    Heard();
+    RecordReceive();
   } else if (connected_) {
     events_.lost(*this);
   } else {
-    events_.refused(*this);
+    events_.connect_failed(*this);
   }
 }
 
-void StoreConnection::Heard() {
-  heard_ = Steady::now();
-  replies_then_ = replies_;
+void StoreConnection::RecordReceive() {
+  last_received_ = Steady::now();
+  replies_at_last_receive_ = replies_;
 }
 
 void StoreConnection::Read() {
-  Heard();
-  while (good_) {
+  RecordReceive();
+  while (usable_) {
     std::size_t size = 0;
     const proto::StoreMessage message = proto::ParseStoreReply(ReceivedBytes(bev_.get()), size);
     if (std::holds_alternative<proto::IncompleteStoreReply>(message)) return;
-    if (const auto* bad = std::get_if<proto::MalformedStoreReply>(&message)) {
-      log::PeerEvent("store-bad-line", {{"what", bad->reason}});
+    if (const auto* malformed = std::get_if<proto::MalformedStoreReply>(&message)) {
+      log::PeerEvent("store-bad-line", {{"what", malformed->reason}});
       events_.lost(*this);
       return;
     }
     events_.reply(*this, std::get<proto::StoreReply>(message));
-    if (good_) Consume(bev_.get(), size);
+    if (usable_) Consume(bev_.get(), size);
   }
 }
 
--- a/src/net/store/store_connection.h
+++ b/src/net/store/store_connection.h
@@ -1,8 +1,9 @@
-// One connection to the store: lines out, replies in, and how long it has been silent or idle. Which calls go
-// over it, and what their ends mean, is its owner's.
+// A connection to the store. It writes calls, reads replies, and measures how long nothing was received and
+// how long it was idle. Its owner chooses the calls of the connection and handles their ends.
 //
-// States: connecting -> up -> retiring (takes no new calls) -> stopped. An idle connection tells so before
-// the store would close it, so that no call crosses the close.
+// States: connecting -> connected -> retiring (takes no new calls) -> stopped. An idle connection reports
+// itself as lost before the store would close it, so that no call is sent while the store closes the
+// connection.
 #ifndef HINGELINK_NET_STORE_STORE_CONNECTION_H_
 #define HINGELINK_NET_STORE_STORE_CONNECTION_H_
 
@@ -18,67 +19,82 @@
 
 namespace hingelink::net {
 
+// Not thread-safe: used on the thread of the event loop only.
 class StoreConnection {
  public:
   using Millis = std::chrono::duration<double, std::milli>;
-  // From the loop, never from within the calls below. After `refused` and `lost` the owner stops it.
+  // Called from the event loop, never from within a method of the connection. After `connect_failed` and
+  // `lost`, the owner calls Stop().
   struct Events {
-    std::function<void(StoreConnection&)> refused;  // Never connected: what was written never ran.
-    std::function<void(StoreConnection&)> lost;     // Broken, closed, unreadable, or idle for long.
+    // The connection was never established: its calls did not run.
+    std::function<void(StoreConnection&)> connect_failed;
+    // The connection is broken, was closed by the store, received a malformed reply, or was idle for too
+    // long.
+    std::function<void(StoreConnection&)> lost;
     std::function<void(StoreConnection&, const proto::StoreReply&)> reply;
-    std::function<void(StoreConnection&)> look;  // Whether it counts as silent; see ListenOn().
+    // The time of StartSilenceTimer() has passed. The owner checks whether the connection is unresponsive.
+    std::function<void(StoreConnection&)> silent;
   };
 
-  // `replies` counts those on all connections of the owner.
+  // `replies`: counter of the replies on all connections of the owner. `events` and `replies` must outlive
+  // the connection.
   StoreConnection(event_base* base, const sockaddr_in& address, const Events& events,
                   const std::uint64_t& replies);
   StoreConnection(const StoreConnection&) = delete;
   StoreConnection& operator=(const StoreConnection&) = delete;
 
-  // `left`: what is left of the call's wait.
-  void Write(std::uint64_t req, Millis left, std::string_view body);
-  // One of its calls is over. `given_up`: the store still has it.
-  void Over(std::uint64_t req, bool given_up);
-  // Whether a call of this request was given up on it lately. Guards against the reply to that one, on its
-  // way by then, which would be taken for the reply to the request's next call.
-  bool GaveUp(std::uint64_t req);
-  // No more callbacks; at the store, what is still out on it is given up.
+  // Writes a call. `remaining`: the time until its timeout.
+  void Write(std::uint64_t req, Millis remaining, std::string_view body);
+  // A call of this connection is over. `abandoned`: the store has not replied yet, and is sent a DROP.
+  void EndCall(std::uint64_t req, bool abandoned);
+  // Whether a call of this request was recently abandoned on this connection. A new call of the request must
+  // use another connection: a late reply to the abandoned call would be taken for the reply to the new call.
+  bool AbandonedRecently(std::uint64_t req);
+  // Closes the connection, which makes the store drop its calls. No events are called from now on.
   void Stop();
-  // Takes no new calls, as it was silent for `patience`, or for another reason (0).
-  void Retire(Millis patience);
-  // Calls `look` once it has been silent for so long, at once where it has.
-  void ListenFor(Millis silent);
+  // The owner sends no new calls on this connection, which is lost once it has no calls. `timeout`: how long
+  // nothing was received; 0 if the connection is retired for another reason.
+  void Retire(Millis timeout);
+  // Calls Events::silent when nothing was received for `duration`, or almost at once if that time has already
+  // passed. Does nothing if the timer is running.
+  void StartSilenceTimer(Millis duration);
 
-  bool good() const { return good_; }
+  // Whether the connection has neither failed to start nor been stopped.
+  bool usable() const { return usable_; }
   bool connected() const { return connected_; }
   bool retiring() const { return retiring_; }
-  Millis left_after() const { return left_after_; }
+  // The timeout that was passed to Retire(), or 0.
+  Millis retired_after() const { return retired_after_; }
+  // Calls in flight.
   std::size_t calls() const { return calls_; }
+  // Unsent bytes.
   std::size_t unsent() const { return UnsentBytes(bev_.get()); }
-  Steady::time_point heard() const { return heard_; }
-  // Replies that came on others since this one was last heard.
-  std::uint64_t overtaken() const { return replies_ - replies_then_; }
+  // When the last byte was received, or the first call was written to the idle connection.
+  Steady::time_point last_received() const { return last_received_; }
+  // Replies on other connections since the last byte was received on this one.
+  std::uint64_t overtaking_replies() const { return replies_ - replies_at_last_receive_; }
 
  private:
-  void Heard();
-  void RestIfIdle();
+  void RecordReceive();
+  void StartIdleTimerIfIdle();
   void Read();
-  void Event(short what);
+  void OnEvent(short events);
 
   const Events& events_;
   const std::uint64_t& replies_;
-  std::uint64_t replies_then_ = 0;
+  std::uint64_t replies_at_last_receive_ = 0;
   BufferPtr bev_;
-  Timer idle_;
-  Timer silence_;
-  bool listening_ = false;
+  Timer idle_timer_;
+  Timer silence_timer_;
+  bool silence_timer_running_ = false;
   std::size_t calls_ = 0;
-  bool good_ = false;
+  bool usable_ = false;
   bool connected_ = false;
   bool retiring_ = false;
-  Millis left_after_{0};
-  Steady::time_point heard_ = Steady::now();
-  std::deque<std::pair<Steady::time_point, std::uint64_t>> given_up_;  // Lately.
+  Millis retired_after_{0};
+  Steady::time_point last_received_ = Steady::now();
+  std::deque<std::pair<Steady::time_point, std::uint64_t>>
+      abandoned_calls_;  // Recent ones, with request ids.
 };
 
 }  // namespace hingelink::net
--- a/tests/net/store_client_test.cpp
+++ b/tests/net/store_client_test.cpp
@@ -138,7 +138,7 @@
 TEST_F(StoreClientTest, AnIdleConnectionIsClosedFromThisSideAndTheNextCallOpensOne) {
   Call(1);
   Turn([&] { return ends.size() == 1; });
-  Turn([&] { return !client->up(); });
+  Turn([&] { return !client->connected(); });
   Call(2);
   Turn([&] { return ends.size() == 2; });
   EXPECT_EQ(ends[2].outcome, Outcome::kOk);
@@ -153,7 +153,7 @@
   EXPECT_EQ(store.counts().connections, 1u);
   store.Silence();
   Call(21, 60s);
-  Turn([&] { return client->counts().silent == 1; });
+  Turn([&] { return client->counts().unresponsive == 1; });
   Call(22, 60s);
   Turn([&] { return ends.count(22) != 0; });
   EXPECT_EQ(ends[22].outcome, Outcome::kOk);
@@ -191,7 +191,7 @@
   store.SetWork(Millis(400));
   for (std::uint64_t req = 100; req < 116; ++req) Call(req, 60s);
   Turn([&] { return client->in_flight() == 0; });
-  EXPECT_GT(client->counts().silent, 0u);  // Left, as they look dead for a while; but not broken off.
+  EXPECT_GT(client->counts().unresponsive, 0u);  // Left, as they look dead for a while; but not broken off.
   EXPECT_EQ(client->counts().broken, 0u);
   EXPECT_EQ(client->counts().ok, 56u);
 }
