--- a/src/net/store/store_client.h
+++ b/src/net/store/store_client.h
@@ -49,7 +49,8 @@
   using FinishedCallback = std::function<void(std::uint64_t req, hingelink::Outcome outcome, Millis elapsed,
                                               std::string_view reply)>;
   struct Counts {
-    // `refused`: calls that did not run. `broken`: calls on lost connections. `dropped`: abandoned calls.
+    // `refused`: calls that did not run for another reason than `busy`. `broken`: calls on lost connections.
+    // `dropped`: abandoned calls.
     std::uint64_t calls = 0, ok = 0, busy = 0, errors = 0, late = 0, refused = 0, broken = 0, dropped = 0;
     // `connects`: attempts to connect. `unresponsive`: connections that were retired as unresponsive.
     std::uint64_t connects = 0, unresponsive = 0;
@@ -108,8 +109,8 @@
   std::pair<bool, std::vector<std::uint64_t>> RemoveConnection(StoreConnection& connection);
   void OnConnectFailed(StoreConnection& connection);
   void OnConnectionLost(StoreConnection& connection);
-  // The connection takes no new calls from now on. `timeout`: how long nothing was received on it; 0 if it is
-  // retired for another reason.
+  // The connection takes no new calls from now on. `timeout`: the time without a received byte after which
+  // it is retired; 0 if it is retired for another reason. A connection that is not established is removed.
   void Retire(StoreConnection& connection, Millis timeout);
   void OnSilenceTimeout(StoreConnection& connection);
   void OnReply(StoreConnection& connection, const proto::StoreReply& reply);
--- a/src/net/store/store_connection.h
+++ b/src/net/store/store_connection.h
@@ -52,8 +52,8 @@
   bool AbandonedRecently(std::uint64_t req);
   // Closes the connection, which makes the store drop its calls. No events are called from now on.
   void Stop();
-  // The owner sends no new calls on this connection, which is lost once it has no calls. `timeout`: how long
-  // nothing was received; 0 if the connection is retired for another reason.
+  // The owner sends no new calls on this connection, which is lost once it has no calls. `timeout`: the time
+  // without a received byte after which it is retired; 0 if it is retired for another reason.
   void Retire(Millis timeout);
   // Calls Events::silent when nothing was received for `duration`, or almost at once if that time has already
   // passed. Does nothing if the timer is running.
--- a/tests/net/pool_group_test.cpp
+++ b/tests/net/pool_group_test.cpp
@@ -1,4 +1,5 @@
-// Several stand-ins of worker pools as one: where runs go, and that each runs once.
+// Tests of PoolGroup with several simulated worker pools: which pool runs an execution, and that each
+// execution runs once.
 #include "net/pool_group.h"
 
 #include <gtest/gtest.h>
@@ -15,44 +16,46 @@
 
 using namespace std::chrono_literals;
 
-class GroupTest : public testing::Test {
+class PoolGroupTest : public testing::Test {
  protected:
-  // Pools of one core each, told to the group in this order.
-  void Make(std::size_t count, const std::function<void(std::size_t, standin::PoolOptions&)>& tune = {},
-            decide::LoadBalancerOptions spread = {}) {
+  // Creates a group of pools with two cores each. `configure` may change the options of each pool.
+  void CreateGroup(std::size_t count,
+                   const std::function<void(std::size_t, standin::PoolOptions&)>& configure = {},
+                   decide::LoadBalancerOptions load_balancing = {}) {
     PoolGroupOptions options;
     for (std::size_t i = 0; i < count; ++i) {
       standin::PoolOptions pool;
       pool.cores.count = 2;
       pool.listen = {"127.0.0.1:0", "127.0.0.1:0"};
-      if (tune) tune(i, pool);
+      if (configure) configure(i, pool);
       pools_.push_back(std::make_unique<standin::Pool>(base_.get(), pool));
       options.services.push_back({"s" + std::to_string(i), "", 2, pools_[i]->address()});
     }
     services_ = options.services;
-    options.load_balancing = spread;
+    options.load_balancing = load_balancing;
     options.self = "n0";
     options.fail_after = fail_after_;
     options.random = [this] {
-      return draw_ = draw_ * 6364136223846793005ULL + 1442695040888963407ULL, draw_ >> 16 | draw_ << 48;
+      return random_state_ = random_state_ * 6364136223846793005ULL + 1442695040888963407ULL,
+             random_state_ >> 16 | random_state_ << 48;
     };
     PoolEvents events;
-    events.bound = [this](bool) { ++bound_; };
+    events.bound = [this](bool) { ++bound_events_; };
     events.finished = [this](const proto::RunFinished& run) {
-      ended_[run.request_id].push_back(run.outcome == proto::RunOutcome::kComplete ? std::string(run.result)
-                                                                                   : "error");
+      results_[run.request_id].push_back(run.outcome == proto::RunOutcome::kComplete ? std::string(run.result)
+                                                                                     : "error");
     };
-    events.spawn_unknown = [this](std::uint64_t req) { ended_[req].push_back("unknown"); };
+    events.spawn_unknown = [this](std::uint64_t req) { results_[req].push_back("unknown"); };
     events.ready = [this] {
-      for (auto& [req, run] : runs_) {
-        if (!ended_.contains(req) && !group_->Processed(run.mark)) Send(req);
+      for (auto& [req, execution] : executions_) {
+        if (!results_.contains(req) && !group_->Processed(execution.mark)) SpawnExecution(req);
       }
     };
     PoolGroupCallbacks callbacks;
     callbacks.restart_execution = [this](std::uint64_t req) {
-      ++again_;
-      if (nobody_waits_) return false;
-      Send(req);
+      ++restarts_;
+      if (no_caller_waits_) return false;
+      SpawnExecution(req);
       return true;
     };
     callbacks.is_idempotent = [](std::string_view kind) { return kind != "write"; };
@@ -61,27 +64,28 @@
     };
     group_.emplace(base_.get(), std::move(options), std::move(events), std::move(callbacks));
   }
-  void Send(std::uint64_t req) {
-    Run& run = runs_[req];
-    run.mark = group_->Spawn(req, run.kind, run.body);
+  void SpawnExecution(std::uint64_t req) {
+    Execution& execution = executions_[req];
+    execution.mark = group_->Spawn(req, execution.kind, execution.body);
   }
-  std::uint64_t Start(const char* kind = "read", double work = 5) {
-    const std::uint64_t req = 1000 + runs_.size();
-    runs_[req] = {kind, standin::WorkBody(standin::Millis(work), "x" + std::to_string(req)), 0};
-    Send(req);
+  std::uint64_t StartExecution(const char* kind = "read", double work = 5) {
+    const std::uint64_t req = 1000 + executions_.size();
+    executions_[req] = {kind, standin::WorkBody(standin::Millis(work), "x" + std::to_string(req)), 0};
+    SpawnExecution(req);
     return req;
   }
-  bool Until(const std::function<bool()>& done) {
-    Timer late(base_.get(), [] {});
+  // Runs the event loop until the condition holds, for 20 s at most.
+  bool RunUntil(const std::function<bool()>& done) {
+    Timer timer(base_.get(), [] {});
     const auto end = Steady::now() + 20s;
     while (!done() && Steady::now() < end) {
-      late.Start(10ms);
+      timer.Start(10ms);
       event_base_loop(base_.get(), EVLOOP_ONCE);
     }
     return done();
   }
-  bool AllUp() {
-    return Until([this] {
+  bool RunUntilConnected() {
+    return RunUntil([this] {
       const auto& ids = group_->load_balancer().active_endpoints();
       return std::all_of(ids.begin(), ids.end(), [this](auto id) {
         return group_->load_balancer().Snapshot(group_->Now(), id).state !=
@@ -89,176 +93,177 @@
       });
     });
   }
-  bool AllEnded() {
-    return Until([this] { return ended_.size() == runs_.size(); });
+  bool RunUntilAllEnded() {
+    return RunUntil([this] { return results_.size() == executions_.size(); });
   }
-  std::uint64_t Started() const {
+  std::uint64_t StartedExecutions() const {
     std::uint64_t all = 0;
     for (const auto& pool : pools_) all += pool->counts().started;
     return all;
   }
-  // Each has one end, and each good one is what a run of it gives.
-  void ExpectOneEndEach() {
-    for (const auto& [req, ends] : ended_) {
-      EXPECT_EQ(ends.size(), 1u) << req;
-      const bool well = ends[0] != "error" && ends[0] != "unknown";
-      EXPECT_TRUE(!well || ends[0] == standin::ResultOf(req, runs_[req].body)) << req;
+  // Each execution has ended once, and each successful one has the result of its body.
+  void ExpectOneValidResultEach() {
+    for (const auto& [req, results] : results_) {
+      EXPECT_EQ(results.size(), 1u) << req;
+      const bool succeeded = results[0] != "error" && results[0] != "unknown";
+      EXPECT_TRUE(!succeeded || results[0] == standin::ResultOf(req, executions_[req].body)) << req;
     }
   }
 
-  struct Run {
+  struct Execution {
     std::string kind, body;
     WorkerPool::CommandMark mark = 0;
   };
   BasePtr base_ = MakeBase();
-  std::uint64_t draw_ = 99;
+  std::uint64_t random_state_ = 99;
   std::vector<std::unique_ptr<standin::Pool>> pools_;
   std::vector<ServiceEndpoint> services_;
   std::optional<PoolGroup> group_;
-  std::map<std::uint64_t, Run> runs_;
-  std::map<std::uint64_t, std::vector<std::string>> ended_;
+  std::map<std::uint64_t, Execution> executions_;
+  std::map<std::uint64_t, std::vector<std::string>> results_;
   std::chrono::milliseconds fail_after_{30'000};
-  bool nobody_waits_ = false;
-  int bound_ = 0, again_ = 0;
+  bool no_caller_waits_ = false;
+  int bound_events_ = 0, restarts_ = 0;
 };
 
-TEST_F(GroupTest, RunsGoToAllAndEachHasItsOwnResult) {
-  Make(4);
+TEST_F(PoolGroupTest, ExecutionsAreDistributedToAllPoolsAndEachReturnsItsOwnResult) {
+  CreateGroup(4);
   EXPECT_FALSE(group_->ready());
-  ASSERT_TRUE(AllUp());
-  EXPECT_EQ(bound_, 1);  // The module begins once.
+  ASSERT_TRUE(RunUntilConnected());
+  EXPECT_EQ(bound_events_, 1);  // The decision module is started once.
   for (int i = 0; i < 200; ++i) {
-    Start();
-    ASSERT_TRUE(i % 4 != 3 || AllEnded());
+    StartExecution();
+    ASSERT_TRUE(i % 4 != 3 || RunUntilAllEnded());
   }
-  ASSERT_TRUE(AllEnded());
-  ExpectOneEndEach();
+  ASSERT_TRUE(RunUntilAllEnded());
+  ExpectOneValidResultEach();
   for (const auto& pool : pools_) EXPECT_GT(pool->counts().started, 5u);
-  EXPECT_EQ(Started(), 200u);
+  EXPECT_EQ(StartedExecutions(), 200u);
   EXPECT_EQ(group_->in_flight(), 0u);
 }
 
-TEST_F(GroupTest, WhatOneDoesNotKnowRunsOnceElsewhereWithinTheBudget) {
-  decide::LoadBalancerOptions spread;
-  spread.max_retry_budget = 6;
-  spread.policy = decide::Policy::kRandom;
-  spread.max_ejected_fraction = 0;  // It is tried again and again.
-  // The first knows no class of ours.
-  Make(
+TEST_F(PoolGroupTest, ExecutionRejectedByOnePoolRunsOnceElsewhereWithinRetryBudget) {
+  decide::LoadBalancerOptions load_balancing;
+  load_balancing.max_retry_budget = 6;
+  load_balancing.policy = decide::Policy::kRandom;
+  load_balancing.max_ejected_fraction = 0;  // The rejecting pool is not ejected.
+  // The first pool does not know the class of the executions.
+  CreateGroup(
       2, [](std::size_t i, standin::PoolOptions& pool) { pool.classes = {i == 0 ? "other" : "write"}; },
-      spread);
-  ASSERT_TRUE(AllUp());
+      load_balancing);
+  ASSERT_TRUE(RunUntilConnected());
   std::size_t unknown = 0;
   for (int i = 0; i < 100; ++i) {
-    const std::uint64_t req = Start("write");
-    ASSERT_TRUE(AllEnded());
-    unknown += ended_[req][0] == "unknown" ? 1 : 0;
+    const std::uint64_t req = StartExecution("write");
+    ASSERT_TRUE(RunUntilAllEnded());
+    unknown += results_[req][0] == "unknown" ? 1 : 0;
   }
-  ExpectOneEndEach();
-  EXPECT_GT(again_, 5);
+  ExpectOneValidResultEach();
+  EXPECT_GT(restarts_, 5);
   EXPECT_GT(unknown, 10u);
-  EXPECT_LE(static_cast<double>(again_), spread.max_retry_budget + 0.1 * 100);
+  EXPECT_LE(static_cast<double>(restarts_), load_balancing.max_retry_budget + 0.1 * 100);
   EXPECT_EQ(pools_[1]->counts().started, 100 - unknown);
 }
 
-TEST_F(GroupTest, WhatMayRunTwiceLeavesAServiceThatIsAwayAndAWriteWaitsForIt) {
-  Make(2);
-  ASSERT_TRUE(AllUp());
+TEST_F(PoolGroupTest, IdempotentExecutionsLeaveDisconnectedServiceAndWritesStay) {
+  CreateGroup(2);
+  ASSERT_TRUE(RunUntilConnected());
   std::set<std::uint64_t> writes;
   for (int i = 0; i < 4; ++i) {
-    Start("read", 300);
-    writes.insert(Start("write", 300));
+    StartExecution("read", 300);
+    writes.insert(StartExecution("write", 300));
   }
-  const std::uint64_t before = Started();
-  ASSERT_TRUE(Until([&] { return Started() == 8; })) << before;
-  // The first is gone for good, with what it had.
+  const std::uint64_t before = StartedExecutions();
+  ASSERT_TRUE(RunUntil([&] { return StartedExecutions() == 8; })) << before;
+  // The first pool disappears for good with its executions.
   const std::uint64_t lost = pools_[0]->counts().started;
   ASSERT_GT(lost, 0u);
   pools_[0].reset();
-  ASSERT_TRUE(Until([&] { return ended_.size() >= 8 - writes.size() && again_ > 0; }));
-  // Two seconds are more than enough for a write that would be sent anew.
+  ASSERT_TRUE(RunUntil([&] { return results_.size() >= 8 - writes.size() && restarts_ > 0; }));
+  // A write that is restarted by mistake would be sent within this time.
   const auto until = group_->Now() + decide::Milliseconds(1'000);
-  Until([&] { return group_->Now() > until; });
-  ExpectOneEndEach();
-  for (const auto& [req, run] : runs_) {
-    EXPECT_TRUE(run.kind != "read" || ended_.contains(req)) << req;
+  RunUntil([&] { return group_->Now() > until; });
+  ExpectOneValidResultEach();
+  for (const auto& [req, execution] : executions_) {
+    EXPECT_TRUE(execution.kind != "read" || results_.contains(req)) << req;
   }
-  // No write is anywhere but where it was sent first.
+  // Writes at the lost pool have not ended and are still in flight.
   std::uint64_t writes_ended = 0;
-  for (const std::uint64_t req : writes) writes_ended += ended_.contains(req) ? 1 : 0;
+  for (const std::uint64_t req : writes) writes_ended += results_.contains(req) ? 1 : 0;
   EXPECT_LT(writes_ended, 4u);
   EXPECT_EQ(group_->in_flight(), 4 - writes_ended);
 }
 
-TEST_F(GroupTest, WhatAServiceOwesThatNeverComesBackEndsOnceAndRunsNowhereElse) {
+TEST_F(PoolGroupTest, ExecutionsOfLostServiceFailOnceAndRunNowhereElse) {
   fail_after_ = 700ms;
-  nobody_waits_ = true;  // So that reads stay there, too.
-  Make(2);
-  ASSERT_TRUE(AllUp());
+  no_caller_waits_ = true;  // So that reads stay at the lost pool as well.
+  CreateGroup(2);
+  ASSERT_TRUE(RunUntilConnected());
   for (int i = 0; i < 4; ++i) {
-    Start("read", 300);
-    Start("write", 300);
+    StartExecution("read", 300);
+    StartExecution("write", 300);
   }
-  ASSERT_TRUE(Until([&] { return Started() == 8; }));
+  ASSERT_TRUE(RunUntil([&] { return StartedExecutions() == 8; }));
   const std::uint64_t lost = pools_[0]->counts().started;
   ASSERT_GT(lost, 0u);
   pools_[0].reset();
-  ASSERT_TRUE(AllEnded());
-  ExpectOneEndEach();
+  ASSERT_TRUE(RunUntilAllEnded());
+  ExpectOneValidResultEach();
   std::uint64_t errors = 0;
-  for (const auto& [req, ends] : ended_) errors += ends[0] == "error" ? 1 : 0;
+  for (const auto& [req, results] : results_) errors += results[0] == "error" ? 1 : 0;
   EXPECT_EQ(errors, lost);
   EXPECT_EQ(pools_[1]->counts().started, 8 - lost);
   EXPECT_EQ(group_->in_flight(), 0u);
 }
 
-TEST_F(GroupTest, WhatNeverRanEndsThoughNobodyWaitsForIt) {
-  nobody_waits_ = true;
-  Make(2, [](std::size_t, standin::PoolOptions& pool) { pool.classes = {"other"}; });
-  ASSERT_TRUE(AllUp());
-  for (int i = 0; i < 10; ++i) Start();
-  ASSERT_TRUE(AllEnded());
-  EXPECT_GT(again_, 0);
+TEST_F(PoolGroupTest, ExecutionThatNeverRanEndsEvenIfNoCallerWaits) {
+  no_caller_waits_ = true;
+  CreateGroup(2, [](std::size_t, standin::PoolOptions& pool) { pool.classes = {"other"}; });
+  ASSERT_TRUE(RunUntilConnected());
+  for (int i = 0; i < 10; ++i) StartExecution();
+  ASSERT_TRUE(RunUntilAllEnded());
+  EXPECT_GT(restarts_, 0);
   EXPECT_EQ(group_->in_flight(), 0u);
-  ExpectOneEndEach();
+  ExpectOneValidResultEach();
 }
 
-TEST_F(GroupTest, ABrokenLinkLosesNothingAndStartsNothingTwice) {
-  Make(3);
-  ASSERT_TRUE(AllUp());
+TEST_F(PoolGroupTest, BrokenLinkLosesNoExecutionAndStartsNoneTwice) {
+  CreateGroup(3);
+  ASSERT_TRUE(RunUntilConnected());
   for (int round = 0; round < 30; ++round) {
-    for (int i = 0; i < 6; ++i) Start(i % 2 == 0 ? "read" : "write", 8);
-    // Read, and not yet told: such a run is undone with the link, as the protocol has it.
-    ASSERT_TRUE(Until([&, all = runs_.size()] { return Started() >= all; }));
+    for (int i = 0; i < 6; ++i) StartExecution(i % 2 == 0 ? "read" : "write", 8);
+    // The pool has read the commands but not reported their ends. By the protocol, the pool discards such
+    // executions when the link breaks.
+    ASSERT_TRUE(RunUntil([&, all = executions_.size()] { return StartedExecutions() >= all; }));
     standin::PoolFault broken;
     broken.kind = standin::PoolFault::Kind::kBreakLinks;
     pools_[static_cast<std::size_t>(round) % 3]->Cause(broken);
-    ASSERT_TRUE(AllEnded()) << round;
+    ASSERT_TRUE(RunUntilAllEnded()) << round;
   }
-  ExpectOneEndEach();
+  ExpectOneValidResultEach();
   std::uint64_t swallowed = 0;
   for (const auto& pool : pools_) swallowed += pool->counts().swallowed;
   EXPECT_GT(swallowed, 0u);
-  // What was undone does not count there as started.
-  EXPECT_EQ(Started(), runs_.size() + static_cast<std::uint64_t>(again_));
+  // Discarded executions are not counted as started.
+  EXPECT_EQ(StartedExecutions(), executions_.size() + static_cast<std::uint64_t>(restarts_));
 }
 
-TEST_F(GroupTest, AChangedListIsFollowedWithAnswersUnderWay) {
-  Make(5);
-  ASSERT_TRUE(AllUp());
+TEST_F(PoolGroupTest, ServiceListChangesWithExecutionsInFlight) {
+  CreateGroup(5);
+  ASSERT_TRUE(RunUntilConnected());
   for (int round = 0; round < 40; ++round) {
-    for (int i = 0; i < 3; ++i) Start();
+    for (int i = 0; i < 3; ++i) StartExecution();
     std::vector<ServiceEndpoint> fewer(services_);
     fewer.erase(fewer.begin() + round % 5);
     group_->SetServices(round % 2 == 0 ? fewer : services_);
-    Until([&, ended = ended_.size()] { return ended_.size() > ended; });
+    RunUntil([&, ended = results_.size()] { return results_.size() > ended; });
   }
-  ASSERT_TRUE(AllEnded());
-  ExpectOneEndEach();
+  ASSERT_TRUE(RunUntilAllEnded());
+  ExpectOneValidResultEach();
   group_->SetServices({services_[0]});
-  ASSERT_TRUE(Until([this] { return group_->link_count() == 1; }));
-  Start();
-  EXPECT_TRUE(AllEnded());
+  ASSERT_TRUE(RunUntil([this] { return group_->link_count() == 1; }));
+  StartExecution();
+  EXPECT_TRUE(RunUntilAllEnded());
 }
 
 }  // namespace
--- a/tests/net/upstream_lifecycle_test.cpp
+++ b/tests/net/upstream_lifecycle_test.cpp
@@ -1,6 +1,6 @@
-// The node's own links, to the worker pool and to the registry, against peers that are down, hang, reset, cut
-// an answer short or fall silent. Real sockets; each peer is played step by step, and waits are for events,
-// not for time.
+// Tests of the node's connections to the worker pool and to the registry with peers that are unreachable,
+// hang, reset connections or send truncated responses. The peers are scripted over real sockets, and the
+// tests wait for events and not for fixed times.
 #include <gtest/gtest.h>
 
 #include <memory>
@@ -32,20 +32,20 @@
   ~RegistryLifecycleTest() override {
     host_.Do([this] { client_.reset(); });
   }
-  // Reads one whole call, and gives its body.
-  static std::string ReadCall(Socket& at) {
+  // Reads one complete report and returns its body.
+  static std::string ReadReport(Socket& connection) {
     std::size_t length = 0;
-    EXPECT_EQ(at.Line(), "PUT /v1/instances/n3 HTTP/1.1");
-    for (std::string line = at.Line(); !line.empty(); line = at.Line()) {
+    EXPECT_EQ(connection.Line(), "PUT /v1/instances/n3 HTTP/1.1");
+    for (std::string line = connection.Line(); !line.empty(); line = connection.Line()) {
       constexpr std::string_view kLength = "Content-Length: ";
       if (line.starts_with(kLength)) length = std::stoul(line.substr(kLength.size()));
     }
-    return at.Bytes(length);
+    return connection.Bytes(length);
   }
-  bool Good() {
-    bool good = false;
-    host_.Do([&] { good = client_->good(); });
-    return good;
+  bool LastReportSucceeded() {
+    bool succeeded = false;
+    host_.Do([&] { succeeded = client_->good(); });
+    return succeeded;
   }
 
   Listener registry_;
@@ -53,57 +53,58 @@
   std::unique_ptr<RegistryClient> client_;
 };
 
-const std::string kTaken = "HTTP/1.1 204 No Content\r\nContent-Length: 0\r\n\r\n";
+const std::string kAccepted = "HTTP/1.1 204 No Content\r\nContent-Length: 0\r\n\r\n";
 
-// Each prefix of an answer, then the end or a reset: the call counts as not taken and is made again on a new
-// connection.
-TEST_F(RegistryLifecycleTest, AnAnswerCutAtEachByteIsNoAnswer) {
-  for (std::size_t cut = 0; cut < kTaken.size(); ++cut) {
+// For each prefix of a response, followed by a close or a reset: the report counts as failed and is repeated
+// on a new connection.
+TEST_F(RegistryLifecycleTest, TruncatedResponseCountsAsFailedReport) {
+  for (std::size_t cut = 0; cut < kAccepted.size(); ++cut) {
     Socket connection = registry_.Accept();
-    ReadCall(connection);
-    connection.Write(kTaken.substr(0, cut));
+    ReadReport(connection);
+    connection.Write(kAccepted.substr(0, cut));
     if (cut % 2 == 0) {
       connection.Close();
     } else {
       connection.Reset();
     }
-    EXPECT_FALSE(Good()) << cut;
+    EXPECT_FALSE(LastReportSucceeded()) << cut;
   }
   Socket connection = registry_.Accept();
-  ReadCall(connection);
-  connection.Write(kTaken);
-  ReadCall(connection);  // The next report, on the same connection.
-  EXPECT_TRUE(Good());
+  ReadReport(connection);
+  connection.Write(kAccepted);
+  ReadReport(connection);  // The next report, on the same connection.
+  EXPECT_TRUE(LastReportSucceeded());
 }
 
-// In pieces, with an interim answer before it.
-TEST_F(RegistryLifecycleTest, AnAnswerInPiecesIsTaken) {
+// The response follows an interim response.
+TEST_F(RegistryLifecycleTest, ResponseReceivedByteByByteIsAccepted) {
   Socket connection = registry_.Accept();
-  ReadCall(connection);
-  for (const char byte : "HTTP/1.1 100 Continue\r\n\r\n" + kTaken) connection.Write(std::string(1, byte));
-  EXPECT_EQ(ReadCall(connection), R"({"state":"ready"})");
-  EXPECT_TRUE(Good());
+  ReadReport(connection);
+  for (const char byte : "HTTP/1.1 100 Continue\r\n\r\n" + kAccepted) connection.Write(std::string(1, byte));
+  EXPECT_EQ(ReadReport(connection), R"({"state":"ready"})");
+  EXPECT_TRUE(LastReportSucceeded());
 }
 
-// A registry that accepts and says nothing: each call is given up, and the next goes over a new connection.
-TEST_F(RegistryLifecycleTest, ARegistryThatHangsIsCalledAgain) {
+// A registry accepts connections and does not respond: each report times out, and the next uses a new
+// connection.
+TEST_F(RegistryLifecycleTest, ReportIsRepeatedIfRegistryDoesNotRespond) {
   Socket first = registry_.Accept();
-  ReadCall(first);
-  Socket second = registry_.Accept();  // While the first hangs on.
-  ReadCall(second);
-  EXPECT_FALSE(Good());
-  second.Write(kTaken);
-  ReadCall(second);
-  EXPECT_TRUE(Good());
+  ReadReport(first);
+  Socket second = registry_.Accept();  // The first one is still open.
+  ReadReport(second);
+  EXPECT_FALSE(LastReportSucceeded());
+  second.Write(kAccepted);
+  ReadReport(second);
+  EXPECT_TRUE(LastReportSucceeded());
 }
 
-// The state that a notice to leave sets goes out even where the report before it hangs.
-TEST_F(RegistryLifecycleTest, ADrainIsReportedBehindACallThatHangs) {
+// A node that starts to drain reports this state even if the report before is still unanswered.
+TEST_F(RegistryLifecycleTest, DrainIsReportedWhileEarlierReportIsUnanswered) {
   Socket first = registry_.Accept();
-  EXPECT_EQ(ReadCall(first), R"({"state":"ready"})");
+  EXPECT_EQ(ReadReport(first), R"({"state":"ready"})");
   host_.Do([this] { client_->Drain(); });
   Socket second = registry_.Accept();
-  EXPECT_EQ(ReadCall(second), R"({"state":"draining"})");
+  EXPECT_EQ(ReadReport(second), R"({"state":"draining"})");
 }
 
 // ---- Worker pool ----
@@ -113,10 +114,10 @@
   PoolLifecycleTest() {
     host_.Do([this] {
       PoolEvents events;
-      events.bound = [this](bool) { ++bound_; };
+      events.bound = [this](bool) { ++bound_events_; };
       events.finished = [this](const proto::RunFinished& run) { finished_.emplace_back(run.result); };
       events.spawn_unknown = [](std::uint64_t) {};
-      events.ready = [this] { ++settled_; };
+      events.ready = [this] { ++ready_events_; };
       link_ = std::make_unique<PoolLink>(host_.base(), ParseAddress(pool_.Address()), std::move(events));
     });
   }
@@ -124,43 +125,44 @@
     host_.Do([this] { link_.reset(); });
   }
   template <class Value>
-  void Await(const Value& value, const Value& wanted) {
-    const auto until = Steady::now() + 20s;
-    for (bool reached = false; !reached && Steady::now() < until;) {
-      host_.Do([&] { reached = value == wanted; });
+  void WaitForValue(const Value& value, const Value& expected) {
+    const auto deadline = Steady::now() + 20s;
+    for (bool reached = false; !reached && Steady::now() < deadline;) {
+      host_.Do([&] { reached = value == expected; });
     }
-    host_.Do([&] { EXPECT_EQ(value, wanted); });
+    host_.Do([&] { EXPECT_EQ(value, expected); });
   }
 
   Listener pool_;
   standin::Host host_;
   std::unique_ptr<PoolLink> link_;
-  int bound_ = 0, settled_ = 0;
+  int bound_events_ = 0, ready_events_ = 0;
   std::vector<std::string> finished_;
 };
 
-// A link that is accepted and on which nothing comes: before the pool was ever up that is waited for,
-// afterwards it has died without a word and another is opened.
-TEST_F(PoolLifecycleTest, ALinkThatDiesSilentlyBeforeItIsBoundIsOpenedAgain) {
+// A connection is established, but the pool does not accept the link and sends nothing. Before the pool has
+// ever accepted a link, the node waits. Afterwards it considers the connection broken and opens another.
+TEST_F(PoolLifecycleTest, LinkThatIsNotAcceptedAfterEarlierAcceptanceIsReopened) {
   Socket first = pool_.Accept();
   EXPECT_EQ(first.Line(), "bind 0");
   first.Write("bound hot 1.0\r\n");
-  Await(bound_, 1);
+  WaitForValue(bound_events_, 1);
   first.Close();
   Socket silent = pool_.Accept();
   EXPECT_EQ(silent.Line(), "bind 0");
-  Socket next = pool_.Accept();  // The silent one still stands.
+  Socket next = pool_.Accept();  // The silent one is still open.
   EXPECT_EQ(next.Line(), "bind 0");
 }
 
-// A notice cut at each byte, by an end or a reset: it is taken once, from the link that brings it whole.
-TEST_F(PoolLifecycleTest, ANoticeCutAtEachByteIsTakenOnce) {
+// For each prefix of a notice, followed by a close or a reset: the notice is handled once, when a link
+// delivers it completely.
+TEST_F(PoolLifecycleTest, TruncatedNoticeIsHandledOnceAfterReconnect) {
   const std::string notice = "finished 1 00000000000000a1 complete 3.5 4\r\nwhol\r\n";
   for (std::size_t cut = 0; cut < notice.size(); ++cut) {
     Socket link = pool_.Accept();
     EXPECT_EQ(link.Line(), "bind 0");
     link.Write("bound hot 1.0\r\n" + notice.substr(0, cut));
-    Await(bound_, static_cast<int>(cut) + 1);
+    WaitForValue(bound_events_, static_cast<int>(cut) + 1);
     if (cut % 2 == 0) {
       link.Close();
     } else {
@@ -170,21 +172,20 @@
   Socket link = pool_.Accept();
   EXPECT_EQ(link.Line(), "bind 0");
   link.Write("bound hot 1.0\r\n" + notice);
-  Await(finished_, {"whol"});
+  WaitForValue(finished_, {"whol"});
   link.Close();
   Socket last = pool_.Accept();
   EXPECT_EQ(last.Line(), "bind 1");
 }
 
-// In pieces.
-TEST_F(PoolLifecycleTest, ANoticeInPiecesIsTaken) {
+TEST_F(PoolLifecycleTest, NoticeReceivedByteByByteIsHandled) {
   Socket link = pool_.Accept();
   link.Line();
   for (const char byte :
        std::string("bound hot 1.0\r\nfinished 1 00000000000000a1 complete 3.5 2\r\nok\r\n")) {
     link.Write(std::string(1, byte));
   }
-  Await(finished_, {"ok"});
+  WaitForValue(finished_, {"ok"});
 }
 
 }  // namespace
