--- a/tests/net/store_client_test.cpp
+++ b/tests/net/store_client_test.cpp
@@ -171,7 +171,8 @@
   store.Silence(1);
   std::uint64_t next = 100;
   for (; next < 108; ++next) Call(next, 60s);
-  // Each that results makes room for another, as the module's places do.
+  // Each ended call is replaced by a new one, as the decision module does within its limit of calls in
+  // flight.
   std::size_t replaced = 0;
   RunUntil([&] {
     for (; replaced < results.size(); ++replaced) Call(next++, 60s);
