--- a/src/net/pool_group.cpp
+++ b/src/net/pool_group.cpp
@@ -64,7 +64,8 @@
     }
   }
   // Removed here and not by the next Tick(): if such a service is listed again before the tick, the load
-  // balancer already treats it as new and disconnected, and the old link must not be reused.
+  // balancer already treats it as new and disconnected, while the old record here may still have a ready
+  // link.
   std::erase_if(services_, [this](auto& service) {
     if (service.second.listed || service.second.executions > 0) return false;
     if (service.second.is_ready) --ready_services_;
@@ -131,7 +132,8 @@
 void PoolGroup::OnLinkReady(Id id) {
   SetReady(id, true);
   newly_ready_ = id;
-  // Sends the commands that this service may not have read, and those that were never sent to any service.
+  // The owner now sends the commands that this service may not have read, and the commands that were never
+  // sent to any service.
   events_.ready();
   newly_ready_ = decide::kNoEndpoint;
 }
@@ -139,7 +141,8 @@
 bool PoolGroup::Processed(CommandMark mark) const {
   if (mark == kNeverSent) return false;
   const auto id = static_cast<Id>(mark >> kLinkMarkBits);
-  // Commands to other services must not be sent again.
+  // Only the service whose link has become ready again may have lost commands. Commands to other services
+  // must not be sent again.
   if (id != newly_ready_) return true;
   return services_.at(id).link->Processed(mark & ((CommandMark{1} << kLinkMarkBits) - 1));
 }
--- a/src/net/store/store_client.h
+++ b/src/net/store/store_client.h
@@ -98,7 +98,7 @@
   StoreConnection* ConnectionFor(std::uint64_t req);
   void FinishCall(Calls::iterator it, hingelink::Outcome outcome, std::string_view reply = {});
   void EraseCall(Calls::iterator it);
-  // Ends the calls whose timeout has expired, and those in unwritten_calls_.
+  // Ends the calls whose timeout has expired, and the calls in unwritten_calls_.
   void FinishDueCalls();
   // Sets the timer to the next call of FinishDueCalls().
   void ScheduleDeadline();
--- a/tests/net/upstream_lifecycle_test.cpp
+++ b/tests/net/upstream_lifecycle_test.cpp
@@ -98,7 +98,7 @@
   EXPECT_TRUE(LastReportSucceeded());
 }
 
-// A node that starts to drain reports this state even if the report before is still unanswered.
+// A node that starts to drain reports this state even if the previous report is still unanswered.
 TEST_F(RegistryLifecycleTest, DrainIsReportedWhileEarlierReportIsUnanswered) {
   Socket first = registry_.Accept();
   EXPECT_EQ(ReadReport(first), R"({"state":"ready"})");
