--- a/src/net/pool_group.h
+++ b/src/net/pool_group.h
@@ -6,7 +6,8 @@
 // An execution stays at the service that received it: if the command is sent again, it is sent to the same
 // service, even if the load balancer would now choose another. The execution moves to another service only if
 // the service reports that it was not started, or if the service is disconnected and the class may run twice.
-// Both consume the load balancer's retry budget. Only the first end that is reported for an execution counts.
+// Both consume the load balancer's retry budget. Only the first end that is reported for an execution counts;
+// a failure at the service from which it was restarted is ignored.
 // An execution that stays at a disconnected service ends as an error after PoolGroupOptions::fail_after and
 // is not started elsewhere.
 #ifndef HINGELINK_NET_POOL_GROUP_H_
