--- a/src/net/pool_link.cpp
+++ b/src/net/pool_link.cpp
@@ -85,7 +85,8 @@
   bufferevent_setcb(bev_.get(), nullptr, nullptr, nullptr, nullptr);
   bufferevent_disable(bev_.get(), EV_READ | EV_WRITE);
   closed_bev_ = std::move(bev_);
-  // A link that was never ready carried no commands. Its answers do not show which earlier commands were read.
+  // A link that was never ready carried no commands. Its answers do not show which earlier commands were
+  // read.
   if (ready_) last_answer_before_loss_ = last_answer_;
   const bool was_ready = ready_;
   connected_ = bound_ = ready_ = in_remark_ = false;
