--- a/src/net/ops_server.cpp
+++ b/src/net/ops_server.cpp
@@ -100,9 +100,9 @@
 };
 
 // A listener of its own: libevent's gives its event no priority.
-OpsServer::OpsServer(event_base* base, const sockaddr_in& listen, Answers answers)
+OpsServer::OpsServer(event_base* base, const sockaddr_in& listen, Handlers handlers)
     : base_(base),
-      answers_(std::move(answers)),
+      handlers_(std::move(handlers)),
       listener_(Listen(listen)),
       accept_(event_new(
           base, listener_.get(), EV_READ | EV_PERSIST,
@@ -117,7 +117,7 @@
   while (!connections_.empty()) End(connections_.begin()->first, "shutdown");
 }
 
-void OpsServer::Sweep() { ended_.clear(); }
+void OpsServer::FreeEndedConnections() { ended_.clear(); }
 
 void OpsServer::Accept() {
   for (;;) {
@@ -149,9 +149,9 @@
   const bool readiness = path == "/ops/readiness";
   if (!readiness && path != "/ops/stats") return proto::EncodeAdminResponse(404, "not found\n");
   if (method != "GET") return proto::EncodeAdminResponse(405, "method not allowed\n", "GET");
-  if (!readiness) return proto::EncodeAdminResponse(200, answers_.stats());
-  return answers_.ready() ? proto::EncodeAdminResponse(200, "ready\n")
-                          : proto::EncodeAdminResponse(503, "not ready\n");
+  if (!readiness) return proto::EncodeAdminResponse(200, handlers_.stats());
+  return handlers_.ready() ? proto::EncodeAdminResponse(200, "ready\n")
+                           : proto::EncodeAdminResponse(503, "not ready\n");
 }
 
 std::uint16_t OpsServer::port() const { return LocalPort(listener_.get()); }
--- a/src/net/ops_server.h
+++ b/src/net/ops_server.h
@@ -16,17 +16,17 @@
 
 class OpsServer {
  public:
-  struct Answers {
+  struct Handlers {
     std::function<bool()> ready;         // Whether this process takes clients.
     std::function<std::string()> stats;  // The figures.
   };
 
   // Listens at once. Throws std::runtime_error where it cannot.
-  OpsServer(event_base* base, const sockaddr_in& listen, Answers answers);
+  OpsServer(event_base* base, const sockaddr_in& listen, Handlers handlers);
   ~OpsServer();
 
   // Frees the connections that ended since the last call. Not to be called from within a callback.
-  void Sweep();
+  void FreeEndedConnections();
   std::uint16_t port() const;
 
  private:
@@ -37,7 +37,7 @@
   std::string Response(std::string_view method, std::string_view path) const;
 
   event_base* base_;
-  Answers answers_;
+  Handlers handlers_;
   Descriptor listener_;
   EventPtr accept_;
   Timer listen_again_;
--- a/src/net/registry_client.cpp
+++ b/src/net/registry_client.cpp
@@ -29,14 +29,14 @@
   next_.After(0ms);
 }
 
-void RegistryClient::Drain() {
+void RegistryClient::ReportDraining() {
   draining_ = true;
   report_next_ = waiting_;
   if (!waiting_) Report();
 }
 
 // Not to be called from within the client's own callbacks.
-void RegistryClient::Move(const sockaddr_in& registry, std::string host) {
+void RegistryClient::ChangeAddress(const sockaddr_in& registry, std::string host) {
   address_ = registry;
   host_ = std::move(host);
   Retire("moved");
--- a/src/net/registry_client.h
+++ b/src/net/registry_client.h
@@ -12,11 +12,11 @@
  public:
   RegistryClient(event_base* base, const sockaddr_in& registry, std::string host, std::string name);
   // Reports `draining` from now on, at once.
-  void Drain();
+  void ReportDraining();
   // Reports to another address from now on, at once.
-  void Move(const sockaddr_in& registry, std::string host);
+  void ChangeAddress(const sockaddr_in& registry, std::string host);
   // Whether the last report that ended was taken.
-  bool good() const { return reported_ && !failing_; }
+  bool last_report_succeeded() const { return reported_ && !failing_; }
 
  private:
   void Report();
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -106,8 +106,8 @@
   if (listening_) handover_.Offer(front_->listener());
   if (!config_.admin_address.empty()) {
     admin_server_.emplace(base_.get(), net::ParseAddress(config_.admin_address),
-                          net::OpsServer::Answers{.ready = [this] { return Ready(); },
-                                                  .stats = [this] { return MetricsText(); }});
+                          net::OpsServer::Handlers{.ready = [this] { return Ready(); },
+                                                   .stats = [this] { return MetricsText(); }});
   }
   const auto leave = [](evutil_socket_t, short, void* self) { static_cast<Node*>(self)->StartDrain(); };
   sigterm_ = OnSignal(base_.get(), SIGTERM, leave, this);
@@ -243,7 +243,7 @@
     front_->Sweep();
     for (NodeExtension* extension : extensions_) extension->OnRoundCompleted();
     if (store_) store_->Sweep();
-    if (admin_server_) admin_server_->Sweep();
+    if (admin_server_) admin_server_->FreeEndedConnections();
     // Its runs too must be over: the successor counts them for as long as this process tells of them.
     if (handed_over_ && table_.empty() && front_->AllSent() && front_->connections() == 0) break;
     if (draining_) {
--- a/src/node/node_drain.cpp
+++ b/src/node/node_drain.cpp
@@ -59,7 +59,7 @@
   kill_at_ = Steady::now() + config_.drain_timeout;
   log::Info("drain", {{"stop_ms", config_.drain_timeout.count()}});
   front_->AskForNoMore();
-  registry_.Drain();
+  registry_.ReportDraining();
   return true;
 }
 
@@ -92,7 +92,7 @@
     if (std::exchange(config_.store_address, fresh.store_address) != fresh.store_address)
       ConnectStore(fresh.store_address);
     if (std::exchange(config_.registry_address, fresh.registry_address) != fresh.registry_address) {
-      registry_.Move(registry, fresh.registry_address);
+      registry_.ChangeAddress(registry, fresh.registry_address);
     }
     NotifyLifecyclePhase(NodeExtension::LifecyclePhase::kReloaded);
     return {};
--- a/src/node/node_snapshot.cpp
+++ b/src/node/node_snapshot.cpp
@@ -69,7 +69,7 @@
   if (const auto at = static_cast<std::size_t>(busy - names.begin()); at < gauges.size()) {
     seen.pool_cpu_busy = gauges[at];
   }
-  seen.registry_healthy = registry_.good();
+  seen.registry_healthy = registry_.last_report_succeeded();
   seen.registry_address = config_.registry_address;
   if (draining_) seen.drain = {ms(std::max(Steady::duration(0), kill_at_ - now)), seen.unanswered};
   return seen;
--- a/tests/net/upstream_lifecycle_test.cpp
+++ b/tests/net/upstream_lifecycle_test.cpp
@@ -44,7 +44,7 @@
   }
   bool Good() {
     bool good = false;
-    host_.Do([&] { good = client_->good(); });
+    host_.Do([&] { good = client_->last_report_succeeded(); });
     return good;
   }
 
@@ -101,7 +101,7 @@
 TEST_F(RegistryLifecycleTest, ADrainIsReportedBehindACallThatHangs) {
   Socket first = registry_.Accept();
   EXPECT_EQ(ReadCall(first), R"({"state":"ready"})");
-  host_.Do([this] { client_->Drain(); });
+  host_.Do([this] { client_->ReportDraining(); });
   Socket second = registry_.Accept();
   EXPECT_EQ(ReadCall(second), R"({"state":"draining"})");
 }
