--- a/src/net/ops_server.cpp
+++ b/src/net/ops_server.cpp
@@ -5,6 +5,7 @@
 #include <cerrno>
 #include <cstring>
 #include <stdexcept>
+#include <string>
 #include <utility>
 
 #include "log/log.h"
@@ -15,12 +16,14 @@
 
 using namespace std::chrono_literals;
 
-// Out of the descriptors that are kept from the gateways.
-constexpr std::size_t kMostConnections = 8;
+// Part of the descriptors that are reserved, so that gateway connections cannot use them up.
+constexpr std::size_t kMaxConnections = 8;
 constexpr int kBacklog = 64;
-// From the accept to the end of the response. Guards against callers that connect and finish no call.
-constexpr auto kDeadline = 2s;
-constexpr auto kListenAgain = 50ms;
+// From accepting a connection to the end of the response. Closes connections of callers that never complete a
+// request or never read the response.
+constexpr auto kConnectionTimeout = 2s;
+// Pause of accepting after accept4() failed.
+constexpr auto kAcceptRetryDelay = 50ms;
 
 Descriptor Listen(const sockaddr_in& address) {
   Descriptor fd(socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
@@ -28,7 +31,8 @@
   if (fd.get() < 0 || setsockopt(fd.get(), SOL_SOCKET, SO_REUSEADDR, &on, sizeof on) != 0 ||
       bind(fd.get(), reinterpret_cast<const sockaddr*>(&address), sizeof address) != 0 ||
       listen(fd.get(), kBacklog) != 0) {
-    throw std::runtime_error(std::string("cannot listen for operators: ") + std::strerror(errno));
+    throw std::runtime_error("cannot listen on port " + std::to_string(ntohs(address.sin_port)) +
+                             " of the admin address: " + std::strerror(errno));
   }
   return fd;
 }
@@ -41,28 +45,29 @@
       : server_(server),
         id_(id),
         bev_(bufferevent_socket_new(server.base_, fd, BEV_OPT_CLOSE_ON_FREE)),
-        deadline_(server.base_, [this] { server_.End(id_, answered_ ? "slow-reader" : "deadline"); }) {
+        timeout_timer_(server.base_,
+                       [this] { server_.End(id_, answered_ ? "slow-reader" : "request-timeout"); }) {
     if (!bev_) {
       evutil_closesocket(fd);
-      throw std::runtime_error("libevent: no bufferevent");
+      throw std::runtime_error("libevent: cannot create a bufferevent");
     }
     bufferevent_priority_set(bev_.get(), kUrgent);
     bufferevent_setcb(
-        bev_.get(), [](bufferevent*, void* self) { static_cast<Connection*>(self)->Read(); },
-        [](bufferevent*, void* self) { static_cast<Connection*>(self)->Written(); },
+        bev_.get(), [](bufferevent*, void* self) { static_cast<Connection*>(self)->OnReadable(); },
+        [](bufferevent*, void* self) { static_cast<Connection*>(self)->OnWritten(); },
         [](bufferevent*, short what, void* self) {
-          auto* it = static_cast<Connection*>(self);
-          const char* closed = it->answered_ ? "answered" : "peer-closed";
-          it->server_.End(it->id_, (what & BEV_EVENT_EOF) != 0 ? closed : "reset");
+          auto* connection = static_cast<Connection*>(self);
+          const char* eof_reason = connection->answered_ ? "answered" : "peer-closed";
+          connection->server_.End(connection->id_, (what & BEV_EVENT_EOF) != 0 ? eof_reason : "reset");
         },
         this);
     bufferevent_setwatermark(bev_.get(), EV_READ, 0, proto::kMaxAdminRequestBytes);
     bufferevent_enable(bev_.get(), EV_READ | EV_WRITE);
-    deadline_.After(kDeadline);
+    timeout_timer_.After(kConnectionTimeout);
   }
 
   void Close(const char* reason) {
-    deadline_.Stop();
+    timeout_timer_.Stop();
     bufferevent_setcb(bev_.get(), nullptr, nullptr, nullptr, nullptr);
     bufferevent_disable(bev_.get(), EV_READ | EV_WRITE);
     evutil_closesocket(bufferevent_getfd(bev_.get()));
@@ -71,46 +76,48 @@
   }
 
  private:
-  void Read() {
+  void OnReadable() {
     const std::string_view all = Arrived(bev_.get());
     if (answered_) {
-      // What comes behind the call is let go: closing on unread bytes would reset the response.
+      // Bytes after the request are discarded: closing a socket with unread bytes resets the connection, and
+      // the caller could lose the response.
       Consume(bev_.get(), all.size());
       return;
     }
-    const proto::AdminRequest call = proto::ParseAdminRequest(all);
-    if (call.state == proto::AdminRequest::State::kNeedMore) return;
+    const proto::AdminRequest request = proto::ParseAdminRequest(all);
+    if (request.state == proto::AdminRequest::State::kNeedMore) return;
     answered_ = true;
-    Send(bev_.get(), call.state == proto::AdminRequest::State::kMalformed
+    Send(bev_.get(), request.state == proto::AdminRequest::State::kMalformed
                          ? proto::EncodeAdminResponse(400, "bad request\n")
-                         : server_.Response(call.method, call.path));
+                         : server_.Response(request.method, request.path));
     Consume(bev_.get(), all.size());
   }
 
-  // The caller closes once it has the response; the deadline ends one that does not.
-  void Written() {
+  // Called when the response is written. The caller closes the connection next; the timeout closes it
+  // otherwise.
+  void OnWritten() {
     if (answered_) shutdown(bufferevent_getfd(bev_.get()), SHUT_WR);
   }
 
   OpsServer& server_;
   std::uint64_t id_;
   BufferPtr bev_;
-  Timer deadline_;
+  Timer timeout_timer_;
   bool answered_ = false;
 };
 
-// A listener of its own: libevent's gives its event no priority.
+// Accepts by its own event, because the event of libevent's evconnlistener cannot be given a priority.
 OpsServer::OpsServer(event_base* base, const sockaddr_in& listen, Handlers handlers)
     : base_(base),
       handlers_(std::move(handlers)),
       listener_(Listen(listen)),
-      accept_(event_new(
+      accept_event_(event_new(
           base, listener_.get(), EV_READ | EV_PERSIST,
           [](evutil_socket_t, short, void* self) { static_cast<OpsServer*>(self)->Accept(); }, this)),
-      listen_again_(base, [this] { event_add(accept_.get(), nullptr); }) {
-  if (!accept_) throw std::runtime_error("libevent: no event");
-  event_priority_set(accept_.get(), kUrgent);
-  event_add(accept_.get(), nullptr);
+      accept_retry_timer_(base, [this] { event_add(accept_event_.get(), nullptr); }) {
+  if (!accept_event_) throw std::runtime_error("libevent: cannot create an event");
+  event_priority_set(accept_event_.get(), kUrgent);
+  event_add(accept_event_.get(), nullptr);
 }
 
 OpsServer::~OpsServer() {
@@ -124,14 +131,14 @@
     const evutil_socket_t fd = accept4(listener_.get(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
     if (fd < 0) {
       if (errno == EAGAIN || errno == EINTR || errno == ECONNABORTED) return;
-      // Guards against a loop that spins where descriptors are used up.
+      // Accepting pauses: with no free descriptor the event would fire without end and keep the loop busy.
       log::Warn("ops-accept-failed", {{"error", std::strerror(errno)}});
-      event_del(accept_.get());
-      listen_again_.After(kListenAgain);
+      event_del(accept_event_.get());
+      accept_retry_timer_.After(kAcceptRetryDelay);
       return;
     }
-    // Guards against idle callers that keep out others: the oldest goes.
-    if (connections_.size() >= kMostConnections) End(connections_.begin()->first, "made-room");
+    // The oldest connection is closed, so that idle callers cannot lock out others.
+    if (connections_.size() >= kMaxConnections) End(connections_.begin()->first, "evicted");
     const std::uint64_t id = ++last_id_;
     connections_.emplace(id, std::make_unique<Connection>(*this, id, fd));
   }
--- a/src/net/ops_server.h
+++ b/src/net/ops_server.h
@@ -1,4 +1,5 @@
-// The second address, where operators ask: one HTTP/1.1 call a connection, served ahead of the gateways.
+// HTTP/1.1 server of the admin address: GET /ops/readiness and GET /ops/stats. Answers one request on each
+// connection, before the loop serves gateway connections.
 #ifndef HINGELINK_NET_OPS_SERVER_H_
 #define HINGELINK_NET_OPS_SERVER_H_
 
@@ -14,18 +15,19 @@
 
 namespace hingelink::net {
 
+// All calls on the thread of the event base, which must outlive the object.
 class OpsServer {
  public:
   struct Handlers {
-    std::function<bool()> ready;         // Whether this process takes clients.
-    std::function<std::string()> stats;  // The figures.
+    std::function<bool()> ready;         // Whether this process is ready to serve gateways.
+    std::function<std::string()> stats;  // The metrics, in the Prometheus text format.
   };
 
-  // Listens at once. Throws std::runtime_error where it cannot.
+  // Starts to listen. Throws std::runtime_error if it cannot bind the address or create its event.
   OpsServer(event_base* base, const sockaddr_in& listen, Handlers handlers);
   ~OpsServer();
 
-  // Frees the connections that ended since the last call. Not to be called from within a callback.
+  // Frees the connections that ended since the last call. Must not be called from a libevent callback.
   void FreeEndedConnections();
   std::uint16_t port() const;
 
@@ -39,11 +41,11 @@
   event_base* base_;
   Handlers handlers_;
   Descriptor listener_;
-  EventPtr accept_;
-  Timer listen_again_;
+  EventPtr accept_event_;
+  Timer accept_retry_timer_;
   std::uint64_t last_id_ = 0;
   std::map<std::uint64_t, std::unique_ptr<Connection>> connections_;  // Oldest first.
-  std::vector<std::unique_ptr<Connection>> ended_;
+  std::vector<std::unique_ptr<Connection>> ended_;                    // Freed by FreeEndedConnections().
 };
 
 }  // namespace hingelink::net
