--- a/src/net/gossip_keys.cpp
+++ b/src/net/gossip_keys.cpp
@@ -9,7 +9,7 @@
 namespace hingelink::net {
 namespace {
 
-// One signs; a second one is accepted while it replaces the first or is replaced.
+// One key signs. During a key replacement, a second key is accepted as well.
 constexpr std::size_t kMaxKeys = 2;
 
 std::optional<GossipKey> ParseKey(const std::string& line) {
@@ -24,7 +24,7 @@
 void CheckPermissions(const std::string& path) {
   struct stat status {};
   if (stat(path.c_str(), &status) == 0 && (status.st_mode & (S_IRWXG | S_IRWXO)) != 0) {
-    throw GossipKeyError(path, ": others may read or write it; wanted mode 0600");
+    throw GossipKeyError(path, ": accessible to the group or to others; expected mode 0600");
   }
 }
 
@@ -38,7 +38,7 @@
 std::vector<GossipKey> ReadGossipKeys(const std::string& path) {
   InitializeSodium();
   std::ifstream file(path);
-  if (!file) throw GossipKeyError(path, ": cannot be read; make one with 'hingelink fleet key'");
+  if (!file) throw GossipKeyError(path, ": cannot be read; create a key with 'hingelink fleet key'");
   CheckPermissions(path);
   std::vector<GossipKey> keys;
   std::string line;
@@ -46,14 +46,15 @@
     if (line.empty() || line.front() == '#') continue;
     const auto key = ParseKey(line);
     if (!key) {
-      throw GossipKeyError(path, " line " + std::to_string(number) + ": no key; wanted 64 hex digits");
+      throw GossipKeyError(path,
+                           " line " + std::to_string(number) + ": not a key; expected 64 hexadecimal digits");
     }
     keys.push_back(*key);
   }
-  if (keys.empty()) throw GossipKeyError(path, ": no key; make one with 'hingelink fleet key'");
+  if (keys.empty()) throw GossipKeyError(path, ": holds no key; create one with 'hingelink fleet key'");
   if (keys.size() > kMaxKeys) {
-    throw GossipKeyError(
-        path, ": " + std::to_string(keys.size()) + " keys; wanted one, or two while one is replaced");
+    throw GossipKeyError(path, ": " + std::to_string(keys.size()) +
+                                   " keys; expected one key, or two during a key replacement");
   }
   return keys;
 }
--- a/src/net/gossip_keys.h
+++ b/src/net/gossip_keys.h
@@ -1,4 +1,4 @@
-// The keys that authenticate the datagrams between nodes.
+// Reads and generates the keys that authenticate gossip datagrams.
 #ifndef HINGELINK_NET_GOSSIP_KEYS_H_
 #define HINGELINK_NET_GOSSIP_KEYS_H_
 
@@ -11,7 +11,7 @@
 
 using GossipKey = std::array<unsigned char, 32>;
 
-// A key file that cannot be used. The text names the file, the line and what is wanted.
+// Thrown for an unusable key file. The text names the file, the line and what is expected.
 class GossipKeyError : public std::runtime_error {
  public:
   GossipKeyError(const std::string& path, const std::string& fault)
@@ -22,13 +22,15 @@
   std::string path_;
 };
 
-// Initializes libsodium. Throws std::runtime_error if there is no source of random numbers.
+// Initializes libsodium, once in a process. Throws std::runtime_error if there is no source of random
+// numbers.
 void InitializeSodium();
 
-// Reads a file with one key a line, 64 hex digits each: the first one signs, both are accepted. Throws
-// GossipKeyError.
+// Reads a key file: one key of 64 hexadecimal digits on each line; empty lines and lines that begin with '#'
+// are skipped. The file must have mode 0600 and hold one or two keys: the first signs, both are accepted.
+// Throws GossipKeyError, and what InitializeSodium() throws.
 std::vector<GossipKey> ReadGossipKeys(const std::string& path);
-// A new random key, as a line of such a file. Throws as InitializeSodium().
+// Returns a new random key as a line of a key file. Throws what InitializeSodium() throws.
 [[nodiscard]] std::string GenerateGossipKey();
 
 }  // namespace hingelink::net
--- a/src/net/gossip_transport.cpp
+++ b/src/net/gossip_transport.cpp
@@ -24,19 +24,20 @@
 constexpr std::size_t kMacBytes = 16;
 using Mac = std::array<unsigned char, kMacBytes>;
 
-// Datagrams read in one callback; the loop then serves other events.
+// Upper bound of the datagrams read in one callback, so that the loop can serve other events in between.
 constexpr int kMaxBatch = 64;
-// Unused work that may accumulate, in microseconds.
+// Upper bound of the unused CPU time that accumulates for later datagrams, in microseconds.
 constexpr double kMaxWorkBudgetUs = 20'000;
+// Bounds how often the read event is removed and added again under overload.
 constexpr Steady::duration kMinReadPause = 5ms;
-// Seconds of Options::send_bytes_per_second that may accumulate.
+// Upper bound of the unused send budget, in seconds of Options::send_bytes_per_second.
 constexpr double kMaxSendBudgetSeconds = 2;
 
-void AppendNumber(std::string& out, std::uint64_t value) {
+void AppendBigEndian(std::string& out, std::uint64_t value) {
   for (int shift = 56; shift >= 0; shift -= 8) out.push_back(static_cast<char>(value >> shift));
 }
 
-std::uint64_t ReadNumber(std::string_view bytes) {
+std::uint64_t ReadBigEndian(std::string_view bytes) {
   std::uint64_t value = 0;
   for (const char byte : bytes.substr(0, sizeof value)) value = value << 8 | static_cast<unsigned char>(byte);
   return value;
@@ -98,7 +99,7 @@
   readable_.reset(event_new(
       base, socket_.get(), EV_READ | EV_PERSIST,
       [](evutil_socket_t, short, void* self) { static_cast<GossipTransport*>(self)->OnReadable(); }, this));
-  if (!readable_) throw std::runtime_error("libevent: no event");
+  if (!readable_) throw std::runtime_error("libevent: cannot create an event");
   event_priority_set(readable_.get(), kOrdinary);
   event_add(readable_.get(), nullptr);
 }
@@ -119,8 +120,8 @@
   }
   std::string datagram(kMagicAndVersion);
   datagram.push_back(static_cast<char>(keys_.front().id));
-  AppendNumber(datagram, sender_id_);
-  AppendNumber(datagram, ++counter_);
+  AppendBigEndian(datagram, sender_id_);
+  AppendBigEndian(datagram, ++counter_);
   const Mac mac = ComputeMac(datagram, body, keys_.front().key);
   datagram.append(mac.begin(), mac.end()).append(body);
   if (sendto(socket_.get(), datagram.data(), datagram.size(), 0, SocketAddress(to), sizeof to) < 0) {
@@ -135,14 +136,14 @@
 void GossipTransport::OnReadable() {
   const double refill_us = AdvanceClock(work_refilled_at_) * 1e6 * options_.max_core_fraction;
   work_budget_us_ = std::min(work_budget_us_ + refill_us, kMaxWorkBudgetUs);
-  const double began_us = ThreadCpuUs();
+  const double cpu_before_us = ThreadCpuUs();
   ReadBatch();
-  work_budget_us_ -= ThreadCpuUs() - began_us;
+  work_budget_us_ -= ThreadCpuUs() - cpu_before_us;
   if (work_budget_us_ <= 0) PauseReading();
 }
 
 void GossipTransport::ReadBatch() {
-  // One byte more than allowed: a datagram that is too long is recognized.
+  // One byte larger than the longest valid datagram, so that a longer one is not truncated to a valid length.
   std::array<char, kHeaderBytes + kMaxBodyBytes + 1> buffer;
   for (int i = 0; i < kMaxBatch; ++i) {
     sockaddr_in from{};
@@ -150,11 +151,11 @@
     const ssize_t bytes = recvfrom(socket_.get(), buffer.data(), buffer.size(), 0,
                                    reinterpret_cast<sockaddr*>(&from), &from_size);
     if (bytes < 0) {
-      // ECONNREFUSED is the result of an earlier send.
+      // ECONNREFUSED reports that the destination of an earlier datagram was not listening.
       if (errno == EINTR || errno == ECONNREFUSED) continue;
       return;
     }
-    Handle(from, {buffer.data(), static_cast<std::size_t>(bytes)});
+    HandleDatagram(from, {buffer.data(), static_cast<std::size_t>(bytes)});
   }
 }
 
@@ -165,7 +166,7 @@
   resume_reading_.After(std::max(std::chrono::duration_cast<Steady::duration>(pause), kMinReadPause));
 }
 
-void GossipTransport::Handle(const sockaddr_in& from, std::string_view datagram) {
+void GossipTransport::HandleDatagram(const sockaddr_in& from, std::string_view datagram) {
   if (datagram.size() < kHeaderBytes || datagram.size() > kHeaderBytes + kMaxBodyBytes ||
       !datagram.starts_with(kMagicAndVersion)) {
     ++counters_.malformed;
@@ -175,12 +176,12 @@
     ++counters_.unauthenticated;
     return;
   }
-  const std::uint64_t sender_id = ReadNumber(datagram.substr(kSenderIdOffset));
+  const std::uint64_t sender_id = ReadBigEndian(datagram.substr(kSenderIdOffset));
   if (sender_id == sender_id_) {
     ++counters_.reflected;
     return;
   }
-  if (!replay_filter_.Accept(sender_id, ReadNumber(datagram.substr(kCounterOffset)))) {
+  if (!replay_filter_.Accept(sender_id, ReadBigEndian(datagram.substr(kCounterOffset)))) {
     ++counters_.replayed;
     return;
   }
--- a/src/net/gossip_transport.h
+++ b/src/net/gossip_transport.h
@@ -1,4 +1,4 @@
-// Authenticated datagrams between the nodes of a fleet, over UDP. Bodies are opaque.
+// Sends and receives authenticated UDP datagrams between the nodes of a fleet. Datagram layout:
 //
 //   offset  bytes
 //   0       2      "HL"
@@ -9,9 +9,10 @@
 //   20      16     MAC: BLAKE2b of the header up to here and of the body, under the key
 //   36      ...    body, at most kMaxBodyBytes
 //
-// Datagrams that are malformed, not authentic or replayed are counted and dropped. Two keys are accepted at
-// once, so that a key can be replaced in service. The work on received datagrams is limited to a fraction of
-// a core, and what is sent to a number of bytes a second; beyond that datagrams are lost, as on any network.
+// Datagrams that are malformed, not authentic or replayed are counted and dropped. Two keys can be accepted
+// at the same time, so that a key can be replaced without an interruption. The CPU time spent on received
+// datagrams is limited to a fraction of a core, and the sending rate to a number of bytes per second.
+// Datagrams over these limits are lost; the protocol above tolerates losses, as UDP guarantees no delivery.
 #ifndef HINGELINK_NET_GOSSIP_TRANSPORT_H_
 #define HINGELINK_NET_GOSSIP_TRANSPORT_H_
 
@@ -27,7 +28,7 @@
 
 namespace hingelink::net {
 
-// All calls on the thread of the event base.
+// All calls on the thread of the event base. The transport does not interpret the bodies.
 class GossipTransport {
  public:
   static constexpr std::size_t kHeaderBytes = 36;
@@ -35,12 +36,12 @@
 
   struct Options {
     sockaddr_in listen{};
-    std::vector<GossipKey> keys;  // The first one signs.
-    // Upper bound of the work on received datagrams, as a fraction of a core.
+    std::vector<GossipKey> keys;  // The first key signs; all keys are accepted.
+    // Upper bound of the CPU time spent on received datagrams, as a fraction of a core.
     double max_core_fraction = 0.1;
-    // Upper bound of what is sent; up to two seconds of it may accumulate.
+    // Upper bound of the sending rate. Unused budget accumulates for up to two seconds.
     double send_bytes_per_second = 64'000;
-    // Upper bound of the senders whose replay windows are kept.
+    // Upper bound of the number of senders for which a replay window is kept.
     std::size_t max_replay_windows = 8'192;
   };
   struct Counters {
@@ -48,22 +49,24 @@
     std::uint64_t sent_bytes = 0;
     std::uint64_t received = 0;
     std::uint64_t received_bytes = 0;
-    std::uint64_t malformed = 0;        // Another header or length.
-    std::uint64_t unauthenticated = 0;  // An unknown key, or a wrong MAC.
-    std::uint64_t replayed = 0;         // Received before, or too old to tell.
-    std::uint64_t reflected = 0;        // This node's own.
-    std::uint64_t unsent = 0;           // Over the bound, too long, or rejected by the system.
-    std::uint64_t read_pauses = 0;      // Reading paused, as the fraction of the core was used up.
+    std::uint64_t malformed = 0;        // Wrong magic, version or length.
+    std::uint64_t unauthenticated = 0;  // Unknown key or wrong MAC.
+    std::uint64_t replayed = 0;         // Received before, or older than the replay window.
+    std::uint64_t reflected = 0;        // Sent by this process itself.
+    std::uint64_t unsent = 0;           // Over the sending rate, too long, or rejected by the system.
+    std::uint64_t read_pauses = 0;      // Times that reading paused because its CPU time was used up.
   };
-  // Receives the body of each datagram that is accepted.
+  // Called with the sender's address and the body of each accepted datagram. `body` is valid during the call.
   using OnDatagram = std::function<void(const sockaddr_in& from, std::string_view body)>;
 
-  // `base` must outlive the object. Throws std::runtime_error if the address cannot be bound.
+  // Binds the address and starts to receive. `base` must outlive the object. Throws std::runtime_error if the
+  // address cannot be bound.
   GossipTransport(event_base* base, Options options, OnDatagram on_datagram);
 
-  // Sends one datagram, or counts it as unsent. Answers arrive at the address that it listens on.
+  // Sends one datagram, or counts it as unsent. The source address is the address that the transport is bound
+  // to.
   void Send(const sockaddr_in& to, std::string_view body);
-  // Replaces the keys; the first one signs from now on.
+  // Replaces the keys. The first key signs from now on.
   void SetKeys(const std::vector<GossipKey>& keys);
 
   [[nodiscard]] const Counters& counters() const { return counters_; }
@@ -77,11 +80,11 @@
   };
 
   void OnReadable();
-  // Reads a limited number of datagrams.
+  // Reads and handles the datagrams that have arrived, up to kMaxBatch.
   void ReadBatch();
-  // Stops reading until the work that was done is within the bound again.
+  // Stops reading until the CPU time used so far is within Options::max_core_fraction again.
   void PauseReading();
-  void Handle(const sockaddr_in& from, std::string_view datagram);
+  void HandleDatagram(const sockaddr_in& from, std::string_view datagram);
   [[nodiscard]] bool IsAuthentic(std::string_view datagram) const;
 
   Options options_;
--- a/src/state/file_system.cpp
+++ b/src/state/file_system.cpp
@@ -101,7 +101,8 @@
   {
     const auto file = files.Create(temporary_path);
     file->Write(bytes);
-    // Before the rename: after a power cut the name must not lead to bytes that were never written.
+    // The sync precedes the rename: otherwise the new name could refer to an incomplete file after a power
+    // cut.
     file->Sync();
   }
   files.Rename(temporary_path, path);
--- a/src/state/file_system.h
+++ b/src/state/file_system.h
@@ -1,5 +1,5 @@
-// The file operations that durable state rests on, one by one, so that a test can make each of them fail or
-// cut the power after it.
+// The file operations that the stores of durable state use. The interface has one function for each
+// operation, so that tests can make each operation fail or simulate a power cut after it.
 #ifndef HINGELINK_STATE_FILE_SYSTEM_H_
 #define HINGELINK_STATE_FILE_SYSTEM_H_
 
@@ -11,7 +11,7 @@
 
 namespace hingelink::state {
 
-// A file operation that failed. The text holds the operation, the path and the system's reason.
+// Thrown for a failed file operation. The text holds the operation, the path and the text of errno.
 class FileError : public std::runtime_error {
  public:
   // `operation` is the name of the system call; `error_number` its errno.
@@ -27,12 +27,12 @@
   int error_number_;
 };
 
-// A file open for writing; closed by its destructor. All functions throw FileError.
+// A file that is open for writing. The destructor closes it. All functions block and throw FileError.
 class WritableFile {
  public:
   virtual ~WritableFile() = default;
   virtual void Write(std::string_view bytes) = 0;
-  // Returns once everything written is durable.
+  // Returns when all written bytes are durable.
   virtual void Sync() = 0;
 };
 
@@ -40,29 +40,29 @@
 class FileSystem {
  public:
   virtual ~FileSystem() = default;
-  // Truncates an existing file.
+  // Creates the file, or truncates an existing one.
   [[nodiscard]] virtual std::unique_ptr<WritableFile> Create(const std::string& path) = 0;
-  // Replaces an existing file at `to`.
+  // Renames a file, and replaces an existing file at `to`.
   virtual void Rename(const std::string& from, const std::string& to) = 0;
-  // Returns once the names in the directory are durable.
+  // Returns when the directory's entries (created and renamed files) are durable.
   virtual void SyncDirectory(const std::string& directory) = 0;
-  // Empty where there is no such file. At most 64 MiB are read.
+  // Returns the content, of which about 64 MiB are read at most, or nullopt if the file does not exist.
   [[nodiscard]] virtual std::optional<std::string> Read(const std::string& path) = 0;
 };
 
 // The file system of this machine. Thread-safe.
 FileSystem& SystemFileSystem();
 
-// Replaces the file NAME in `directory`. It holds the old bytes or the new ones at any time, and durably the
-// new ones once this returns. Throws FileError.
+// Replaces the file `name` in `directory`. At any time, also after a power cut, the file holds either the old
+// or the new bytes; when the function returns, the new bytes are durable. Throws FileError.
 void WriteFileAtomically(FileSystem& files, const std::string& directory, const std::string& name,
                          std::string_view bytes);
 
-// An advisory lock between processes, released when its holder exits.
+// An advisory lock between processes. Released by the destructor, or when the process exits.
 class DirectoryLock {
  public:
-  // Takes the lock file at `path`, which is created if needed. Empty where another process holds it. Throws
-  // FileError.
+  // Locks the file at `path`, which is created if needed. Does not block: returns nullopt if another process
+  // holds the lock. Throws FileError.
   [[nodiscard]] static std::optional<DirectoryLock> TryAcquire(const std::string& path);
   DirectoryLock(DirectoryLock&& other) noexcept;
   DirectoryLock& operator=(DirectoryLock&&) = delete;
--- a/src/state/learned_codec.cpp
+++ b/src/state/learned_codec.cpp
@@ -15,16 +15,16 @@
 
 constexpr std::string_view kSnapshotMagic = "HLLEARN\n";
 constexpr std::string_view kLogRecordMagic = "HLLNREC\n";
-// Bytes of a frame before its payload, and where its fields begin.
+// Size of the frame header, and offsets of its fields.
 constexpr std::size_t kHeaderBytes = 24;
 constexpr std::size_t kVersionOffset = 8;
 constexpr std::size_t kLengthOffset = 12;
 constexpr std::size_t kChecksumOffset = 16;
-// Bounds on what is read, so that no file makes a start exhaust the memory.
+// Bounds on decoded values, so that a damaged file cannot exhaust the memory at startup.
 constexpr std::size_t kMaxClasses = 4096;
 constexpr std::size_t kMaxNameBytes = 256;
 
-std::string_view MagicOf(LearnedFrameKind kind) {
+std::string_view MagicFor(LearnedFrameKind kind) {
   return kind == LearnedFrameKind::kLogRecord ? kLogRecordMagic : kSnapshotMagic;
 }
 
@@ -70,18 +70,20 @@
 std::string ReadName(const Json& json) {
   std::string name = json.at("name").get<std::string>();
   if (name.size() > kMaxNameBytes)
-    throw std::runtime_error("a name of " + std::to_string(name.size()) + " bytes");
+    throw std::runtime_error("a name has " + std::to_string(name.size()) + " bytes; the limit is " +
+                             std::to_string(kMaxNameBytes));
   return name;
 }
 
 const Json& ReadList(const Json& json, const char* key) {
   const Json& list = json.at(key);
   if (!list.is_array() || list.size() > kMaxClasses)
-    throw std::runtime_error(std::string(key) + " is no list");
+    throw std::runtime_error(std::string(key) + ": expected a list of at most " +
+                             std::to_string(kMaxClasses) + " elements");
   return list;
 }
 
-// Checks types and bounds alone; decide::SanityCheckFailure() checks the values. Throws std::exception.
+// Checks only types and sizes; decide::SanityCheckFailure() checks the values. Throws std::exception.
 LearnedEntry FromJson(const Json& json) {
   LearnedEntry entry;
   decide::LearnedRecord& record = entry.record;
@@ -113,11 +115,11 @@
 std::string EncodeLearned(const LearnedEntry& entry, LearnedFrameKind kind) {
   const std::vector<std::uint8_t> cbor = Json::to_cbor(ToJson(entry));
   if (cbor.size() > kMaxLearnedPayloadBytes)
-    throw std::length_error("what was learned takes more than 1 MiB");
+    throw std::length_error("the encoded learned values exceed 1 MiB");
   const std::string payload(cbor.begin(), cbor.end());
   const std::string version_and_length =
       ToLittleEndian(kLearnedFormatVersion, 4) + ToLittleEndian(payload.size(), 4);
-  std::string frame(MagicOf(kind));
+  std::string frame(MagicFor(kind));
   frame += version_and_length;
   frame += ToLittleEndian(Checksum(version_and_length, payload), 8);
   frame += payload;
@@ -137,27 +139,29 @@
 }
 
 DecodedLearned DecodeLearned(std::string_view bytes, LearnedFrameKind kind) {
-  const std::string_view magic = MagicOf(kind);
+  const std::string_view magic = MagicFor(kind);
   if (bytes.substr(0, magic.size()) != magic.substr(0, bytes.size())) {
-    return Invalid(Status::kCorrupt, "it does not begin as such a file does");
+    return Invalid(Status::kCorrupt, "the magic number is wrong");
   }
-  if (bytes.size() < kHeaderBytes) return Invalid(Status::kTruncated, "it ends within its head");
+  if (bytes.size() < kHeaderBytes) return Invalid(Status::kTruncated, "truncated within the header");
   const std::uint64_t version = FromLittleEndian(bytes.substr(kVersionOffset, 4));
   const std::uint64_t length = FromLittleEndian(bytes.substr(kLengthOffset, 4));
-  // Checked first, as a newer version may define everything else otherwise.
+  // The version is checked first, because a newer version may define the other fields differently.
   if (version > kLearnedFormatVersion) {
-    return Invalid(Status::kUnsupportedVersion, "its version is " + std::to_string(version) +
-                                                    ", and this program knows up to " +
+    return Invalid(Status::kUnsupportedVersion, "version " + std::to_string(version) +
+                                                    " is not supported; the highest supported version is " +
                                                     std::to_string(kLearnedFormatVersion));
   }
   if (version == 0 || length > kMaxLearnedPayloadBytes) {
-    return Invalid(Status::kCorrupt, "its head holds numbers that no program writes");
+    return Invalid(Status::kCorrupt, "the header is out of range: version " + std::to_string(version) +
+                                         ", payload of " + std::to_string(length) + " bytes");
   }
-  if (bytes.size() - kHeaderBytes < length) return Invalid(Status::kTruncated, "it ends too early");
+  if (bytes.size() - kHeaderBytes < length)
+    return Invalid(Status::kTruncated, "truncated within the payload");
   const std::string_view payload = bytes.substr(kHeaderBytes, length);
   const std::uint64_t checksum = FromLittleEndian(bytes.substr(kChecksumOffset, 8));
   if (checksum != Checksum(bytes.substr(kVersionOffset, 8), payload)) {
-    return Invalid(Status::kCorrupt, "its check does not match what stands in it");
+    return Invalid(Status::kCorrupt, "checksum mismatch");
   }
   DecodedLearned decoded = DecodePayload(payload);
   decoded.bytes += kHeaderBytes;
--- a/src/state/learned_codec.h
+++ b/src/state/learned_codec.h
@@ -1,4 +1,5 @@
-// The file format of learned state. The one place where its keys meet the terms of the code.
+// The file format of learned state. The keys in the files differ from the names in the code; only this codec
+// maps between them.
 //
 // A snapshot file is one frame, the log a sequence of frames. Numbers are little-endian:
 //
@@ -24,35 +25,35 @@
 inline constexpr std::uint32_t kLearnedFormatVersion = 1;
 inline constexpr std::size_t kMaxLearnedPayloadBytes = 1 << 20;
 
-// What one frame holds. Of several entries the one of the highest sequence number is the newest.
+// The content of one frame. Among several entries, the one with the highest sequence number is the newest.
 struct LearnedEntry {
   std::uint64_t sequence = 0;
   decide::LearnedRecord record;
 };
 
-// Frames of the two kinds of file differ in their magic only.
+// Frames in snapshots and in the log differ only in their magic number.
 enum class LearnedFrameKind { kSnapshot, kLogRecord };
 
-// Throws std::length_error where the payload would exceed kMaxLearnedPayloadBytes.
+// Returns the frame of an entry. Throws std::length_error if the payload exceeds kMaxLearnedPayloadBytes.
 [[nodiscard]] std::string EncodeLearned(const LearnedEntry& entry, LearnedFrameKind kind);
 
 struct DecodedLearned {
   enum class Status {
     kValid,
-    kTruncated,           // Ends within the frame, as a write does that a power cut interrupted.
-    kCorrupt,             // Fails its checksum or bounds, or is of another kind.
-    kUnsupportedVersion,  // Of a newer program.
+    kTruncated,           // Ends within the frame, for example after an interrupted write.
+    kCorrupt,             // Wrong checksum, a value out of bounds, or a frame of another kind.
+    kUnsupportedVersion,  // Written by a newer version of the program.
   };
   Status status = Status::kCorrupt;
   LearnedEntry entry;     // With kValid.
   std::size_t bytes = 0;  // Size of the frame, with kValid.
-  std::string detail;     // Otherwise: what is wrong, for an operator.
+  std::string detail;     // Without kValid: the fault, as a text for operators.
 };
 
-// Decodes the frame at the start of `bytes`; further bytes are ignored. Never throws for what the bytes hold.
+// Decodes the frame at the start of `bytes`; further bytes are ignored. Invalid bytes never throw.
 [[nodiscard]] DecodedLearned DecodeLearned(std::string_view bytes, LearnedFrameKind kind);
 
-// Decodes a payload without its frame. Never throws for what the bytes hold.
+// Decodes a payload without its header. Invalid bytes never throw.
 [[nodiscard]] DecodedLearned DecodePayload(std::string_view payload);
 
 }  // namespace hingelink::state
--- a/src/state/learned_store.cpp
+++ b/src/state/learned_store.cpp
@@ -27,11 +27,11 @@
   DecodedLearned decoded = DecodeLearned(*bytes, LearnedFrameKind::kSnapshot);
   if (decoded.status == Status::kValid && decoded.bytes != bytes->size()) {
     decoded.status = Status::kCorrupt;
-    decoded.detail = "bytes follow behind its end";
+    decoded.detail = "unexpected bytes after the frame";
   }
   if (decoded.status == Status::kValid) return std::move(decoded.entry);
   const char* suffix = decoded.status == Status::kUnsupportedVersion ? ".newer" : ".damaged";
-  loaded.warnings.push_back(std::string(name) + ": " + decoded.detail + "; set aside as " + name + suffix);
+  loaded.warnings.push_back(std::string(name) + ": " + decoded.detail + "; renamed to " + name + suffix);
   files_.Rename(PathOf(name), PathOf(name) + suffix);
   return std::nullopt;
 }
@@ -52,13 +52,13 @@
     if (decoded.status != Status::kValid) {
       loaded.truncated_bytes = log.size();
       loaded.warnings.push_back(std::string(kLogName) + ": " + std::to_string(log.size()) +
-                                " bytes behind record " + std::to_string(loaded.log_records) +
-                                " are left out: " + decoded.detail);
+                                " bytes after record " + std::to_string(loaded.log_records) +
+                                " are ignored: " + decoded.detail);
       return;
     }
     ++loaded.log_records;
     log.remove_prefix(decoded.bytes);
-    // The log is older than the snapshot where its truncation was interrupted.
+    // If the truncation of the log was interrupted, the log is older than the snapshot.
     if (IsNewer(decoded.entry, loaded.entry)) loaded.entry = std::move(decoded.entry);
   }
 }
@@ -71,15 +71,16 @@
     file->Write(bytes);
     file->Sync();
   }
-  // After a power cut each of the two names leads to a complete file, whichever renames were durable.
+  // After a power cut, each of the two names refers to a complete file, whichever of the renames became
+  // durable.
   if (files_.Read(PathOf(kSnapshotName))) files_.Rename(PathOf(kSnapshotName), PathOf(kPreviousSnapshotName));
   files_.Rename(temporary_path, PathOf(kSnapshotName));
   files_.SyncDirectory(directory_);
-  // Truncated only now that its records are in a durable snapshot.
+  // The log is truncated after the sync, because the snapshot that replaces its records is durable only then.
   log_.reset();
   log_bytes_ = 0;
   auto log = files_.Create(PathOf(kLogName));
-  // The log's name must be durable before a record in it is.
+  // The directory entry of the log must be durable before a record in the log counts as durable.
   files_.SyncDirectory(directory_);
   log_ = std::move(log);
 }
@@ -91,7 +92,7 @@
     log_->Write(bytes);
     log_->Sync();
   } catch (const FileError&) {
-    // The log may end in an incomplete record, and what follows one is not loaded.
+    // The log may now end with an incomplete record. Load() would ignore any record after it.
     log_.reset();
     throw;
   }
--- a/src/state/learned_store.h
+++ b/src/state/learned_store.h
@@ -1,10 +1,11 @@
-// Stores what the node has learned in a directory:
+// Stores the values that a node has learned in a directory:
 //
 //   learned.state     the last snapshot
 //   learned.state.1   the snapshot before it
 //   learned.log       records since the last snapshot; truncated by the next one
 //
-// state/learned_codec.h describes the files. The valid entry of the highest sequence number is loaded.
+// state/learned_codec.h describes the file format. Load() returns the valid entry with the highest sequence
+// number.
 #ifndef HINGELINK_STATE_LEARNED_STORE_H_
 #define HINGELINK_STATE_LEARNED_STORE_H_
 
@@ -20,14 +21,15 @@
 
 namespace hingelink::state {
 
-// Size of the log past which a snapshot is due.
+// When the log has reached this size, the next entry must be a snapshot.
 inline constexpr std::size_t kMaxLogBytes = 256 << 10;
 
 struct LoadedLearned {
   std::optional<LearnedEntry> entry;
-  std::size_t log_records = 0;        // Valid ones in the log.
-  std::size_t truncated_bytes = 0;    // Bytes of the log after them.
-  std::vector<std::string> warnings;  // What was set aside or ignored and why, a line each.
+  std::size_t log_records = 0;      // Valid records in the log.
+  std::size_t truncated_bytes = 0;  // Bytes of the log after the last valid record.
+  std::vector<std::string>
+      warnings;  // One line for each file that was renamed or ignored in part, with the reason.
 };
 
 // Blocks on files. Not thread-safe. `files` must outlive the object.
@@ -35,17 +37,18 @@
  public:
   LearnedStore(FileSystem& files, std::string directory);
 
-  // The newest valid entry. An invalid snapshot is renamed to NAME.damaged or NAME.newer. Never throws for
-  // what the files hold; throws FileError where they cannot be read or renamed.
+  // Returns the newest valid entry. An invalid snapshot is renamed to NAME.damaged or, if a newer version of
+  // the program wrote it, to NAME.newer. Invalid content never throws; throws FileError if a file cannot be
+  // read or renamed.
   [[nodiscard]] LoadedLearned Load();
-  // Writes a snapshot and truncates the log. Durable once this returns. Throws FileError; the entries stored
-  // before are then still there.
+  // Writes a snapshot and truncates the log. The entry is durable when the function returns. Throws
+  // FileError; earlier entries are then still stored.
   void WriteSnapshot(const LearnedEntry& entry);
-  // Appends a record to the log. Durable once this returns. Throws FileError, also before the first snapshot;
-  // after an error a snapshot is due.
+  // Appends a record to the log. The entry is durable when the function returns. Throws FileError, also if no
+  // snapshot has been written yet. After an error the next entry must be a snapshot.
   void AppendRecord(const LearnedEntry& entry);
-  // Whether the next entry must be a snapshot: there was none yet, the log is full, or it could not be
-  // written.
+  // Whether the next entry must be a snapshot: this object has not written one yet, the log is full, or
+  // writing to the log failed.
   bool snapshot_due() const { return !log_ || log_bytes_ >= kMaxLogBytes; }
 
  private:
--- a/src/state/supervisor_state_store.cpp
+++ b/src/state/supervisor_state_store.cpp
@@ -18,8 +18,8 @@
 
 constexpr int kFormatVersion = 1;
 constexpr char kFileName[] = "plan.json";
-// The kernel's bound on process ids. Checked so that a damaged file never makes the supervisor signal other
-// processes.
+// The kernel's upper bound of process ids. A pid out of range is rejected, so that a damaged file cannot make
+// the supervisor send signals to unrelated processes.
 constexpr std::int64_t kMaxPid = 1 << 22;
 
 std::string Checksum(const Json& json) {
@@ -47,7 +47,7 @@
        {DesiredState::kServing, DesiredState::kDrained, DesiredState::kStopped}) {
     if (name == DesiredStateName(desired)) return desired;
   }
-  throw CorruptSupervisorState("want: " + name);
+  throw CorruptSupervisorState("want is \"" + name + "\"; allowed are serve, drained and down");
 }
 
 Json ToJson(const Incarnation& incarnation) {
@@ -66,11 +66,12 @@
   incarnation.ready = json.at("ready").get<bool>();
   incarnation.draining = json.at("leaving").get<bool>();
   const std::int64_t pid = incarnation.process.pid;
-  if (pid < 0 || pid > kMaxPid || pid == 1) throw CorruptSupervisorState("a pid is out of range");
+  if (pid < 0 || pid > kMaxPid || pid == 1)
+    throw CorruptSupervisorState("pid " + std::to_string(pid) + " is out of range");
   return incarnation;
 }
 
-// Of a file that passed its checksum. Throws Json::exception and CorruptSupervisorState.
+// Decodes the JSON of a file whose checksum is correct. Throws Json::exception and CorruptSupervisorState.
 LoadedSupervisorState FromJson(const Json& json, const std::string& boot_id) {
   LoadedSupervisorState loaded;
   SupervisorState& state = loaded.state;
@@ -105,20 +106,20 @@
 
 LoadedSupervisorState SupervisorStateStore::Decode(const std::string& text, const std::string& boot_id) {
   Json json = Json::parse(text, nullptr, false);
-  if (!json.is_object()) throw CorruptSupervisorState("it is no whole JSON object");
+  if (!json.is_object()) throw CorruptSupervisorState("not a complete JSON object");
   const Json format = json.value("format", Json());
-  // Checked before the checksum, which a newer format may define otherwise.
+  // The format is checked before the checksum, because a newer format may compute the checksum differently.
   if (format.is_number_integer() && format.get<int>() > kFormatVersion) {
     LoadedSupervisorState loaded;
     loaded.status = Status::kUnsupportedVersion;
-    loaded.detail =
-        "its format is " + format.dump() + ", and this program knows up to " + std::to_string(kFormatVersion);
+    loaded.detail = "format " + format.dump() + " is not supported; the highest supported format is " +
+                    std::to_string(kFormatVersion);
     return loaded;
   }
   const Json checksum = json.value("check", Json());
   json.erase("check");
   if (!checksum.is_string() || checksum.get<std::string>() != Checksum(json)) {
-    throw CorruptSupervisorState("its check does not match what stands in it");
+    throw CorruptSupervisorState("checksum mismatch");
   }
   try {
     return FromJson(json, boot_id);
@@ -141,7 +142,7 @@
     loaded.status = Status::kCorrupt;
     loaded.detail = error.what();
   }
-  // Kept for inspection, where the next Save() does not overwrite it.
+  // The file is kept for inspection, under a name that the next Save() does not overwrite.
   if (loaded.status == Status::kCorrupt) files_.Rename(path, path + ".damaged");
   if (loaded.status == Status::kUnsupportedVersion) files_.Rename(path, path + ".newer");
   return loaded;
--- a/tests/net/gossip_keys_test.cpp
+++ b/tests/net/gossip_keys_test.cpp
@@ -39,12 +39,12 @@
 }
 
 TEST_F(GossipKeysTest, NamesTheLineThatIsNoKey) {
-  EXPECT_EQ(ErrorOf(key_ + "12\n"), path_ + " line 2: no key; wanted 64 hex digits");
+  EXPECT_EQ(ErrorOf(key_ + "12\n"), path_ + " line 2: not a key; expected 64 hexadecimal digits");
 }
 
 TEST_F(GossipKeysTest, RejectsMoreThanTwoKeys) {
   EXPECT_EQ(ErrorOf(key_ + GenerateGossipKey() + GenerateGossipKey()),
-            path_ + ": 3 keys; wanted one, or two while one is replaced");
+            path_ + ": 3 keys; expected one key, or two during a key replacement");
 }
 
 TEST_F(GossipKeysTest, SaysHowToMakeAKeyIfThereIsNone) {
@@ -52,7 +52,7 @@
 }
 
 TEST_F(GossipKeysTest, RejectsAFileThatOthersMayRead) {
-  EXPECT_NE(ErrorOf(key_, 0644).find("wanted mode 0600"), std::string::npos);
+  EXPECT_NE(ErrorOf(key_, 0644).find("expected mode 0600"), std::string::npos);
 }
 
 TEST_F(GossipKeysTest, RejectsAFileThatIsMissing) {
--- a/tests/state/learned_store_test.cpp
+++ b/tests/state/learned_store_test.cpp
@@ -138,7 +138,7 @@
   const LoadedLearned loaded = LearnedStore(disk, "/s").Load();
   EXPECT_EQ(SequenceOf(loaded), 7u);
   ASSERT_EQ(loaded.warnings.size(), 1u);
-  EXPECT_NE(loaded.warnings[0].find("its version is 9"), std::string::npos);
+  EXPECT_NE(loaded.warnings[0].find("version 9 is not supported"), std::string::npos);
   EXPECT_TRUE(disk.Has("/s/learned.state.newer"));
   EXPECT_FALSE(disk.Has("/s/learned.state"));
 }
