--- a/src/background/job_runner.cpp
+++ b/src/background/job_runner.cpp
@@ -20,8 +20,10 @@
 
 using namespace std::chrono_literals;
 
-// Between polls of the node's conditions; a drain takes at least half a second.
+// Interval between polls of the node's conditions. A drain takes at least 500 ms, so that several polls fall
+// within it.
 constexpr auto kPollInterval = 100ms;
+// Timeout of the destructor for the final runs.
 constexpr auto kFinishTimeout = 1s;
 
 std::vector<decide::JobSpec> SpecsOf(const std::vector<Job>& jobs) {
@@ -39,8 +41,8 @@
 
 }  // namespace
 
-// The state that the loop and the helper thread share. Kept alive by both: the thread of a hung job outlives
-// the runner.
+// The state that the event loop and the helper thread share. Both own it, because the helper thread outlives
+// the runner if a job hangs.
 class JobRunner::Worker {
  public:
   struct FinishedJob {
@@ -61,7 +63,7 @@
     }
   }
 
-  // ---- On the loop's thread ----
+  // ---- On the event loop's thread ----
 
   void Start(decide::JobIndex job, JobFunction function) {
     cancelled_ = false;
@@ -79,7 +81,7 @@
     }
     changed_.notify_all();
   }
-  // Whether a job finished by then.
+  // Blocks until a job has finished. Returns false if none has finished by the deadline.
   [[nodiscard]] bool AwaitFinished(net::Steady::time_point deadline) {
     std::unique_lock lock(mutex_);
     return changed_.wait_until(lock, deadline, [this] { return finished_.has_value(); });
@@ -88,7 +90,7 @@
     const std::lock_guard lock(mutex_);
     return std::exchange(finished_, std::nullopt);
   }
-  // Readable after a job finished.
+  // An eventfd that is readable after a job has finished.
   int finished_fd() const { return finished_fd_.get(); }
 
  private:
@@ -153,11 +155,11 @@
                       ScheduleWakeup();
                     }),
       poll_timer_(base, [this] { PollConditions(); }) {
-  if (!finished_event_) throw std::runtime_error("libevent: no event");
+  if (!finished_event_) throw std::runtime_error("libevent: cannot create an event");
   event_add(finished_event_.get(), nullptr);
   poll_timer_.After(kPollInterval);
   ScheduleWakeup();
-  // Signals are handled by the loop's thread only.
+  // The helper thread inherits a mask that blocks all signals, so that the event loop's thread handles them.
   sigset_t all;
   sigset_t before;
   sigfillset(&all);
@@ -184,7 +186,7 @@
   if (scheduler_.idle()) {
     thread_.join();
   } else {
-    // A hung file operation must not keep the process from exiting.
+    // A hung file operation must not prevent the process from exiting.
     log::Warn("background-thread-detached");
     thread_.detach();
   }
--- a/src/background/job_runner.h
+++ b/src/background/job_runner.h
@@ -1,5 +1,5 @@
-// Runs background jobs on one helper thread, in the order that decide::JobScheduler decides. File operations
-// block that thread only; the event loop hands over jobs and is notified of their end.
+// Runs background jobs on one helper thread, in the order that decide::JobScheduler determines. File
+// operations block only the helper thread; the event loop starts the jobs and is notified when they finish.
 #ifndef HINGELINK_BACKGROUND_JOB_RUNNER_H_
 #define HINGELINK_BACKGROUND_JOB_RUNNER_H_
 
@@ -19,15 +19,17 @@
 struct JobResult {
   bool succeeded = true;
   double bytes_written = 0;
-  std::string error;  // Where it failed: what failed, for an operator.
+  std::string error;  // On failure: the reason, as a text for operators.
 };
 
-// Runs on the helper thread. An exception counts as a failure. `cancelled` may become true while it runs.
+// The work of one run, on the helper thread. An exception counts as a failure. `cancelled` may become true
+// during the run; the function should then return early.
 using JobFunction = std::function<JobResult(const std::atomic<bool>& cancelled)>;
 
 struct Job {
   decide::JobSpec spec;
-  // Runs on the loop's thread right before each run, to copy what the run needs.
+  // Called on the event loop's thread right before each run, to copy the data that the run needs.
+  // `final_run`: the run is the last one, during a drain.
   std::function<JobFunction(bool final_run)> prepare;
 };
 
@@ -37,24 +39,25 @@
   decide::JobStats stats;
 };
 
-// All functions are to be called on the thread of the event base.
+// All calls on the thread of the event base.
 class JobRunner {
  public:
-  // Polled on the loop's thread.
+  // Polled on the event loop's thread.
   struct NodeConditions {
     std::function<bool()> overloaded;  // Requests are queued.
     std::function<bool()> draining;
   };
 
-  // `base` must outlive the object. Throws std::runtime_error where no event can be created.
+  // `base` must outlive the object. Throws std::runtime_error if no event can be created.
   JobRunner(event_base* base, const decide::JobSchedulerOptions& options, std::vector<Job> jobs,
             NodeConditions conditions);
-  // Calls Finish() with a timeout of a second.
+  // Calls Finish() with a timeout of 1 s.
   ~JobRunner();
-  // Starts the final runs and blocks until they are complete, at most for `timeout`. The thread of a job that
-  // still runs then is detached. Further calls do nothing.
+  // Starts the final runs and blocks until they are complete, but at most for `timeout`. If a job is still
+  // running then, the helper thread is detached. Further calls do nothing.
   void Finish(std::chrono::milliseconds timeout);
 
+  // Makes the job of this name due now. An unknown name is ignored.
   void RequestRun(const std::string& name);
   [[nodiscard]] std::vector<JobReport> JobReports() const;
 
--- a/src/background/learned_state_persister.cpp
+++ b/src/background/learned_state_persister.cpp
@@ -14,9 +14,9 @@
 namespace hingelink::background {
 namespace {
 
-// A write that takes longer is reported.
+// A job that runs longer than this is logged as hung.
 constexpr decide::JobTime kHungAfter{5'000};
-// Expected cost of the first runs.
+// Expected cost of a run, before the first runs have been measured.
 constexpr decide::JobTime kRecordCpu{0.2};
 constexpr decide::JobTime kSnapshotCpu{0.5};
 constexpr double kEntryBytes = 1'000;
@@ -28,7 +28,8 @@
 
 }  // namespace
 
-// Of the processes of one node that run during an upgrade only the holder of the lock writes.
+// Reads and writes the store. During an upgrade several processes of one node run; only the process that
+// holds the lock writes.
 class LearnedStatePersister::Writer {
  public:
   Writer(state::FileSystem& files, const std::string& directory)
@@ -40,7 +41,8 @@
     return loaded;
   }
 
-  // Stores the entry under the next sequence number; does nothing while another process holds the lock.
+  // Stores the entry with the next sequence number. Does nothing, without an error, while another process
+  // holds the lock.
   JobResult Store(state::LearnedEntry& entry, EntryKind kind) {
     JobResult result;
     if (!AcquireLock()) return result;
@@ -63,7 +65,8 @@
     auto lock = state::DirectoryLock::TryAcquire(lock_path_);
     if (!lock) return false;
     lock_.emplace(std::move(*lock));
-    // The former holder may have written since the last load; the next sequence number must be above its own.
+    // The previous holder may have written since the last load. The next sequence number must be greater than
+    // the last number that it used.
     (void)Load();
     return true;
   }
@@ -86,7 +89,8 @@
 }
 
 void LearnedStatePersister::ImportStored(const std::string& directory) {
-  mkdir(directory.c_str(), 0700);  // Where it fails, the first job reports why.
+  mkdir(directory.c_str(),
+        0700);  // An error is not handled here: the first job then fails and logs the reason.
   try {
     const state::LoadedLearned loaded = writer_->Load();
     for (const std::string& warning : loaded.warnings) log::Warn("learned-skipped", {{"what", warning}});
@@ -112,7 +116,7 @@
                  .hung_after = kHungAfter,
                  .expected_cpu = kRecordCpu,
                  .expected_bytes = kEntryBytes};
-  record.prepare = [this](bool) { return StoreLearned(EntryKind::kRecord); };
+  record.prepare = [this](bool) { return MakeStoreFunction(EntryKind::kRecord); };
   Job snapshot;
   snapshot.spec = {.name = "snapshot",
                    .priority = 1,
@@ -122,15 +126,15 @@
                    .expected_cpu = kSnapshotCpu,
                    .expected_bytes = kEntryBytes,
                    .run_on_drain = true};
-  snapshot.prepare = [this](bool) { return StoreLearned(EntryKind::kSnapshot); };
+  snapshot.prepare = [this](bool) { return MakeStoreFunction(EntryKind::kSnapshot); };
   return {std::move(record), std::move(snapshot)};
 }
 
-JobFunction LearnedStatePersister::StoreLearned(EntryKind kind) {
+JobFunction LearnedStatePersister::MakeStoreFunction(EntryKind kind) {
   state::LearnedEntry entry{
       0, decide::MakeLearnedRecord(node_.name(), UnixNow(), node_.settings(), node_.ExportLearned())};
   return [writer = writer_, entry = std::move(entry), kind](const std::atomic<bool>& cancelled) mutable {
-    // Without learned values the stored ones are kept.
+    // Without any learned values nothing is written, so that the stored values are kept.
     if (entry.record.learned.classes.empty() || cancelled) return JobResult{};
     return writer->Store(entry, kind);
   };
@@ -140,7 +144,7 @@
   using prometheus::MetricType;
   std::vector<prometheus::MetricFamily> families;
   const std::vector<JobReport> jobs = JobReports();
-  // The names and help texts are part of the metrics' format.
+  // Metric names and help texts are a stable interface.
   const auto by_job = [&](const char* name, MetricType type, const char* help, const auto& value) {
     prometheus::MetricFamily family{std::string("edge_node_background_") + name, help, type, {}};
     for (const JobReport& job : jobs) {
--- a/src/background/learned_state_persister.h
+++ b/src/background/learned_state_persister.h
@@ -1,4 +1,4 @@
-// Persists what a node learns, and imports it into the next incarnation.
+// Stores the values that a node learns, and imports them when the node starts again.
 #ifndef HINGELINK_BACKGROUND_LEARNED_STATE_PERSISTER_H_
 #define HINGELINK_BACKGROUND_LEARNED_STATE_PERSISTER_H_
 
@@ -14,29 +14,29 @@
 namespace hingelink::background {
 
 struct LearnedStatePersisterOptions {
-  // Created where it does not exist.
+  // The directory of the store. Created if it does not exist.
   std::string directory;
-  // Bounds what a crash loses.
+  // Interval between log records. A crash loses at most the values learned since the last record.
   std::chrono::milliseconds record_interval{5'000};
   std::chrono::milliseconds snapshot_interval{300'000};
   decide::JobSchedulerOptions scheduling{};
 };
 
-// All functions are to be called on the node's thread.
+// All calls on the thread of the node's event loop.
 class LearnedStatePersister : public node::NodeExtension {
  public:
-  // Imports what is stored into the node, which must not run yet. Never throws for what the files hold nor
-  // for an unreadable directory: that is logged, and the node starts without learned state. `node` and
-  // `files` must outlive the object.
+  // Imports the stored values into the node, which must not run yet. Invalid files or an unreadable directory
+  // do not throw: the error is logged, and the node starts without learned values. `node` and `files` must
+  // outlive the object.
   LearnedStatePersister(node::Node& node, state::FileSystem& files,
                         const LearnedStatePersisterOptions& options);
   ~LearnedStatePersister() override { node_.RemoveExtension(*this); }
 
-  // Writes the final snapshot. To be called after the node's Run() returned. Blocks for at most a second.
+  // Writes the final snapshot. Blocks for at most 1 s. To be called after Node::Run() returned.
   void Finish() { job_runner_->Finish(std::chrono::seconds(1)); }
 
   [[nodiscard]] std::vector<JobReport> JobReports() const { return job_runner_->JobReports(); }
-  // The metrics of each job, in the Prometheus text format.
+  // Returns the metrics of each job in the Prometheus text format.
   std::string MetricsText() const override;
 
  private:
@@ -45,11 +45,11 @@
 
   void ImportStored(const std::string& directory);
   std::vector<Job> MakeJobs(const LearnedStatePersisterOptions& options);
-  // The job that stores what the node has learned by now.
-  JobFunction StoreLearned(EntryKind kind);
+  // Returns a job function that stores the values that the node has learned so far.
+  JobFunction MakeStoreFunction(EntryKind kind);
 
   node::Node& node_;
-  // Used by the helper thread once jobs run; outlives this object where a job hangs.
+  // The helper thread uses it while a job runs. It outlives this object if a job hangs.
   std::shared_ptr<Writer> writer_;
   std::unique_ptr<JobRunner> job_runner_;
 };
--- a/src/fleet/codec.cpp
+++ b/src/fleet/codec.cpp
@@ -15,10 +15,11 @@
 using Json = nlohmann::json;
 using Bytes = std::vector<std::uint8_t>;
 
-// More than fit into a datagram; lists of many empty elements are rejected.
+// More elements than fit into a datagram when they hold data. Bounds the memory for lists of many empty
+// elements.
 constexpr std::size_t kMaxRecords = 64;
 constexpr std::size_t kMaxPayloads = 16;
-// Elements of the arrays; later versions may append further ones.
+// Minimum number of array elements; later versions of the protocol may append elements.
 constexpr std::size_t kRecordElements = 10;
 constexpr std::size_t kMessageElements = 10;
 constexpr std::size_t kDigestBytes = 4;
@@ -48,9 +49,11 @@
   return bytes;
 }
 
-// ---- Decoding: functions throw Json::exception if a value has another type or is out of bounds. ----
+// ---- Decoding: the functions throw Json::exception if a value has the wrong type or is out of bounds. ----
 
-[[noreturn]] void ThrowOutOfBounds(const char* what) { throw Json::out_of_range::create(401, what, nullptr); }
+[[noreturn]] void ThrowOutOfBounds(const char* field) {
+  throw Json::out_of_range::create(401, field, nullptr);
+}
 
 template <class Number>
 Number DecodeNumber(const Json& json, std::uint64_t max = std::numeric_limits<Number>::max()) {
@@ -81,9 +84,9 @@
   if (bytes.size() % kDigestBytes != 0) ThrowOutOfBounds("digests");
   std::vector<std::uint32_t> digests;
   digests.reserve(bytes.size() / kDigestBytes);
-  for (std::size_t at = 0; at < bytes.size(); at += kDigestBytes) {
+  for (std::size_t offset = 0; offset < bytes.size(); offset += kDigestBytes) {
     std::uint32_t digest = 0;
-    for (std::size_t i = 0; i < kDigestBytes; ++i) digest = digest << 8 | bytes[at + i];
+    for (std::size_t i = 0; i < kDigestBytes; ++i) digest = digest << 8 | bytes[offset + i];
     digests.push_back(digest);
   }
   return digests;
@@ -123,7 +126,7 @@
     message.records.push_back(DecodeRecord(record));
   for (const Json& payload : DecodeArray(json[9], 0, kMaxPayloads))
     message.payloads.push_back(DecodePayload(payload));
-  // The sender's own record.
+  // The first record is that of the sender, which must have a name.
   if (message.records.front().name.empty()) ThrowOutOfBounds("name");
   return message;
 }
@@ -146,7 +149,7 @@
 }
 
 std::optional<GossipMessage> Decode(std::string_view bytes) {
-  // Besides Json::exception the library throws std::length_error for a list of an impossible size.
+  // Apart from Json::exception, the library throws std::length_error for a list with an impossible size.
   try {
     return DecodeMessage(Json::from_cbor(bytes, true, false));
   } catch (const std::exception&) {
--- a/src/fleet/codec.h
+++ b/src/fleet/codec.h
@@ -1,4 +1,4 @@
-// The wire format of gossip messages: CBOR (RFC 8949), arrays whose elements are identified by position.
+// The wire format of gossip messages: CBOR (RFC 8949) arrays whose elements are identified by their position.
 #ifndef HINGELINK_FLEET_CODEC_H_
 #define HINGELINK_FLEET_CODEC_H_
 
@@ -10,9 +10,9 @@
 
 namespace hingelink::fleet {
 
-// At most decide::MaxEncodedSize(message) bytes.
+// Returns the encoded message, which has at most decide::MaxEncodedSize(message) bytes.
 [[nodiscard]] std::string Encode(const decide::GossipMessage& message);
-// None if the bytes are no message, or one with a value out of bounds. Never throws.
+// Returns nullopt if the bytes are not a message or if one of its values is out of bounds. Never throws.
 [[nodiscard]] std::optional<decide::GossipMessage> Decode(std::string_view bytes);
 
 }  // namespace hingelink::fleet
--- a/src/fleet/fleet.cpp
+++ b/src/fleet/fleet.cpp
@@ -23,12 +23,13 @@
 using decide::Milliseconds;
 using decide::PeerAddress;
 
-// A node that has met no other one for this long takes itself for the first of its fleet.
+// A node that has found no other member within this time assumes that it is the first member of its fleet.
 constexpr Milliseconds kMaxJoiningTime{1'500};
-// Between two attempts to bind an address that is in use.
-constexpr auto kOpenInterval = 100ms;
+// Interval between attempts to bind the address while it is in use.
+constexpr auto kBindRetryInterval = 100ms;
 constexpr net::Steady::duration kMinTimerInterval = 1ms;
-// Process epochs in one millisecond; one of them is chosen at random.
+// Process epochs per millisecond of the wall clock. One of them is chosen at random, so that two processes
+// that start in the same millisecond rarely have the same epoch.
 constexpr std::uint64_t kEpochsPerMs = 1024;
 
 PeerAddress ToPeerAddress(const sockaddr_in& address) {
@@ -50,7 +51,8 @@
   return [generator] { return (*generator)(); };
 }
 
-// Greater than those of earlier processes of the same name, as long as the wall clock is not set back.
+// Returns an epoch that is greater than the epochs of earlier processes with the same node name, unless the
+// wall clock was set back.
 std::uint64_t NewProcessEpoch(const decide::RandomSource& random) {
   const auto unix_ms = std::chrono::duration_cast<std::chrono::milliseconds>(
       std::chrono::system_clock::now().time_since_epoch());
@@ -89,9 +91,10 @@
       config_(read_config()),
       keys_(net::ReadGossipKeys(config_.keys)),
       timer_(node.base(), [this] { OnTimer(); }),
-      open_timer_(node.base(), [this] { OpenTransport(); }) {
+      bind_retry_timer_(node.base(), [this] { OpenTransport(); }) {
   if (node.name().size() > decide::kMaxNameBytes) {
-    throw std::runtime_error("name: longer than 64 bytes, which is the most that peers take");
+    throw std::runtime_error("name: " + std::to_string(node.name().size()) + " bytes; the limit is " +
+                             std::to_string(decide::kMaxNameBytes));
   }
   net::ParseAddress(config_.listen);
   if (!config_.advertise.empty()) net::ParseAddress(config_.advertise);
@@ -110,10 +113,10 @@
     transport_.emplace(node_.base(), std::move(options),
                        [this](const sockaddr_in& from, std::string_view body) { OnDatagram(from, body); });
   } catch (const std::runtime_error& error) {
-    // The process that this one takes over from has the address until it has handed over.
-    if (!std::exchange(has_warned_of_address_, true))
+    // During a handover, the predecessor process keeps the address bound until the handover is complete.
+    if (!std::exchange(has_logged_bind_failure_, true))
       log::Warn("fleet-bind-failed", {{"what", error.what()}});
-    open_timer_.After(kOpenInterval);
+    bind_retry_timer_.After(kBindRetryInterval);
     return;
   }
   if (!membership_) StartMembership();
@@ -140,7 +143,8 @@
 
 void Fleet::OnDatagram(const sockaddr_in& from, std::string_view body) {
   const auto message = Decode(body);
-  // It is authentic: one that cannot be read is of another version of this program.
+  // The transport has authenticated the datagram. A datagram that cannot be decoded comes from an
+  // incompatible version of this program, and is ignored.
   if (!message || !membership_) return;
   const Milliseconds now = Now();
   ExecuteActions(membership_->OnMessage(now, ToPeerAddress(from), *message));
@@ -189,7 +193,7 @@
       if (membership_ && transport_) UpdatePhase();
       break;
     case LifecyclePhase::kHandedOver:
-      // The successor binds the address and has a process epoch of its own.
+      // The successor process binds the address, and joins with a new process epoch.
       is_handed_over_ = true;
       transport_.reset();
       timer_.Stop();
--- a/src/fleet/fleet.h
+++ b/src/fleet/fleet.h
@@ -1,4 +1,4 @@
-// Connects the membership protocol to the node's event loop, its UDP socket and its log.
+// Runs the membership protocol on the node's event loop, with its UDP socket and its log.
 #ifndef HINGELINK_FLEET_FLEET_H_
 #define HINGELINK_FLEET_FLEET_H_
 
@@ -20,21 +20,23 @@
 
 namespace hingelink::fleet {
 
-// A node's membership in its fleet. All calls on the thread of the node's loop.
+// A node's membership in its fleet: owns the gossip transport, the membership protocol and the gossip topics.
+// All calls on the thread of the node's event loop.
 class Fleet : public node::NodeExtension {
  public:
-  // `node` must outlive the object. `read_config` is called now and at each SIGHUP; it may throw. Throws what
-  // `read_config` throws, net::GossipKeyError, and std::runtime_error or std::invalid_argument for a name or
-  // an address that cannot be used. If the address is in use, as while this process takes over from another
-  // one, the node joins as soon as it is free.
+  // `node` must outlive the object. `read_config` is called by the constructor and after each reload of the
+  // node; it may throw. Throws what `read_config` throws, net::GossipKeyError, and std::runtime_error or
+  // std::invalid_argument for an invalid name or address. If the address is in use, for example by the
+  // predecessor process during a handover, the node joins the fleet as soon as the address is free.
   Fleet(node::Node& node, const std::function<FleetConfig()>& read_config);
   ~Fleet() override;
   Fleet(const Fleet&) = delete;
   Fleet& operator=(const Fleet&) = delete;
 
-  // State that travels with the messages; it must outlive the object. To be called before the node runs.
+  // Adds a topic, whose payloads are sent along with gossip messages. `topic` must outlive the object. To be
+  // called before Node::Run().
   void RegisterTopic(decide::GossipTopic& topic) { topics_.Register(topic); }
-  // After Node::Run(): announces to other members that this one has left.
+  // Announces to the other members that this node has left. To be called after Node::Run() returned.
   void AnnounceLeave();
 
   [[nodiscard]] FleetSnapshot TakeSnapshot() const;
@@ -44,32 +46,34 @@
   std::string MetricsText() const override { return MetricsTextOf(TakeSnapshot()); }
 
  private:
-  // Binds the address, or schedules another attempt; the first time it also starts the membership protocol.
+  // Binds the address, or schedules another attempt if that fails. The first success starts the membership
+  // protocol.
   void OpenTransport();
   void StartMembership();
-  // Reads the configuration again: keys and seeds are replaced. If it cannot be used, the old ones stay.
+  // Reads the configuration again and replaces the keys and seeds; other changes have no effect. If the
+  // configuration is invalid, the previous keys and seeds stay in use.
   void Reload();
   void OnDatagram(const sockaddr_in& from, std::string_view body);
   void OnTimer();
   void ScheduleTimer();
   void ExecuteActions(decide::MembershipActions actions);
-  // Announces the phase that follows from the node's state.
+  // Announces the member phase that corresponds to the node's state, if it has changed.
   void UpdatePhase();
   [[nodiscard]] decide::MemberPhase CurrentPhase() const;
-  [[nodiscard]] decide::Milliseconds Now() const { return net::Steady::now() - began_at_; }
+  [[nodiscard]] decide::Milliseconds Now() const { return net::Steady::now() - started_at_; }
 
   node::Node& node_;
   std::function<FleetConfig()> read_config_;
   FleetConfig config_;
   std::vector<net::GossipKey> keys_;
-  net::Steady::time_point began_at_ = net::Steady::now();
+  net::Steady::time_point started_at_ = net::Steady::now();
   decide::GossipTopics topics_;
-  std::optional<net::GossipTransport> transport_;  // Not while another process has the address.
-  std::optional<decide::Membership> membership_;   // From the first time that the transport is open.
+  std::optional<net::GossipTransport> transport_;  // Empty while the address is not bound.
+  std::optional<decide::Membership> membership_;   // Set since the address was first bound.
   net::Timer timer_;
-  net::Timer open_timer_;
+  net::Timer bind_retry_timer_;
   bool is_handed_over_ = false;
-  bool has_warned_of_address_ = false;
+  bool has_logged_bind_failure_ = false;
 };
 
 }  // namespace hingelink::fleet
--- a/src/fleet/fleet_config.cpp
+++ b/src/fleet/fleet_config.cpp
@@ -11,11 +11,11 @@
 namespace hingelink::fleet {
 namespace {
 
-std::string JoinFaults(const std::string& path, const std::vector<std::string>& faults) {
+std::string JoinErrors(const std::string& path, const std::vector<std::string>& errors) {
   std::string text;
-  for (const std::string& fault : faults) {
+  for (const std::string& error : errors) {
     if (!text.empty()) text += '\n';
-    text.append(path).append(fault);
+    text.append(path).append(error);
   }
   return text;
 }
@@ -23,25 +23,26 @@
 nlohmann::json ReadJson(const std::string& path) {
   std::ifstream file(path, std::ios::binary);
   if (!file) {
-    throw FleetConfigError(path, {": cannot be read; wanted a file by deploy/schema/peers.json"});
+    throw FleetConfigError(
+        path, {": cannot be read; expected a JSON file as described by deploy/schema/peers.json"});
   }
   const std::string text(std::istreambuf_iterator<char>(file), {});
   nlohmann::json json = nlohmann::json::parse(text, nullptr, false, true);
-  if (json.is_discarded()) throw FleetConfigError(path, {": no JSON"});
+  if (json.is_discarded()) throw FleetConfigError(path, {": not valid JSON"});
   return json;
 }
 
 void CheckSchema(const std::string& path, const nlohmann::json& json) {
   static const schema::Schema peers_schema(schema::PeersSchema());
-  std::vector<std::string> faults;
-  for (const schema::Fault& fault : peers_schema.Check(json)) faults.push_back(' ' + fault.Text());
-  if (!faults.empty()) throw FleetConfigError(path, faults);
+  std::vector<std::string> errors;
+  for (const schema::Fault& fault : peers_schema.Check(json)) errors.push_back(' ' + fault.Text());
+  if (!errors.empty()) throw FleetConfigError(path, errors);
 }
 
 }  // namespace
 
-FleetConfigError::FleetConfigError(std::string path, const std::vector<std::string>& faults)
-    : std::runtime_error(JoinFaults(path, faults)), path_(std::move(path)) {}
+FleetConfigError::FleetConfigError(std::string path, const std::vector<std::string>& errors)
+    : std::runtime_error(JoinErrors(path, errors)), path_(std::move(path)) {}
 
 FleetConfig ReadFleetConfig(const std::string& path) {
   const nlohmann::json json = ReadJson(path);
--- a/src/fleet/fleet_snapshot.cpp
+++ b/src/fleet/fleet_snapshot.cpp
@@ -14,16 +14,16 @@
 
 using prometheus::MetricType;
 
-// A label value and the figure.
+// A label value and the value of the metric.
 using LabelledValue = std::pair<const char*, double>;
 
 double ToDouble(std::uint64_t count) { return static_cast<double>(count); }
 
-// Metric names, labels and label values are an interface: they keep the words of earlier versions, which are
-// mapped to the terms of the code here.
+// Metric names, labels and label values are a stable interface. Some differ from the names in the code, and
+// are mapped to them in this file.
 class FamilyBuilder {
  public:
-  // A family with one metric for each value of a label.
+  // Adds a family with one metric for each value of a label.
   void Add(MetricType type, const char* name, const char* help, const char* label,
            const std::vector<LabelledValue>& values) {
     prometheus::MetricFamily family = Family(type, name, help);
@@ -33,7 +33,7 @@
     }
     families_.push_back(std::move(family));
   }
-  // A gauge without labels.
+  // Adds a gauge without labels.
   void AddGauge(const char* name, const char* help, double value) {
     prometheus::MetricFamily family = Family(MetricType::Gauge, name, help);
     family.metric.push_back(Metric(MetricType::Gauge, value));
@@ -55,7 +55,7 @@
   std::vector<prometheus::MetricFamily> families_;
 };
 
-// This node is among the alive ones.
+// Returns the number of alive, suspect and dead members. This node counts as alive.
 std::array<double, 3> CountByState(const FleetSnapshot& snapshot) {
   std::array<double, 3> counts{1, 0, 0};
   for (const decide::MemberView& member : snapshot.members) {
--- a/src/fleet/fleet_snapshot.h
+++ b/src/fleet/fleet_snapshot.h
@@ -1,4 +1,4 @@
-// What a node knows of its fleet at one moment, and its figures for the metrics endpoint.
+// A snapshot of a node's view of its fleet, and its metrics.
 #ifndef HINGELINK_FLEET_FLEET_SNAPSHOT_H_
 #define HINGELINK_FLEET_FLEET_SNAPSHOT_H_
 
@@ -12,7 +12,7 @@
 
 struct FleetSnapshot {
   decide::MemberRecord self;
-  std::vector<decide::MemberView> members;  // All others, by name.
+  std::vector<decide::MemberView> members;  // All other members, sorted by name.
   int local_health = 0;                     // decide::Membership::local_health().
   bool defers_removals = false;             // decide::Membership::defers_removals().
   bool is_transport_open = false;
@@ -20,7 +20,7 @@
   net::GossipTransport::Counters transport;
 };
 
-// In the Prometheus text format.
+// Returns the metrics of the snapshot in the Prometheus text format.
 [[nodiscard]] std::string MetricsTextOf(const FleetSnapshot& snapshot);
 
 }  // namespace hingelink::fleet
--- a/tests/fleet/fleet_config_test.cpp
+++ b/tests/fleet/fleet_config_test.cpp
@@ -51,7 +51,7 @@
 }
 
 TEST_F(FleetConfigTest, NamesTheFileAndEachFault) {
-  EXPECT_EQ(ErrorOf("{"), path_ + ": no JSON");
+  EXPECT_EQ(ErrorOf("{"), path_ + ": not valid JSON");
   const std::string text = ErrorOf(R"({"listen": 5, "keys": 7})");
   EXPECT_NE(text.find(path_ + " /listen: found 5"), std::string::npos) << text;
   EXPECT_NE(text.find(path_ + " /keys: found 7"), std::string::npos) << text;
