--- a/src/fleet/codec.cpp
+++ b/src/fleet/codec.cpp
@@ -51,8 +51,8 @@
 
 // ---- Decoding: the functions throw Json::exception if a value has the wrong type or is out of bounds. ----
 
-[[noreturn]] void ThrowOutOfBounds(const char* field) {
-  throw Json::out_of_range::create(401, field, nullptr);
+[[noreturn]] void ThrowOutOfBounds(const char* value) {
+  throw Json::out_of_range::create(401, value, nullptr);
 }
 
 template <class Number>
--- a/tests/background/job_runner_test.cpp
+++ b/tests/background/job_runner_test.cpp
@@ -13,9 +13,10 @@
 
 using peers::Gate;
 
-Job JobOf(const char* name, std::function<JobResult(const std::atomic<bool>&)> work, bool final_run = false) {
+Job MakeJob(const char* name, std::function<JobResult(const std::atomic<bool>&)> work,
+            bool run_on_drain = false) {
   Job job;
-  job.spec = {.name = name, .priority = 1, .hung_after = decide::JobTime(1), .run_on_drain = final_run};
+  job.spec = {.name = name, .priority = 1, .hung_after = decide::JobTime(1), .run_on_drain = run_on_drain};
   job.prepare = [work = std::move(work)](bool) { return work; };
   return job;
 }
@@ -32,7 +33,7 @@
   tick.After(1ms);
   {
     std::vector<Job> jobs;
-    jobs.push_back(JobOf("snapshot", [gate](const std::atomic<bool>&) {
+    jobs.push_back(MakeJob("snapshot", [gate](const std::atomic<bool>&) {
       gate->Wait();
       return JobResult{};
     }));
@@ -53,7 +54,7 @@
 TEST_F(JobRunnerTest, AFailedJobIsLoggedAndRetried) {
   std::vector<Job> jobs;
   auto runs = std::make_shared<std::atomic<int>>(0);
-  jobs.push_back(JobOf("clean", [runs](const std::atomic<bool>&) -> JobResult {
+  jobs.push_back(MakeJob("clean", [runs](const std::atomic<bool>&) -> JobResult {
     if (++*runs == 1) throw state::FileError("write", "x", ENOSPC);
     return {};
   }));
--- a/tests/background/learned_state_persister_test.cpp
+++ b/tests/background/learned_state_persister_test.cpp
@@ -1,4 +1,5 @@
-// What a node learned survives its process: by its files, and by the handover to a successor.
+// A node's learned values are passed to the next process, by files and by the handover to a successor
+// process.
 #include "background/learned_state_persister.h"
 
 #include <gtest/gtest.h>
@@ -19,13 +20,15 @@
 
 using LearnedStatePersisterTest = LoopTest;
 
-// A node on scripted peers that stores its learned state on the given file system.
+// A node with scripted peers that stores its learned values in the given file system.
 class RunningNode {
  public:
-  // `shared`: the directory of the handover between processes of this node; empty: no handover.
-  RunningNode(state::FileSystem& files, const std::string& directory, const std::string& shared = {})
+  // `handover_directory`: the directory through which processes of this node hand over; empty for no
+  // handover.
+  RunningNode(state::FileSystem& files, const std::string& directory,
+              const std::string& handover_directory = {})
       : node_(
-            node::ParseConfig(json_), [this] { return node::ParseConfig(json_); }, shared),
+            node::ParseConfig(json_), [this] { return node::ParseConfig(json_); }, handover_directory),
         persister_(node_, files, {.directory = directory, .record_interval = 20ms}),
         thread_([this] {
           node_.Run();
@@ -40,7 +43,7 @@
     assert(kill(getpid(), SIGTERM) == 0);
     thread_.join();
   }
-  // Once it has ended: what its module learned.
+  // Stops the node, and returns the values that it learned.
   Learned StopAndExport() {
     Stop();
     return node_.ExportLearned();
@@ -53,7 +56,7 @@
       std::snprintf(request_id, sizeof request_id, "%016x", ++last_request_);
       gateway.Write(Gateway::Request(static_cast<std::uint32_t>(i), request_id, "body"));
       assert(link_.Command() == std::string("spawn ") + request_id + " order-lodge 4");
-      link_.Finish(++notice_, request_id, "complete", "result");
+      link_.Finish(++last_notice_, request_id, "complete", "result");
       gateway.ReadAnswer(static_cast<std::uint32_t>(i), 0);
     }
   }
@@ -65,11 +68,11 @@
   LearnedStatePersister persister_;
   std::thread thread_;
   peers::PoolLink link_;
-  int notice_ = 0;
+  int last_notice_ = 0;
   unsigned last_request_ = 0;
 };
 
-TEST_F(LearnedStatePersisterTest, TheNextIncarnationStartsWithWhatWasLearned) {
+TEST_F(LearnedStatePersisterTest, TheNextIncarnationImportsTheStoredValues) {
   char name[] = "/tmp/hingelink.persister.XXXXXX";
   const std::string directory = mkdtemp(name);
   state::RecordingDisk disk;
@@ -83,7 +86,7 @@
   { RunningNode(disk, directory).Serve(3); }
   EXPECT_TRUE(IsLogged("learned-imported classes=1 confidence_percent=100"));
   found = state::LearnedStore(disk, directory).Load();
-  // 12 imported ones and three new ones.
+  // 12 imported samples and three new ones.
   EXPECT_EQ(found.entry->record.learned.classes[0].samples, 15);
   EXPECT_GT(found.entry->sequence, before);
   std::filesystem::remove_all(directory);
@@ -127,29 +130,29 @@
   char name[] = "/tmp/hingelink.persister.XXXXXX";
   const std::string directory = mkdtemp(name);
   state::RecordingDisk disk;
-  state::LearnedStore other(disk, directory);
+  state::LearnedStore other_store(disk, directory);
   {
     const std::ptrdiff_t failures = CountLogged("background-job-failed");
-    auto held = state::DirectoryLock::TryAcquire(directory + "/learned.lock");
-    ASSERT_TRUE(held);
+    auto lock_of_other = state::DirectoryLock::TryAcquire(directory + "/learned.lock");
+    ASSERT_TRUE(lock_of_other);
     { RunningNode(disk, directory).Serve(20); }
-    EXPECT_FALSE(other.Load().entry);
-    // Waiting for the lock is no failure.
+    EXPECT_FALSE(other_store.Load().entry);
+    // A run that does not get the lock does not count as failed.
     EXPECT_EQ(CountLogged("background-job-failed"), failures);
-    // The holder of the lock writes once more after the next node has loaded.
+    // The holder of the lock writes once more after the next node has loaded the store.
     RunningNode next(disk, directory);
-    other.WriteSnapshot({500, decide::MakeLearnedRecord("n3", 0ms, {}, {})});
-    held.reset();
+    other_store.WriteSnapshot({500, decide::MakeLearnedRecord("n3", 0ms, {}, {})});
+    lock_of_other.reset();
     next.Serve(20);
   }
-  const state::LoadedLearned found = other.Load();
+  const state::LoadedLearned found = other_store.Load();
   ASSERT_TRUE(found.entry);
   EXPECT_GT(found.entry->sequence, 500u);
   EXPECT_EQ(found.entry->record.learned.classes.size(), 1u);
   std::filesystem::remove_all(directory);
 }
 
-// ---- Over the handover channel, with a real node on one side of it ----
+// ---- Over the handover channel, with a node on one side of the channel ----
 
 class LearnedStateHandoverTest : public LearnedStatePersisterTest {
  protected:
@@ -171,7 +174,7 @@
   state::RecordingDisk disk_;
 };
 
-TEST_F(LearnedStateHandoverTest, ANodeSendsItsSuccessorWhatItHasLearned) {
+TEST_F(LearnedStateHandoverTest, ANodeSendsItsLearnedValuesToItsSuccessor) {
   RunningNode predecessor(disk_, directory_ + "/state", directory_);
   predecessor.Serve(40);
   std::vector<proto::LearnedClassMessage> received;
@@ -188,18 +191,19 @@
   EXPECT_EQ(received[0].samples, 41);
 }
 
-TEST_F(LearnedStateHandoverTest, WhatAPredecessorSendsIsPreferredToWhatIsStored) {
+TEST_F(LearnedStateHandoverTest, ValuesFromThePredecessorTakePrecedenceOverStoredValues) {
   node::Config config = node::ParseConfig(peers::RunningNode::Json({}, {}, 600, 1024));
-  const auto known = [](double run) {
+  const auto learned_with = [](double run_ms) {
     Learned learned;
-    learned.classes = {{"order-lodge", run, run, 300, 100}};
+    learned.classes = {{"order-lodge", run_ms, run_ms, 300, 100}};
     return learned;
   };
   const auto now = std::chrono::duration_cast<std::chrono::milliseconds>(
       std::chrono::system_clock::now().time_since_epoch());
   state::LearnedStore(disk_, directory_ + "/state")
-      .WriteSnapshot({1, decide::MakeLearnedRecord("n3", now, config.settings, known(111))});
-  // The predecessor: its listener, and then its lines, one of them of a class that is configured otherwise.
+      .WriteSnapshot({1, decide::MakeLearnedRecord("n3", now, config.settings, learned_with(111))});
+  // The predecessor sends its listener and then its learned values, one of them for a class whose
+  // configuration differs from that of the successor.
   const net::Descriptor listener(socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC | SOCK_NONBLOCK, 0));
   ASSERT_EQ(listen(listener.get(), 8), 0);
   standin::Host host;
--- a/tests/background/loop_test.h
+++ b/tests/background/loop_test.h
@@ -1,4 +1,4 @@
-// Helpers for tests with an event loop and the log of this process.
+// Helpers for tests that run an event loop and check the log of the test process.
 #ifndef HINGELINK_TESTS_BACKGROUND_LOOP_TEST_H_
 #define HINGELINK_TESTS_BACKGROUND_LOOP_TEST_H_
 
@@ -17,11 +17,13 @@
 
 using namespace std::chrono_literals;
 
+// Returns when the condition holds, or after 40 s.
 inline void RunLoopUntil(event_base* base, const std::function<bool()>& condition) {
   const auto end = net::Steady::now() + 40s;
   while (!condition() && net::Steady::now() < end) event_base_loop(base, EVLOOP_ONCE);
 }
-// In the log of this process, tests that ran before included.
+// Returns the number of log lines of this process that contain `text`. Includes lines of tests that ran
+// before.
 inline std::ptrdiff_t CountLogged(const std::string& text) {
   const std::vector<std::string> lines = log::Recent();
   return std::count_if(lines.begin(), lines.end(),
--- a/tests/fleet/codec_test.cpp
+++ b/tests/fleet/codec_test.cpp
@@ -1,4 +1,4 @@
-// The wire format of gossip messages: round trips, the size bound, and hostile bytes.
+// The wire format of gossip messages: round trips, the size bound, and corrupted bytes.
 #include "fleet/codec.h"
 
 #include <gtest/gtest.h>
@@ -49,20 +49,20 @@
   return message;
 }
 
-RC_GTEST_PROP(Codec, DecodesWhatItEncoded, ()) {
+RC_GTEST_PROP(Codec, DecodesEncodedMessagesUnchanged, ()) {
   const GossipMessage message = AnyMessage();
   const auto decoded = Decode(Encode(message));
   RC_ASSERT(decoded.has_value());
   RC_ASSERT(*decoded == message);
 }
 
-// Messages are filled up to this bound, and the transport rejects longer ones.
+// Senders fill messages up to this bound, and the transport rejects messages that are too long.
 RC_GTEST_PROP(Codec, StaysWithinMaxEncodedSize, ()) {
   const GossipMessage message = AnyMessage();
   RC_ASSERT(Encode(message).size() <= decide::MaxEncodedSize(message));
 }
 
-RC_GTEST_PROP(Codec, DecodesNoValuesOutOfBounds, ()) {
+RC_GTEST_PROP(Codec, RejectsValuesOutOfBounds, ()) {
   std::string bytes = Encode(AnyMessage());
   const int changes = *rc::gen::inRange(1, 6);
   for (int i = 0; i < changes; ++i) {
--- a/tests/fleet/fleet_config_test.cpp
+++ b/tests/fleet/fleet_config_test.cpp
@@ -12,12 +12,12 @@
 
 class FleetConfigTest : public testing::Test {
  protected:
-  // The configuration of a file with this text.
+  // Returns the configuration that is read from a file with this text.
   FleetConfig Read(const std::string& text) {
     std::ofstream(path_) << text;
     return ReadFleetConfig(path_);
   }
-  // The text of the error.
+  // Returns the error text for a file with this text, or "none" if the file is valid.
   std::string ErrorOf(const std::string& text) {
     try {
       Read(text);
@@ -50,7 +50,7 @@
   EXPECT_EQ(config.weight, 1);
 }
 
-TEST_F(FleetConfigTest, NamesTheFileAndEachFault) {
+TEST_F(FleetConfigTest, ErrorNamesTheFileAndEachInvalidValue) {
   EXPECT_EQ(ErrorOf("{"), path_ + ": not valid JSON");
   const std::string text = ErrorOf(R"({"listen": 5, "keys": 7})");
   EXPECT_NE(text.find(path_ + " /listen: found 5"), std::string::npos) << text;
@@ -58,7 +58,7 @@
   EXPECT_EQ(std::count(text.begin(), text.end(), '\n'), 1) << text;
 }
 
-TEST_F(FleetConfigTest, RejectsAFileThatIsMissing) {
+TEST_F(FleetConfigTest, RejectsAMissingFile) {
   EXPECT_THROW(static_cast<void>(ReadFleetConfig(path_)), FleetConfigError);
 }
 
--- a/tests/fleet/fleet_snapshot_test.cpp
+++ b/tests/fleet/fleet_snapshot_test.cpp
@@ -1,4 +1,4 @@
-// The metrics of a fleet: names and labels are an interface.
+// The metrics of a fleet. Names, labels and label values are a stable interface.
 #include "fleet/fleet_snapshot.h"
 
 #include <gtest/gtest.h>
@@ -28,7 +28,7 @@
   EXPECT_TRUE(HasLine(text, "edge_node_fleet_members{state=\"gone\"} 1")) << text;
 }
 
-TEST(FleetMetrics, TellTheLongestSilenceOfALiveMember) {
+TEST(FleetMetrics, QuietSecondsIsTheLongestTimeSinceAMessageFromALiveMember) {
   FleetSnapshot snapshot;
   snapshot.members = {MakeView(decide::MemberState::kAlive, decide::Milliseconds(500)),
                       MakeView(decide::MemberState::kSuspect, decide::Milliseconds(2'000)),
--- a/tests/fleet/gossip_message_fuzz.cpp
+++ b/tests/fleet/gossip_message_fuzz.cpp
@@ -1,5 +1,5 @@
-// Fuzz target: the bytes of an authentic datagram, decoded and given to a member. With clang libFuzzer
-// chooses the bytes (tests/fuzz.sh peers); every build runs seeds and random changes of them.
+// Fuzz target: decodes the body of an authentic datagram and passes the message to a member. `tests/fuzz.sh
+// peers` runs it with clang's libFuzzer. Without libFuzzer, main() runs random changes of seed messages.
 #include <cstddef>
 #include <cstdint>
 #include <cstdlib>
@@ -30,8 +30,8 @@
   return self;
 }
 
-void Check(bool holds) {
-  if (!holds) std::abort();
+void Check(bool condition) {
+  if (!condition) std::abort();
 }
 
 void CheckMessages(const MembershipActions& actions, const MembershipOptions& options) {
@@ -51,15 +51,15 @@
   options.max_members = 16;
   Membership membership(options, Self(), {},
                         [&random] { return random = random * 6364136223846793005U + 1; });
-  MemberVersion before = membership.self().version;
+  MemberVersion previous_version = membership.self().version;
   for (int round = 0; round < 4; ++round) {
     const Milliseconds now(round * 700.0);
     CheckMessages(membership.OnMessage(now, {2, 7946}, *message), options);
     CheckMessages(membership.Tick(now + Milliseconds(300)), options);
-    Check(membership.self().version >= before);
+    Check(membership.self().version >= previous_version);
     Check(membership.live_members() <= options.max_members + 1);
     Check(membership.queued_broadcasts() <= options.max_members);
-    before = membership.self().version;
+    previous_version = membership.self().version;
   }
   return 0;
 }
@@ -72,7 +72,7 @@
 
 namespace {
 
-// Records of a live member, of a suspect and of this node itself, declared dead.
+// Returns records of an alive member, of a suspect member, and of this node, which is declared dead.
 std::vector<MemberRecord> SeedRecords() {
   MemberRecord alive = Self();
   alive.name = "n2";
--- a/tests/net/gossip_keys_test.cpp
+++ b/tests/net/gossip_keys_test.cpp
@@ -1,4 +1,4 @@
-// The file of keys: what is accepted, and what the errors name.
+// Key files: which are accepted, and the error texts for the others.
 #include "net/gossip_keys.h"
 
 #include <gtest/gtest.h>
@@ -15,7 +15,7 @@
 
 class GossipKeysTest : public testing::Test {
  protected:
-  // Whether a file with this text and mode is accepted: the text of the error, or "none".
+  // Returns the error text for a key file with this content and mode, or "none" if the file is accepted.
   std::string ErrorOf(const std::string& text, mode_t mode = 0600) {
     std::ofstream(path_) << text;
     chmod(path_.c_str(), mode);
@@ -38,7 +38,7 @@
   EXPECT_EQ(ErrorOf("# the old one\n" + key_ + GenerateGossipKey()), "none");
 }
 
-TEST_F(GossipKeysTest, NamesTheLineThatIsNoKey) {
+TEST_F(GossipKeysTest, ErrorNamesTheLineThatIsNotAKey) {
   EXPECT_EQ(ErrorOf(key_ + "12\n"), path_ + " line 2: not a key; expected 64 hexadecimal digits");
 }
 
@@ -47,15 +47,15 @@
             path_ + ": 3 keys; expected one key, or two during a key replacement");
 }
 
-TEST_F(GossipKeysTest, SaysHowToMakeAKeyIfThereIsNone) {
+TEST_F(GossipKeysTest, ErrorForAFileWithoutKeysNamesTheCommandThatCreatesOne) {
   EXPECT_NE(ErrorOf("").find("hingelink fleet key"), std::string::npos);
 }
 
-TEST_F(GossipKeysTest, RejectsAFileThatOthersMayRead) {
+TEST_F(GossipKeysTest, RejectsAFileThatOthersCanRead) {
   EXPECT_NE(ErrorOf(key_, 0644).find("expected mode 0600"), std::string::npos);
 }
 
-TEST_F(GossipKeysTest, RejectsAFileThatIsMissing) {
+TEST_F(GossipKeysTest, RejectsAMissingFile) {
   std::filesystem::remove(path_);
   EXPECT_THROW(ReadGossipKeys(path_), GossipKeyError);
 }
--- a/tests/net/gossip_transport_test.cpp
+++ b/tests/net/gossip_transport_test.cpp
@@ -1,4 +1,4 @@
-// Datagrams between nodes: authentication, replays, key replacement, and the bounds of the transport.
+// Gossip datagrams: authentication, replays, key replacement, and the limits on rate and CPU time.
 #include "net/gossip_transport.h"
 
 #include <gtest/gtest.h>
@@ -15,7 +15,7 @@
 
 using namespace std::chrono_literals;
 
-// No test waits longer for datagrams.
+// Upper bound of any wait for datagrams.
 constexpr auto kTimeout = 40s;
 
 GossipKey MakeKey(unsigned char fill) {
@@ -32,7 +32,7 @@
   return address;
 }
 
-// A socket that sends and receives any bytes.
+// A UDP socket that sends and receives arbitrary bytes.
 class RawSocket {
  public:
   RawSocket() : socket_(::socket(AF_INET, SOCK_DGRAM, 0)) {
@@ -78,7 +78,7 @@
     return std::make_unique<GossipTransport>(base_.get(), options,
                                              [](const sockaddr_in&, std::string_view) {});
   }
-  // The datagram that a peer sends with this body.
+  // Returns the datagram that `peer` sends for this body.
   std::string Capture(GossipTransport& peer, std::string_view body) {
     peer.Send(LoopbackAddress(socket_.port()), body);
     return socket_.Receive();
@@ -88,7 +88,7 @@
     return counters.received + counters.malformed + counters.unauthenticated + counters.replayed +
            counters.reflected;
   }
-  // Sends these, and runs the loop until all have been handled.
+  // Sends the datagrams, and runs the loop until the transport has handled all of them.
   void Deliver(const std::vector<std::string>& datagrams) {
     const std::uint64_t wanted = HandledDatagrams() + datagrams.size();
     for (const std::string& datagram : datagrams) socket_.Send(transport_->port(), datagram);
@@ -144,7 +144,7 @@
   EXPECT_EQ(received_.size(), 1U);
 }
 
-TEST_F(GossipTransportTest, ReplacesAKeyInService) {
+TEST_F(GossipTransportTest, ReplacesAKeyWithoutInterruption) {
   const auto old_peer = OpenPeer(1);
   const auto new_peer = OpenPeer(2);
   Deliver({Capture(*old_peer, "1"), Capture(*new_peer, "2")});
@@ -169,16 +169,16 @@
   EXPECT_EQ(transport_->replay_windows(), 4U);
 }
 
-TEST_F(GossipTransportTest, SendsNoMoreThanItsBytesPerSecond) {
+TEST_F(GossipTransportTest, LimitsTheSendingRate) {
   const std::string body(1'000, 'x');
   for (int i = 0; i < 1'000; ++i) transport_->Send(LoopbackAddress(socket_.port()), body);
-  // It begins with the budget of one second, and receives that of the time that the loop takes.
+  // The transport starts with the budget of one second, and gains more while the loop above runs.
   EXPECT_GE(transport_->counters().unsent, 800U);
   transport_->Send(LoopbackAddress(socket_.port()), std::string(GossipTransport::kMaxBodyBytes + 1, 'x'));
   EXPECT_LE(transport_->counters().sent_bytes, 200'000U);
 }
 
-TEST_F(GossipTransportTest, PausesReadingWhenItsFractionOfTheCoreIsUsedUp) {
+TEST_F(GossipTransportTest, PausesReadingWhenItsCpuBudgetIsUsedUp) {
   Open({MakeKey(1)}, 0.05);
   std::string forged = Capture(*OpenPeer(1), std::string(500, 'x'));
   forged.back() = 'y';
@@ -195,7 +195,7 @@
   }
   EXPECT_GE(transport_->counters().read_pauses, 5U);
   EXPECT_TRUE(received_.empty());
-  // Reading resumes, and the loop has served other events meanwhile.
+  // Reading resumes after the pause, and the event loop served other events during it.
   const auto peer = OpenPeer(1);
   while (received_.empty() && Steady::now() < end) {
     socket_.Send(transport_->port(), Capture(*peer, "good"));
--- a/tests/net/replay_filter_test.cpp
+++ b/tests/net/replay_filter_test.cpp
@@ -14,7 +14,7 @@
   EXPECT_TRUE(filter.Accept(kSender, 4));
 }
 
-TEST(ReplayFilter, RejectsTheCounterZero) {
+TEST(ReplayFilter, RejectsCounterZero) {
   ReplayFilter filter(4);
   EXPECT_FALSE(filter.Accept(kSender, 0));
   EXPECT_EQ(filter.senders(), 0U);
@@ -27,16 +27,16 @@
   EXPECT_TRUE(filter.Accept(kSender, 2));
 }
 
-TEST(ReplayFilter, ForgetsTheWindowWhenTheCounterJumps) {
+TEST(ReplayFilter, ResetsTheWindowWhenTheCounterJumpsPastIt) {
   ReplayFilter filter(4);
   EXPECT_TRUE(filter.Accept(kSender, 5));
   EXPECT_TRUE(filter.Accept(kSender, 5 + 3 * ReplayFilter::kWindow));
-  // Occupies the same place of the window as an earlier one.
+  // Every counter in the window was skipped. The jump must have cleared the bits that earlier counters set.
   EXPECT_TRUE(filter.Accept(kSender, 4 + 3 * ReplayFilter::kWindow));
   EXPECT_FALSE(filter.Accept(kSender, 4 + 3 * ReplayFilter::kWindow));
 }
 
-TEST(ReplayFilter, TellsSendersApart) {
+TEST(ReplayFilter, KeepsASeparateWindowForEachSender) {
   ReplayFilter filter(4);
   EXPECT_TRUE(filter.Accept(1, 1));
   EXPECT_TRUE(filter.Accept(2, 1));
--- a/tests/state/learned_fuzz.cpp
+++ b/tests/state/learned_fuzz.cpp
@@ -1,5 +1,5 @@
-// Fuzz target of the codec of learned state. With clang: libFuzzer draws the bytes (tests/fuzz.sh
-// learned). In every build: seeds and a bounded number of changes to them, drawn from a fixed seed.
+// Fuzz target for the codec of learned state. `tests/fuzz.sh learned` runs it with clang's libFuzzer. Without
+// libFuzzer, main() runs a bounded number of random changes of seed frames, from a fixed random seed.
 #include <cstddef>
 #include <cstdint>
 #include <cstdlib>
@@ -16,14 +16,15 @@
        {state::LearnedFrameKind::kSnapshot, state::LearnedFrameKind::kLogRecord}) {
     state::DecodedLearned decoded = state::DecodeLearned(bytes, kind);
     if (decoded.status != state::DecodedLearned::Status::kValid) {
-      // The payload alone, behind a head that is right: the check would keep all draws out.
+      // Decodes the bytes as a payload without its header, because random bytes almost never match the
+      // checksum.
       if (size > state::kMaxLearnedPayloadBytes) continue;
       decoded = state::DecodePayload(bytes);
       if (decoded.status != state::DecodedLearned::Status::kValid) continue;
     }
-    // What is read can be written, and what is taken over is plausible.
-    const std::string again = state::EncodeLearned(decoded.entry, kind);
-    if (state::DecodeLearned(again, kind).status != state::DecodedLearned::Status::kValid) std::abort();
+    // A decoded entry can be encoded and decoded again, and its imported values pass the sanity checks.
+    const std::string reencoded = state::EncodeLearned(decoded.entry, kind);
+    if (state::DecodeLearned(reencoded, kind).status != state::DecodedLearned::Status::kValid) std::abort();
     const decide::LearnedImport imported = decide::ImportLearnedRecord(
         decoded.entry.record, decoded.entry.record.node_name, std::chrono::hours(500'000), settings);
     for (const LearnedClass& learned : imported.learned.classes) {
--- a/tests/state/learned_samples.h
+++ b/tests/state/learned_samples.h
@@ -19,7 +19,8 @@
   return settings;
 }
 
-// Two classes; the first one's execution time tells the sequence.
+// Returns an entry with two classes. The execution time of the first class depends on the sequence number, so
+// that a test can check which entry was loaded.
 inline LearnedEntry Sample(std::uint64_t sequence) {
   Learned learned;
   learned.classes = {{"view", 31.5 + static_cast<double>(sequence), 30, 28, 900}, {"save", 45, 44, 0, 40}};
--- a/tests/state/learned_store_test.cpp
+++ b/tests/state/learned_store_test.cpp
@@ -1,4 +1,5 @@
-// state::LearnedStore: a power cut or a failure at each file operation, and files that are damaged or newer.
+// state::LearnedStore: a power cut or a failure at each file operation, and files that are damaged or written
+// by a newer version.
 #include "state/learned_store.h"
 
 #include <gtest/gtest.h>
@@ -39,7 +40,7 @@
 
 TEST(LearnedStore, APowerCutAfterAnyOperationLeavesTheLastDurableEntryOrANewerOne) {
   RecordingDisk disk;
-  // From so many operations on, this sequence at least.
+  // The number of operations after which an entry is durable, and its sequence number.
   std::vector<std::pair<std::size_t, std::uint64_t>> durable;
   std::uint64_t sequence = 0;
   for (int incarnation = 0; incarnation < 2; ++incarnation) {
@@ -56,26 +57,26 @@
   std::size_t states = 0;
   std::size_t truncated_logs = 0;
   for (std::size_t count = 0; count <= disk.recorded(); ++count) {
-    std::uint64_t least = 0;
-    std::uint64_t most = 1;
+    std::uint64_t min_sequence = 0;
+    std::uint64_t max_sequence = 1;
     for (const auto& [from, durable_sequence] : durable) {
       if (from > count) continue;
-      least = durable_sequence;
-      most = durable_sequence + 1;
+      min_sequence = durable_sequence;
+      max_sequence = durable_sequence + 1;
     }
     disk.EachCut(count, [&](const std::map<std::string, std::string>& files) {
       ++states;
       RecordingDisk after(files);
       LearnedStore store(after, "/s");
       const LoadedLearned loaded = store.Load();
-      ASSERT_GE(SequenceOf(loaded), least) << count;
-      ASSERT_LE(SequenceOf(loaded), most) << count;
+      ASSERT_GE(SequenceOf(loaded), min_sequence) << count;
+      ASSERT_LE(SequenceOf(loaded), max_sequence) << count;
       if (loaded.entry) {
         ASSERT_EQ(loaded.entry->record.learned.classes.at(0).run_ms,
                   31.5 + static_cast<double>(loaded.entry->sequence));
       }
       truncated_logs += loaded.truncated_bytes > 0 ? 1 : 0;
-      // The next incarnation can write.
+      // The next incarnation can write to the store.
       store.WriteSnapshot(Sample(100));
       store.AppendRecord(Sample(101));
       ASSERT_EQ(SequenceOf(LearnedStore(after, "/s").Load()), 101u);
@@ -108,7 +109,7 @@
     const LoadedLearned loaded = LearnedStore(disk, "/s").Load();
     EXPECT_GE(SequenceOf(loaded), durable) << call;
     EXPECT_LE(SequenceOf(loaded), durable + 1) << call;
-    // A failed write is retried as a snapshot.
+    // After a failed write, the next entry is written as a snapshot.
     disk.fail_at = 0;
     if (durable < 5) {
       store.WriteSnapshot(Sample(6));
@@ -124,13 +125,13 @@
   LearnedStore store(disk, "/s");
   store.WriteSnapshot(Sample(1));
   disk.calls = 0;
-  disk.fail_at = 2;  // The record's sync.
+  disk.fail_at = 2;  // The sync of the record.
   EXPECT_THROW(store.AppendRecord(Sample(2)), FileError);
   EXPECT_TRUE(store.snapshot_due());
   EXPECT_THROW(store.AppendRecord(Sample(3)), FileError);
 }
 
-TEST(LearnedStore, ANewerSnapshotIsSetAsideAndThePreviousOneIsLoaded) {
+TEST(LearnedStore, ASnapshotOfANewerVersionIsRenamedAndThePreviousOneIsLoaded) {
   const std::string valid = EncodeLearned(Sample(7), LearnedFrameKind::kSnapshot);
   std::string newer = valid;
   newer[8] = 9;  // The version.
@@ -143,7 +144,7 @@
   EXPECT_FALSE(disk.Has("/s/learned.state"));
 }
 
-TEST(LearnedStore, DamagedSnapshotsAreSetAside) {
+TEST(LearnedStore, DamagedSnapshotsAreRenamed) {
   const std::string valid = EncodeLearned(Sample(7), LearnedFrameKind::kSnapshot);
   RecordingDisk disk({{"/s/learned.state", valid + "x"}, {"/s/learned.state.1", valid.substr(0, 40)}});
   const LoadedLearned loaded = LearnedStore(disk, "/s").Load();
--- a/tests/state/recording_disk.h
+++ b/tests/state/recording_disk.h
@@ -1,6 +1,6 @@
-// A file system in memory that records its operations, and rebuilds every state in which a power cut could
-// leave it: after each operation, with each subset of the changes of names since the last sync of the
-// directory, and with none, half or all of the unsynced bytes.
+// An in-memory file system that records its operations. From the recording it rebuilds each state that a
+// power cut could leave: after any operation, with any subset of the directory changes since the last sync of
+// the directory, and with none, half or all of the unsynced bytes.
 #ifndef HINGELINK_TESTS_STATE_RECORDING_DISK_H_
 #define HINGELINK_TESTS_STATE_RECORDING_DISK_H_
 
@@ -19,8 +19,8 @@
 
 class RecordingDisk : public FileSystem {
  public:
-  int fail_at = 0;  // This operation fails, counted from 1.
-  int calls = 0;
+  int fail_at = 0;  // The number of the operation that fails, counted from 1; 0 for none.
+  int calls = 0;    // Operations so far.
 
   RecordingDisk() = default;
   explicit RecordingDisk(const std::map<std::string, std::string>& files) {
@@ -71,18 +71,19 @@
     for (std::size_t i = 0; i < count; ++i) {
       if (operations_[i].kind == Kind::kSyncNames) names_synced = i;
     }
-    std::vector<std::size_t> open_names;
+    std::vector<std::size_t> unsynced_changes;
     for (std::size_t i = names_synced; i < count; ++i) {
-      if (operations_[i].kind == Kind::kName || operations_[i].kind == Kind::kRename) open_names.push_back(i);
+      if (operations_[i].kind == Kind::kName || operations_[i].kind == Kind::kRename)
+        unsynced_changes.push_back(i);
     }
-    for (std::size_t subset = 0; subset < (std::size_t{1} << open_names.size()); ++subset) {
+    for (std::size_t subset = 0; subset < (std::size_t{1} << unsynced_changes.size()); ++subset) {
       for (const UnsyncedPart part : {UnsyncedPart::kNone, UnsyncedPart::kHalf, UnsyncedPart::kAll})
         visit(Rebuild(count, names_synced, subset, part));
     }
   }
 
  private:
-  // How much of what no sync followed survives a power cut.
+  // The part of the unsynced bytes that survives a power cut.
   enum class UnsyncedPart { kNone, kHalf, kAll };
   enum class Kind { kName, kRename, kWrite, kTruncate, kSync, kSyncNames };
   struct Operation {
@@ -124,7 +125,8 @@
     return files;
   }
 
-  // `subset`: a bit for each change of names since operation `names_synced`, set where it became durable.
+  // `subset`: one bit for each directory change since operation `names_synced`, set if the change became
+  // durable.
   std::map<std::string, int> RebuildNames(std::size_t count, std::size_t names_synced,
                                           std::size_t subset) const {
     std::map<std::string, int> names = first_names_;
@@ -143,11 +145,11 @@
     return names;
   }
 
-  // By inode.
+  // Returns the contents by inode.
   std::vector<std::string> RebuildBytes(std::size_t count, UnsyncedPart part) const {
     std::vector<std::string> bytes = first_bytes_;
     bytes.resize(bytes_.size());
-    // Since the last sync of each inode. A truncation is unsynced, too.
+    // Changes since the last sync of each inode. A truncation is also lost without a sync.
     std::map<int, std::string> unsynced;
     std::map<int, bool> truncated;
     for (std::size_t i = 0; i < count; ++i) {
@@ -164,17 +166,19 @@
       }
     }
     if (part == UnsyncedPart::kNone) return bytes;
-    for (const auto& [inode, more] : unsynced) {
+    for (const auto& [inode, unsynced_bytes] : unsynced) {
       std::string& content = bytes[static_cast<std::size_t>(inode)];
       if (truncated[inode]) content.clear();
-      content += more.substr(0, part == UnsyncedPart::kHalf ? more.size() / 2 : more.size());
+      content += unsynced_bytes.substr(
+          0, part == UnsyncedPart::kHalf ? unsynced_bytes.size() / 2 : unsynced_bytes.size());
     }
     return bytes;
   }
 
+  // Inodes by path, now and before the first operation.
   std::map<std::string, int> names_;
   std::map<std::string, int> first_names_;
-  // By inode.
+  // Contents by inode, now and before the first operation.
   std::vector<std::string> bytes_;
   std::vector<std::string> first_bytes_;
   std::vector<Operation> operations_;
--- a/tests/state/supervisor_state_store_test.cpp
+++ b/tests/state/supervisor_state_store_test.cpp
@@ -1,5 +1,5 @@
 // state::SupervisorStateStore: a power cut or a failure at each file operation, and files that are damaged,
-// newer or of another boot.
+// of a newer format or of another boot.
 #include "state/supervisor_state_store.h"
 
 #include <gtest/gtest.h>
@@ -39,7 +39,7 @@
   return SupervisorStateStore(disk, kDirectory, kBoot).Load();
 }
 
-TEST(SupervisorStateStore, NothingSavedIsAbsent) {
+TEST(SupervisorStateStore, LoadReportsAbsentIfNothingWasSaved) {
   RecordingDisk disk;
   EXPECT_EQ(LoadFrom(disk).status, Status::kAbsent);
 }
@@ -73,7 +73,8 @@
 
 // ---- Failures ----
 
-// Saves a second state over a first while file operation `call` of it fails. Returns whether it was saved.
+// Saves Sample(1) and then Sample(2), during which file operation number `call` fails. Returns whether the
+// second save succeeded.
 bool SaveWithFailure(RecordingDisk& disk, SupervisorStateStore& store, int call) {
   store.Save(Sample(1));
   disk.calls = 0;
@@ -135,7 +136,7 @@
   EXPECT_GT(new_states, 3u);
 }
 
-// ---- Files that no program wrote ----
+// ---- Damaged files and files of other versions ----
 
 TEST(SupervisorStateStore, AChangedByteIsNeverLoadedAsAnotherState) {
   const std::string valid = SupervisorStateStore::Encode(Sample(4), kBoot);
@@ -145,7 +146,7 @@
     changed[at] = static_cast<char>(changed[at] ^ 0x15);
     RecordingDisk disk(Files{{kPath, changed}});
     const LoadedSupervisorState loaded = LoadFrom(disk);
-    // White space between the tokens is no part of the state.
+    // A change of white space between the tokens does not change the state.
     if (loaded.status == Status::kValid && loaded.state == Sample(4)) continue;
     ASSERT_NE(loaded.status, Status::kValid) << at;
     EXPECT_EQ(loaded.state, SupervisorState{}) << at;
@@ -154,7 +155,7 @@
   EXPECT_GT(rejected, static_cast<int>(valid.size()) / 2);
 }
 
-TEST(SupervisorStateStore, ATruncatedFileIsSetAside) {
+TEST(SupervisorStateStore, ATruncatedFileIsCorruptAndRenamed) {
   const std::string valid = SupervisorStateStore::Encode(Sample(4), kBoot);
   for (std::size_t size = 0; size + 2 < valid.size(); ++size) {
     RecordingDisk disk(Files{{kPath, valid.substr(0, size)}});
@@ -175,13 +176,13 @@
   EXPECT_EQ(loaded.state.last_generation, 4u);
 }
 
-TEST(SupervisorStateStore, ANewerFormatIsSetAside) {
+TEST(SupervisorStateStore, AFileOfANewerFormatIsUnsupportedAndRenamed) {
   RecordingDisk disk(Files{{kPath, R"({"format":2,"want":"serve"})"}});
   EXPECT_EQ(LoadFrom(disk).status, Status::kUnsupportedVersion);
   EXPECT_TRUE(disk.Has("/s/plan.json.newer"));
 }
 
-TEST(SupervisorStateStore, AnImpossiblePidIsCorruption) {
+TEST(SupervisorStateStore, APidOutOfRangeIsCorrupt) {
   for (const std::int64_t pid : {std::int64_t{-5}, std::int64_t{1}, std::int64_t{1} << 40}) {
     SupervisorState state = Sample(1);
     state.current->process.pid = pid;
