--- a/src/background/learned_state_persister.cpp
+++ b/src/background/learned_state_persister.cpp
@@ -16,7 +16,7 @@
 
 // A job that runs longer than this is logged as hung.
 constexpr decide::JobTime kHungAfter{5'000};
-// Expected cost of a run, before the first runs have been measured.
+// Expected cost of a run, used until a run has completed.
 constexpr decide::JobTime kRecordCpu{0.2};
 constexpr decide::JobTime kSnapshotCpu{0.5};
 constexpr double kEntryBytes = 1'000;
--- a/src/net/ops_server.cpp
+++ b/src/net/ops_server.cpp
@@ -45,8 +45,7 @@
       : server_(server),
         id_(id),
         bev_(bufferevent_socket_new(server.base_, fd, BEV_OPT_CLOSE_ON_FREE)),
-        timeout_timer_(server.base_,
-                       [this] { server_.End(id_, answered_ ? "slow-reader" : "request-timeout"); }) {
+        timeout_timer_(server.base_, [this] { server_.End(id_, answered_ ? "slow-reader" : "deadline"); }) {
     if (!bev_) {
       evutil_closesocket(fd);
       throw std::runtime_error("libevent: cannot create a bufferevent");
--- a/src/net/registry_client.cpp
+++ b/src/net/registry_client.cpp
@@ -26,7 +26,7 @@
       host_(std::move(host)),
       name_(std::move(name)),
       report_timer_(base, [this] { SendReport(); }),
-      response_timer_(base, [this] { OnFailure("response-timeout"); }) {
+      response_timer_(base, [this] { OnFailure("overdue"); }) {
   report_timer_.After(0ms);
 }
 
@@ -39,7 +39,7 @@
 void RegistryClient::ChangeAddress(const sockaddr_in& registry, std::string host) {
   address_ = registry;
   host_ = std::move(host);
-  CloseConnection("address-changed");
+  CloseConnection("moved");
   response_timer_.Stop();
   awaiting_response_ = report_after_response_ = false;
   SendReport();
@@ -79,7 +79,7 @@
   bufferevent_enable(bev_.get(), EV_READ | EV_WRITE);
   if (bufferevent_socket_connect(bev_.get(), reinterpret_cast<const sockaddr*>(&address_), sizeof address_) !=
       0) {
-    OnFailure("connect-failed");
+    OnFailure("no-connect");
   }
 }
 
@@ -93,14 +93,14 @@
   Consume(bev_.get(), response.total_bytes);
   if (response.status >= 100 && response.status < 200) return OnReadable();
   if (response.status != kNoContent) {
-    OnFailure("unexpected-status");
+    OnFailure("status");
     return;
   }
   if (last_report_failed_) log::Info("registry-report-recovered");
   last_report_failed_ = awaiting_response_ = false;
   has_succeeded_ = true;
   response_timer_.Stop();
-  if (response.closes_connection) CloseConnection("closed-by-response");
+  if (response.closes_connection) CloseConnection("response-closes");
   report_timer_.After(report_after_response_ ? Steady::duration(0) : kReportInterval);
   report_after_response_ = false;
 }
