--- a/src/background/learned_state_persister.cpp
+++ b/src/background/learned_state_persister.cpp
@@ -89,8 +89,8 @@
 }
 
 void LearnedStatePersister::ImportStored(const std::string& directory) {
-  mkdir(directory.c_str(),
-        0700);  // An error is not handled here: the first job then fails and logs the reason.
+  // An error is not handled here: the first job then fails and logs the reason.
+  mkdir(directory.c_str(), 0700);
   try {
     const state::LoadedLearned loaded = writer_->Load();
     for (const std::string& warning : loaded.warnings) log::Warn("learned-skipped", {{"what", warning}});
--- a/src/net/gossip_keys.h
+++ b/src/net/gossip_keys.h
@@ -27,8 +27,8 @@
 void InitializeSodium();
 
 // Reads a key file: one key of 64 hexadecimal digits on each line; empty lines and lines that begin with '#'
-// are skipped. The file must have mode 0600 and hold one or two keys: the first signs, both are accepted.
-// Throws GossipKeyError, and what InitializeSodium() throws.
+// are skipped. The file must not be accessible to the group or others, and must hold one or two keys: the
+// first signs, both are accepted. Throws GossipKeyError, and what InitializeSodium() throws.
 std::vector<GossipKey> ReadGossipKeys(const std::string& path);
 // Returns a new random key as a line of a key file. Throws what InitializeSodium() throws.
 [[nodiscard]] std::string GenerateGossipKey();
--- a/src/net/ops_server.cpp
+++ b/src/net/ops_server.cpp
@@ -45,7 +45,8 @@
       : server_(server),
         id_(id),
         bev_(bufferevent_socket_new(server.base_, fd, BEV_OPT_CLOSE_ON_FREE)),
-        timeout_timer_(server.base_, [this] { server_.End(id_, answered_ ? "slow-reader" : "deadline"); }) {
+        timeout_timer_(server.base_,
+                       [this] { server_.CloseConnection(id_, answered_ ? "slow-reader" : "deadline"); }) {
     if (!bev_) {
       evutil_closesocket(fd);
       throw std::runtime_error("libevent: cannot create a bufferevent");
@@ -57,7 +58,8 @@
         [](bufferevent*, short what, void* self) {
           auto* connection = static_cast<Connection*>(self);
           const char* eof_reason = connection->answered_ ? "answered" : "peer-closed";
-          connection->server_.End(connection->id_, (what & BEV_EVENT_EOF) != 0 ? eof_reason : "reset");
+          connection->server_.CloseConnection(connection->id_,
+                                              (what & BEV_EVENT_EOF) != 0 ? eof_reason : "reset");
         },
         this);
     bufferevent_setwatermark(bev_.get(), EV_READ, 0, proto::kMaxAdminRequestBytes);
@@ -76,20 +78,20 @@
 
  private:
   void OnReadable() {
-    const std::string_view all = Arrived(bev_.get());
+    const std::string_view received = Arrived(bev_.get());
     if (answered_) {
       // Bytes after the request are discarded: closing a socket with unread bytes resets the connection, and
       // the caller could lose the response.
-      Consume(bev_.get(), all.size());
+      Consume(bev_.get(), received.size());
       return;
     }
-    const proto::AdminRequest request = proto::ParseAdminRequest(all);
+    const proto::AdminRequest request = proto::ParseAdminRequest(received);
     if (request.state == proto::AdminRequest::State::kNeedMore) return;
     answered_ = true;
     Send(bev_.get(), request.state == proto::AdminRequest::State::kMalformed
                          ? proto::EncodeAdminResponse(400, "bad request\n")
                          : server_.Response(request.method, request.path));
-    Consume(bev_.get(), all.size());
+    Consume(bev_.get(), received.size());
   }
 
   // Called when the response is written. The caller closes the connection next; the timeout closes it
@@ -120,7 +122,7 @@
 }
 
 OpsServer::~OpsServer() {
-  while (!connections_.empty()) End(connections_.begin()->first, "shutdown");
+  while (!connections_.empty()) CloseConnection(connections_.begin()->first, "shutdown");
 }
 
 void OpsServer::FreeEndedConnections() { ended_.clear(); }
@@ -137,13 +139,13 @@
       return;
     }
     // The oldest connection is closed, so that idle callers cannot lock out others.
-    if (connections_.size() >= kMaxConnections) End(connections_.begin()->first, "evicted");
+    if (connections_.size() >= kMaxConnections) CloseConnection(connections_.begin()->first, "evicted");
     const std::uint64_t id = ++last_id_;
     connections_.emplace(id, std::make_unique<Connection>(*this, id, fd));
   }
 }
 
-void OpsServer::End(std::uint64_t id, const char* reason) {
+void OpsServer::CloseConnection(std::uint64_t id, const char* reason) {
   const auto it = connections_.find(id);
   if (it == connections_.end()) return;
   ended_.push_back(std::move(it->second));
--- a/src/net/ops_server.h
+++ b/src/net/ops_server.h
@@ -35,7 +35,8 @@
   class Connection;
 
   void Accept();
-  void End(std::uint64_t id, const char* reason);
+  // Closes the connection if it is still open; it is freed by FreeEndedConnections().
+  void CloseConnection(std::uint64_t id, const char* reason);
   std::string Response(std::string_view method, std::string_view path) const;
 
   event_base* base_;
--- a/src/state/learned_store.h
+++ b/src/state/learned_store.h
@@ -26,10 +26,9 @@
 
 struct LoadedLearned {
   std::optional<LearnedEntry> entry;
-  std::size_t log_records = 0;      // Valid records in the log.
-  std::size_t truncated_bytes = 0;  // Bytes of the log after the last valid record.
-  std::vector<std::string>
-      warnings;  // One line for each file that was renamed or ignored in part, with the reason.
+  std::size_t log_records = 0;        // Valid records in the log.
+  std::size_t truncated_bytes = 0;    // Bytes of the log after the last valid record.
+  std::vector<std::string> warnings;  // One line, with the reason, for each file renamed or partly ignored.
 };
 
 // Blocks on files. Not thread-safe. `files` must outlive the object.
--- a/src/state/supervisor_state_store.cpp
+++ b/src/state/supervisor_state_store.cpp
@@ -67,7 +67,8 @@
   incarnation.draining = json.at("leaving").get<bool>();
   const std::int64_t pid = incarnation.process.pid;
   if (pid < 0 || pid > kMaxPid || pid == 1)
-    throw CorruptSupervisorState("pid " + std::to_string(pid) + " is out of range");
+    throw CorruptSupervisorState("pid " + std::to_string(pid) + " is out of range; allowed are 0 and 2 to " +
+                                 std::to_string(kMaxPid));
   return incarnation;
 }
 
