--- a/tests/net/upstream_lifecycle_test.cpp
+++ b/tests/net/upstream_lifecycle_test.cpp
@@ -44,7 +44,7 @@
   }
   bool LastReportSucceeded() {
     bool succeeded = false;
-    host_.Do([&] { succeeded = client_->good(); });
+    host_.Do([&] { succeeded = client_->last_report_succeeded(); });
     return succeeded;
   }
 
@@ -102,7 +102,7 @@
 TEST_F(RegistryLifecycleTest, DrainIsReportedWhileEarlierReportIsUnanswered) {
   Socket first = registry_.Accept();
   EXPECT_EQ(ReadReport(first), R"({"state":"ready"})");
-  host_.Do([this] { client_->Drain(); });
+  host_.Do([this] { client_->ReportDraining(); });
   Socket second = registry_.Accept();
   EXPECT_EQ(ReadReport(second), R"({"state":"draining"})");
 }
