--- a/src/node/keys/key_table.cpp
+++ b/src/node/keys/key_table.cpp
@@ -25,16 +25,17 @@
   return record.retained && arrived > record.window_end && record.HasFinished();
 }
 
-bool KeyTable::MatchesContent(const IdempotencyKey& key, std::uint64_t content, Time arrived) {
+bool KeyTable::MatchesContent(const IdempotencyKey& key, std::uint64_t content_hash, Time arrived) {
   const auto found = records_.find(key);
-  if (found == records_.end() || HasExpired(found->second, arrived) || found->second.content == content) {
+  if (found == records_.end() || HasExpired(found->second, arrived) ||
+      found->second.content_hash == content_hash) {
     return true;
   }
   ++counters_.mismatches;
   return false;
 }
 
-KeyTable::Id KeyTable::AddAttempt(const IdempotencyKey& key, std::uint64_t content, Id id, Time arrived,
+KeyTable::Id KeyTable::AddAttempt(const IdempotencyKey& key, std::uint64_t content_hash, Id id, Time arrived,
                                   Time now) {
   Expire(now);
   const auto found = records_.find(key);
@@ -52,7 +53,7 @@
   }
   Record& record = records_[key];
   record.holder = id;
-  record.content = content;
+  record.content_hash = content_hash;
   record.attempts.push_back(id);
   return 0;
 }
@@ -150,14 +151,14 @@
   // No attempt of a key without a record has run.
   if (found == records_.end()) {
     return {.key = key,
-            .content = 0,
+            .content_hash = 0,
             .state = KeyState::kReserved,
             .remaining = Millis(0),
             .result = std::nullopt};
   }
   const Record& record = found->second;
   return {.key = key,
-          .content = record.content,
+          .content_hash = record.content_hash,
           .state = record.state,
           .remaining = record.retained ? std::max(Millis(0), Millis(record.window_end - now)) : Millis(0),
           .result = record.result};
@@ -198,7 +199,7 @@
   Record& record = found->second;
   reserved_.erase(record.holder);
   record.holder = ++last_remote_id_;
-  record.content = update.content;
+  record.content_hash = update.content_hash;
   record.retained = true;
   record.state = update.state;
   record.window_end = now + ToSteady(update.remaining);
--- a/src/node/keys/key_table.h
+++ b/src/node/keys/key_table.h
@@ -40,7 +40,7 @@
 struct KeyUpdate {
   IdempotencyKey key;
   // A hash of the request's class and body.
-  std::uint64_t content = 0;
+  std::uint64_t content_hash = 0;
   KeyState state = KeyState::kReserved;
   // Until the end of its window; 0: the key is free.
   std::chrono::duration<double, std::milli> remaining{0};
@@ -76,10 +76,10 @@
 
   // ---- Arrivals ----
   // Whether an attempt of this key and content belongs to the same request as those before it.
-  [[nodiscard]] bool MatchesContent(const IdempotencyKey& key, std::uint64_t content, Time arrived);
+  [[nodiscard]] bool MatchesContent(const IdempotencyKey& key, std::uint64_t content_hash, Time arrived);
   // Adds an attempt and returns the one that it repeats; 0 if it is the first. `arrived`: when it came to the
   // machine, at most `now`. To be called once for each id, before any other call with it.
-  Id AddAttempt(const IdempotencyKey& key, std::uint64_t content, Id id, Time arrived, Time now);
+  Id AddAttempt(const IdempotencyKey& key, std::uint64_t content_hash, Id id, Time arrived, Time now);
 
   // ---- Actions of the policy, and what became of attempts ----
   // Retains the key for its holder `id` until `ttl` from now. `max_delay`: how long after the end of its wait
@@ -131,7 +131,7 @@
   struct Record {
     // 0 while the key waits for its next attempt to be retained.
     Id holder = 0;
-    std::uint64_t content = 0;
+    std::uint64_t content_hash = 0;
     KeyState state = KeyState::kReserved;
     bool retained = false;
     // An attempt that arrives later is not a retry.
--- a/src/node/node_siblings.cpp
+++ b/src/node/node_siblings.cpp
@@ -14,12 +14,8 @@
 constexpr auto kLoadReportInterval = 4ms;
 
 proto::KeyMessage LineOf(const KeyUpdate& update) {
-  return {update.key,
-          update.content,
-          static_cast<int>(update.state),
-          update.remaining,
-          update.result.has_value(),
-          update.result ? update.result->size() : 0};
+  return {update.key,       update.content_hash,       static_cast<int>(update.state),
+          update.remaining, update.result.has_value(), update.result ? update.result->size() : 0};
 }
 
 std::string_view ResultOf(const KeyUpdate& update) {
@@ -70,7 +66,7 @@
 
 void Node::OnKeyReported(const proto::KeyMessage& line, std::string_view result) {
   KeyUpdate update{.key = line.key,
-                   .content = line.content_hash,
+                   .content_hash = line.content_hash,
                    .state = static_cast<KeyState>(line.state),
                    .remaining = line.remaining,
                    .result = std::nullopt};
