--- a/src/node/keys/key_table.cpp
+++ b/src/node/keys/key_table.cpp
@@ -5,10 +5,11 @@
 namespace hingelink::node {
 namespace {
 
-// Until a key whose window has ended, but that is still in flight, is looked at again.
+// When eviction is due but an attempt with the key is still in flight, eviction is tried again after this
+// time.
 constexpr std::chrono::seconds kEvictionRetryInterval{1};
 
-// Capacity for the keys of other processes, as a multiple of Limits::max_keys.
+// Capacity including the keys of other processes, as a multiple of Limits::max_keys.
 constexpr std::size_t kRemoteCapacityFactor = 2;
 
 KeyTable::Time::duration ToSteady(KeyTable::Millis span) {
@@ -43,7 +44,8 @@
     Erase(found);
   } else if (found != records_.end()) {
     Record& record = found->second;
-    // Its attempt is gone, which the policy learns in this same step, and no other waits for its place.
+    // The holder has been removed and no attempt waits for the key. The policy learns of the removal in the
+    // same step, so the new attempt may be the first one.
     const bool is_free = record.state == KeyState::kReserved && !record.IsRemote() && record.attempts.empty();
     if (!is_free) {
       record.attempts.push_back(id);
@@ -77,7 +79,8 @@
 }
 
 std::optional<IdempotencyKey> KeyTable::Release(Id id) {
-  // A key that has run is not among the reserved ones: it cannot run twice, whatever the policy says.
+  // reserved_ does not contain keys whose execution has started, so the policy cannot free such a key and let
+  // it run a second time.
   const auto reserved = reserved_.find(id);
   if (reserved == reserved_.end()) return std::nullopt;
   const IdempotencyKey key = reserved->second;
@@ -121,7 +124,7 @@
   if (found == records_.end()) return;
   Record& record = found->second;
   std::erase(record.attempts, id);
-  // A key that was never retained, or that was released, has no owner left.
+  // A key that was never retained, or that was released, is not owned by the policy.
   const bool unowned = record.state == KeyState::kReserved && !record.retained && !record.IsRemote();
   if (record.attempts.empty() && unowned) Erase(found);
 }
@@ -148,7 +151,7 @@
 
 KeyUpdate KeyTable::UpdateOf(const IdempotencyKey& key, Time now) const {
   const auto found = records_.find(key);
-  // No attempt of a key without a record has run.
+  // No attempt with a key without a record has run, so the key is reported as free.
   if (found == records_.end()) {
     return {.key = key,
             .content_hash = 0,
@@ -189,7 +192,8 @@
   if (ran_here) return false;
   if (update.remaining <= Millis(0)) return ReleaseRemote(found);
   if (found == records_.end()) {
-    // A full table keeps what it has; the key is then unknown here, as after a crash of the other process.
+    // A full table keeps its records. The new key is then unknown here, as after a crash of the other
+    // process.
     if (records_.size() >= kRemoteCapacityFactor * limits_.max_keys) {
       ++counters_.rejected_at_capacity;
       return false;
--- a/src/node/keys/read_cache.cpp
+++ b/src/node/keys/read_cache.cpp
@@ -15,7 +15,7 @@
 }
 
 void ReadCache::Retain(const Key& key, RequestId id, SteadyTime now, Millis ttl) {
-  // The policy bounds the entries in force; expired ones must not accumulate beside them.
+  // The policy bounds the number of retained entries, but not of expired ones, so these are removed here.
   std::erase_if(entries_, [now](const auto& entry) { return entry.second.expires_at <= now; });
   Entry& entry = entries_[key];
   if (entry.id != id) entry = Entry{.id = id, .expires_at = {}, .succeeded_at = {}, .result = {}};
--- a/src/node/keys/read_cache.h
+++ b/src/node/keys/read_cache.h
@@ -1,5 +1,5 @@
-// Results of idempotent reads that answer later reads on the same subject while they are fresh. The policy
-// decides which read is retained and for how long.
+// Cache of results of idempotent reads. A fresh result answers later reads of the same class and subject. The
+// policy decides which reads are retained and for how long.
 #ifndef HINGELINK_NODE_KEYS_READ_CACHE_H_
 #define HINGELINK_NODE_KEYS_READ_CACHE_H_
 
@@ -16,7 +16,7 @@
 
 namespace hingelink::node {
 
-// Not thread-safe. `now` is the time of the caller's steady clock.
+// Not thread-safe. Does not read a clock; the caller passes steady-clock times as `now`.
 class ReadCache {
  public:
   using SteadyTime = std::chrono::steady_clock::time_point;
@@ -24,17 +24,19 @@
   // Class id and subject.
   using Key = std::pair<std::uint64_t, std::uint64_t>;
 
-  // The retained read that a new one on `key` may share, or 0. It is open as `is_open` says, or succeeded
-  // less than `max_age` ago.
+  // The retained read whose result a new read of `key` may share, or 0. Such a read is still open according
+  // to `is_open`, or it succeeded at most `max_age` ago.
   [[nodiscard]] hingelink::RequestId FindShareable(
       const Key& key, SteadyTime now, Millis max_age,
       const std::function<bool(hingelink::RequestId)>& is_open) const;
-  // Retains the read for `ttl` from now on, in place of another one of its key.
+  // Retains the read until `ttl` from `now`. Replaces another read of the same key.
   void Retain(const Key& key, hingelink::RequestId id, SteadyTime now, Millis ttl);
+  // Removes the read and its result.
   void Release(hingelink::RequestId id);
-  // Stores the result of the read, if it is retained.
+  // Stores the result of the read if the read is retained.
   void OnSucceeded(const Key& key, hingelink::RequestId id, SteadyTime now, std::string_view result);
-  // The result of the read `original`; null if it has none, has expired, or was replaced.
+  // The result of the read `original`. Null if the read has no result yet, or was released, replaced or
+  // removed after its expiry.
   [[nodiscard]] const std::string* Result(const Key& key, hingelink::RequestId original) const;
 
  private:
--- a/src/node/metric_families.h
+++ b/src/node/metric_families.h
@@ -1,5 +1,5 @@
-// Builds metrics in the Prometheus text format. Included by sources of the node alone, as the header of the
-// library is.
+// Builds metrics in the Prometheus text format. Include only in .cpp files of the node, so that the header of
+// the Prometheus library stays out of other headers.
 #ifndef HINGELINK_NODE_METRIC_FAMILIES_H_
 #define HINGELINK_NODE_METRIC_FAMILIES_H_
 
@@ -15,18 +15,19 @@
  public:
   using Labels = std::vector<prometheus::ClientMetric::Label>;
 
-  // Begins the family edge_node_`name`: later samples belong to it.
+  // Starts the metric family "edge_node_" + `name`. Later calls of Add() add samples to this family.
   void Begin(const char* name, prometheus::MetricType type, const char* help) {
     families_.push_back({std::string("edge_node_") + name, help, type, {}});
   }
-  // Adds a sample to the family that was begun last.
+  // Adds a sample to the family that was started last.
   void Add(Labels labels, double value);
-  // A family of one sample without labels.
+  // Adds a family with one sample without labels.
   void AddSingle(const char* name, prometheus::MetricType type, const char* help, double value) {
     Begin(name, type, help);
     Add({}, value);
   }
 
+  // Returns all families in the Prometheus text format.
   [[nodiscard]] std::string Text() const;
 
  private:
--- a/src/node/metrics.h
+++ b/src/node/metrics.h
@@ -1,4 +1,4 @@
-// Counts of requests, executions and reloads since the start of the node, for the admin server.
+// Counts requests, executions and reloads since the start of the node. The admin server reports the counts.
 #ifndef HINGELINK_NODE_METRICS_H_
 #define HINGELINK_NODE_METRICS_H_
 
@@ -29,23 +29,26 @@
 using core::StreamAddress;
 using core::UnixTime;
 
-// Used by the deciding thread alone, except for the ClassCounts that it hands out.
+// Used by the deciding thread only. The exception is ClassCounts: each counting thread writes its own
+// instance.
 class Metrics {
  public:
-  // `counting_threads`: threads that count answers, each in counts of its own.
+  // `counting_threads`: the number of threads that count answers, each in its own ClassCounts.
   Metrics(const std::vector<hingelink::RequestClass>& classes, std::size_t counting_threads);
 
-  // Replaces the classes. New ones count from 0; counts of removed ones are kept for a while.
+  // Replaces the classes. New classes count from 0. The counts of the last removed classes are still
+  // reported.
   void SetClasses(const std::vector<hingelink::RequestClass>& classes);
-  // The counts of a current class for one of the counting threads; null without such a class.
+  // The counts of a current class for one of the counting threads. Null if there is no such class.
   [[nodiscard]] ClassCountsPtr CountsFor(std::string_view class_name, std::size_t thread = 0) const;
-  // The same, also of a removed class as long as it is reported.
+  // Like CountsFor(), but also finds a removed class that is still reported.
   [[nodiscard]] ClassCountsPtr CountsForReported(std::string_view class_name, std::size_t thread) const;
 
   void CountExecution() { ++executions_; }
   void CountReload(bool succeeded) { ++(succeeded ? reloads_succeeded_ : reloads_failed_); }
 
-  // A gateway beyond these replaces the one whose last event is the oldest.
+  // Limit of gateways with counts. A further gateway replaces the gateway that was inactive for the longest
+  // time.
   static constexpr std::size_t kMaxGateways = 256;
   void CountRequest(std::uint32_t gateway_id) { ++Gateway(gateway_id).requests; }
   void CountAnswer(std::uint32_t gateway_id, core::Verdict verdict) {
@@ -54,18 +57,20 @@
   struct GatewayCounts {
     std::uint64_t requests = 0;
     ClassCounts answers;
-    // Its number among the events of all gateways.
+    // Sequence number of the last request or answer of the gateway, among those of all gateways.
     std::uint64_t last_event = 0;
   };
   [[nodiscard]] const std::unordered_map<std::uint32_t, GatewayCounts>& gateways() const { return gateways_; }
 
-  // Summed over the counting threads; removed classes too, oldest first.
+  // Counts summed over the counting threads, for the reported classes including removed ones, oldest class
+  // first.
   [[nodiscard]] std::vector<ClassCounts> classes() const;
-  // Names of the current classes.
+  // The names of the current classes, in no particular order.
   [[nodiscard]] std::vector<std::string> class_names() const;
   [[nodiscard]] std::uint64_t executions() const { return executions_; }
 
-  // In the Prometheus text format.
+  // Returns the metrics in the Prometheus text format. `in_flight`: the number of requests without a final
+  // answer. The metrics of event loops are omitted if `loops` is empty.
   [[nodiscard]] std::string Text(std::size_t in_flight, const std::vector<LoopSnapshot>& loops) const;
 
  private:
@@ -73,18 +78,19 @@
 
   struct Class {
     std::string name;
-    // One for each counting thread.
+    // One entry for each counting thread.
     std::vector<ClassCountsPtr> counts;
   };
   using ClassPtr = std::shared_ptr<const Class>;
   [[nodiscard]] std::deque<ClassPtr>::const_iterator FindReported(std::string_view class_name) const;
 
   std::size_t counting_threads_;
-  // The keys lie in the classes.
+  // The map keys refer to Class::name of the values.
   std::unordered_map<std::string_view, ClassPtr> current_;
-  // Removed classes too, oldest first.
+  // The current classes and the last removed ones, oldest first.
   std::deque<ClassPtr> reported_;
   std::unordered_map<std::uint32_t, GatewayCounts> gateways_;
+  // The number of requests and answers of all gateways, for GatewayCounts::last_event.
   std::uint64_t events_ = 0;
   std::uint64_t executions_ = 0;
   std::uint64_t reloads_succeeded_ = 0;
--- a/src/node/recent_attempts.h
+++ b/src/node/recent_attempts.h
@@ -1,4 +1,4 @@
-// The ids of attempts that have ended, so that none is executed a second time.
+// Remembers the ids of attempts that have ended, so that no attempt is executed a second time.
 #ifndef HINGELINK_NODE_RECENT_ATTEMPTS_H_
 #define HINGELINK_NODE_RECENT_ATTEMPTS_H_
 
@@ -13,7 +13,7 @@
 // Not thread-safe.
 class RecentAttempts {
  public:
-  // Many seconds of traffic. The oldest id is forgotten for a new one.
+  // Covers many seconds of traffic. When the capacity is reached, the oldest id is removed.
   static constexpr std::size_t kCapacity = 8192;
 
   void Add(std::uint64_t attempt_id) {
--- a/src/node/request_classes.h
+++ b/src/node/request_classes.h
@@ -1,4 +1,4 @@
-// The classes and tenants of the current settings, by name.
+// Index of the classes and tenants of the current settings by name.
 #ifndef HINGELINK_NODE_REQUEST_CLASSES_H_
 #define HINGELINK_NODE_REQUEST_CLASSES_H_
 
@@ -16,30 +16,33 @@
 // Not thread-safe.
 class RequestClasses {
  public:
-  // A class as a request holds it: a class that was removed lives as long as its last request.
+  // Requests share ownership of their class, so a class that was removed from the settings lives as long as
+  // its last request.
   struct Class {
     std::string name;
     hingelink::Idempotency idempotency = hingelink::Idempotency::kIdempotent;
-    // Never used again, so that no cached result of a removed class answers a new one.
+    // Unique among current and removed classes, so that no cached result of a removed class answers a request
+    // of a new class with the same name.
     std::uint64_t id = 0;
-    // Its index in the settings.
+    // The position of the class in Settings::classes.
     std::uint16_t index = 0;
   };
   using ClassPtr = std::shared_ptr<const Class>;
 
-  // Replaces classes and tenants. A class keeps its id if its name and idempotency stay.
+  // Replaces the classes and tenants. A class keeps its id if its name and idempotency are unchanged.
   void Reconfigure(const hingelink::Settings& settings);
 
-  // Null if there is no such class.
+  // Null if the current settings have no such class.
   [[nodiscard]] ClassPtr Find(std::string_view name) const;
   [[nodiscard]] bool has_tenants() const { return !tenants_.empty(); }
-  // The index of a tenant in the settings, or 0 without tenants; none if the name is unknown.
+  // The index of a tenant in Settings::tenants; 0 if no tenants are configured, nullopt if the name is
+  // unknown.
   [[nodiscard]] std::optional<std::uint16_t> FindTenant(const std::string& name) const;
-  // None if there is no such tenant.
+  // Nullopt if there is no tenant with this index.
   [[nodiscard]] std::optional<std::string> TenantName(std::uint16_t index) const;
 
  private:
-  // The keys lie in the classes.
+  // The map keys refer to Class::name of the values.
   std::unordered_map<std::string_view, ClassPtr> classes_;
   std::unordered_map<std::string, std::uint16_t> tenants_;
   std::uint64_t last_id_ = 0;
--- a/src/node/request_table.cpp
+++ b/src/node/request_table.cpp
@@ -9,7 +9,7 @@
 
 using hingelink::Outcome;
 
-// The policy takes a remaining wait of 0 for unknown; a wait that is over is reported as this.
+// Reported for a remaining wait that is over, because the policy interprets 0 as unknown.
 constexpr Millis kMinRemainingWait{0.001};
 
 }  // namespace
@@ -56,8 +56,8 @@
     front_.Deliver(incoming.reply_to, Rejected(true));
     return true;
   }
-  // The pool could not tell a second execution of one attempt from the first. Failed, as a rejection would
-  // promise that no attempt with this id ran.
+  // The pool identifies executions by attempt id, so it cannot distinguish a second execution from the first.
+  // The answer is a failure, because a rejection guarantees that no attempt with this id ran.
   if (by_attempt_.contains(incoming.request_id) || recent_attempts_.Contains(incoming.request_id)) {
     front_.Deliver(incoming.reply_to, Failed());
     return true;
@@ -129,7 +129,7 @@
     deferred_.emplace_back(arrival, times);
     return false;
   }
-  // An arrival time in the future counts as now.
+  // An arrival time in the future is treated as the current time.
   const UnixTime arrived = std::min(now, times.arrived);
   if (found->second.key && !ResolveKey(found->first, arrival, arrived, now)) return false;
   found->second.known_to_policy = true;
@@ -149,8 +149,8 @@
   awaiting_answer_.erase(awaiting);
   Request& request = found->second;
   request.needs_answer = false;
-  // A request that the policy has not seen never reaches it: requests that are cancelled as soon as they are
-  // sent must not evict others.
+  // The arrival of a request that is cancelled before it reaches the policy is dropped, so that requests
+  // cancelled right after they are sent cannot evict others.
   if (request.known_to_policy) events_.emplace_back(hingelink::CallerDisconnected{found->first});
   if (!request.running) Remove(found);
 }
@@ -167,7 +167,7 @@
                             execution.result);
     Answer(found, Served(execution.result));
   } else if (execution.outcome == Outcome::kNotStarted) {
-    // The last command started nothing; an earlier one may have.
+    // The last command did not start the execution, but an earlier one may have.
     Answer(found, request.starts > 1 ? Failed() : Rejected());
   } else {
     Answer(found, Failed());
@@ -181,11 +181,11 @@
   key_changed_(*key);
 }
 
-void RequestTable::OnUpstreamCallRequested(std::uint64_t attempt_id, std::uint64_t notice,
+void RequestTable::OnUpstreamCallRequested(std::uint64_t attempt_id, std::uint64_t notice_number,
                                            std::string_view body) {
   const auto found = FindByAttempt(attempt_id);
   if (found == requests_.end() || !found->second.running) return;
-  upstream_calls_.OnRequested(attempt_id, notice, body);
+  upstream_calls_.OnRequested(attempt_id, notice_number, body);
   events_.emplace_back(hingelink::UpstreamCallRequested{found->first});
 }
 
@@ -220,8 +220,8 @@
   for (const hingelink::RequestId id : unread) {
     Request& request = requests_.at(id);
     if (request.needs_answer || request.starts > 0) {
-      // Also without a caller: the pool then reports how the execution ended, or that it was never started,
-      // and the policy stops counting it.
+      // Sent even if the caller has disconnected: the pool then reports how the execution ended, or that it
+      // was never started, and the policy stops counting the execution as running.
       SendExecution(request);
     } else {
       OnExecutionUnknown(request.attempt_id);
@@ -231,7 +231,7 @@
 
 void RequestTable::SendExecution(Request& request) {
   request.mark = start_execution_(request.attempt_id, request.request_class->name, request.body);
-  // A command that is sent again is the same execution.
+  // Sending the command again does not count as a new execution.
   if (request.mark != kNeverSent && request.starts++ == 0) metrics_.CountExecution();
 }
 
--- a/src/node/request_table.h
+++ b/src/node/request_table.h
@@ -1,5 +1,6 @@
-// Owns the state of each request and gives its one final answer. Turns what the front end and the worker pool
-// report into events for the policy, and executes the policy's actions on requests. Knows no protocol.
+// Holds the state of each request from its arrival until its execution and answer are complete. Converts
+// reports of the front end, the worker pool and the upstream into policy events, executes the policy's
+// actions on requests, and gives each request exactly one final answer. Independent of the wire protocols.
 #ifndef HINGELINK_NODE_REQUEST_TABLE_H_
 #define HINGELINK_NODE_REQUEST_TABLE_H_
 
@@ -29,7 +30,7 @@
 
 namespace hingelink::node {
 
-// The end of an execution, as the worker pool reports it.
+// How an execution ended, as reported by the worker pool.
 struct ExecutionResult {
   std::uint64_t attempt_id = 0;
   hingelink::Outcome outcome = hingelink::Outcome::kError;
@@ -38,52 +39,61 @@
   std::string_view result;
 };
 
-// What this process knows of the keyed requests that its sibling processes ran.
+// Whether this process has the idempotency keys of the requests that its sibling processes executed.
 enum class SiblingKeys {
   kKnown,
-  // Not yet: attempts with keys are deferred until it does.
+  // The predecessor has not reported all its keys yet. Keyed attempts are deferred until it has.
   kPending,
-  // Never: attempts with keys are rejected, as they may have run.
+  // The predecessor did not report its keys in time. Keyed attempts are rejected, because the predecessor may
+  // have executed an earlier attempt.
   kUnavailable,
-  // Another process accepts the clients, and what is not known here may run there.
+  // A successor accepts the connections. A key without a record in this process may be running there, so an
+  // attempt with such a key fails.
   kServedElsewhere,
 };
 
-// Not thread-safe. All references must outlive the object.
+// Not thread-safe. The referenced arguments must outlive the object.
 class RequestTable {
  public:
   using CommandMark = UpstreamCalls::CommandMark;
   using SteadyTime = std::chrono::steady_clock::time_point;
   static constexpr CommandMark kNeverSent = UINT64_MAX;
-  // Sends an execution to the pool; returns its mark for Resend(), or kNeverSent.
+  // Sends the command that starts an execution to the pool. Returns the position of the command, or
+  // kNeverSent if no connection to the pool is ready.
   using StartExecution = std::function<CommandMark(std::uint64_t attempt_id, std::string_view class_name,
                                                    std::string_view body)>;
-  // The state of a key of this process has changed.
+  // Called when this process has changed the state of a key.
   using KeyChanged = std::function<void(const IdempotencyKey&)>;
 
   RequestTable(const hingelink::Settings& settings, FrontEnd& front, Metrics& metrics,
                StartExecution start_execution, UpstreamCalls::Links upstream, KeyTable::Limits key_limits,
                KeyChanged key_changed);
 
-  // The settings have changed: their classes apply to later requests. TakeEvents() must have been called.
+  // Applies the classes and tenants of the changed settings to later requests and to deferred attempts. All
+  // events must have been taken, because arrivals refer to classes and tenants by index.
   void Reconfigure();
 
   // ---- Reports of the front end, the pool and the upstream; each may add events ----
+  // Answers an invalid or duplicate request at once; adds any other request to the table.
   void OnRequest(const IncomingRequest& incoming);
   void OnCallerDisconnected(StreamAddress from);
   void OnExecutionFinished(const ExecutionResult& execution);
-  // An execution waits for an upstream call.
-  void OnUpstreamCallRequested(std::uint64_t attempt_id, std::uint64_t notice, std::string_view body);
+  // An execution waits for an upstream call with this body. `notice_number` is the number of the pool's
+  // notice.
+  void OnUpstreamCallRequested(std::uint64_t attempt_id, std::uint64_t notice_number, std::string_view body);
   void OnUpstreamCallFinished(std::uint64_t attempt_id, hingelink::Outcome outcome, Millis elapsed,
                               std::string_view reply);
-  // The pool does not know of this execution: it was never started.
+  // The pool has no record of this execution, so the execution was never started.
   void OnExecutionUnknown(std::uint64_t attempt_id);
-  // Sends an execution anew that was not started, or that may run twice. False if no caller waits for it.
+  // Sends the command for an execution again. Only for an execution that was not started, or whose class may
+  // be executed twice. Returns false and sends nothing if no caller waits for the answer.
   [[nodiscard]] bool RestartExecution(std::uint64_t attempt_id);
-  // The pool's link carries commands again: sends what `processed` says the pool has not read.
+  // Called when a connection to the pool is ready again. Sends each command again that the pool has not read;
+  // `processed` tells by position which commands the pool has read.
   void Resend(const std::function<bool(CommandMark)>& processed);
 
-  // The events since the last call, with the times of arrivals as of `now`.
+  // Returns the events since the last call. The read delay and remaining wait of arrivals are relative to
+  // `now`. Also fails the deferred attempts that cannot wait any longer.
   [[nodiscard]] std::vector<hingelink::Event> TakeEvents(UnixTime now);
   [[nodiscard]] bool has_events() const { return !events_.empty(); }
 
@@ -98,29 +108,32 @@
   void Execute(const hingelink::UseFallback& action);
 
   // ---- Other processes of this node ----
+  // In any state but kPending, deferred attempts become arrivals again.
   void SetSiblingKeys(SiblingKeys state);
+  // Another process has reported the state of a key.
   void OnKeyUpdate(const KeyUpdate& update);
+  // The other processes have exited. Attempts that wait for a key in flight there fail.
   void OnSiblingsExited();
   [[nodiscard]] const KeyTable& keys() const { return keys_; }
   [[nodiscard]] const UpstreamCalls& upstream_calls() const { return upstream_calls_; }
 
-  // No request needs an answer, and no execution is in flight.
+  // True if no request needs an answer and no execution is in flight.
   [[nodiscard]] bool empty() const { return requests_.empty(); }
-  // Requests that need a final answer.
+  // The number of requests without a final answer.
   [[nodiscard]] std::size_t unanswered() const { return awaiting_answer_.size(); }
   struct InFlightCounts {
     struct Class {
       std::uint64_t queued = 0;
       std::uint64_t running = 0;
     };
-    // By name.
+    // By class name.
     std::map<std::string, Class> classes;
-    // Requests without an answer, by gateway.
+    // The number of requests without a final answer, by gateway id.
     std::unordered_map<std::uint32_t, std::uint64_t> open_by_gateway;
   };
-  // Counted over all requests at each call, so that the counts agree with each other.
+  // Iterates over all requests, so that the counts are consistent with each other.
   [[nodiscard]] InFlightCounts CountInFlight() const;
-  // Gives every request its final answer, without the policy.
+  // Answers every request that has no final answer yet, without asking the policy.
   void AnswerAll();
 
  private:
@@ -129,23 +142,26 @@
     std::uint64_t attempt_id = 0;
     std::uint32_t gateway = 0;
     RequestClasses::ClassPtr request_class;
-    // Until the end of the execution: a lost link may have swallowed the command that starts it.
+    // Kept until the execution finishes, because the command is sent again if the connection to the pool is
+    // lost before the pool has read the command.
     std::string body;
     bool known_to_policy = false;
     bool needs_answer = true;
     bool running = false;
-    // How often the execution was sent to the pool.
+    // How often the command for the execution was sent to the pool.
     int starts = 0;
+    // The position of the last of these commands.
     CommandMark mark = kNeverSent;
     std::uint64_t subject = 0;
+    // The attempt whose result this request may share; 0 if none.
     hingelink::RequestId original = 0;
-    // In keyed classes.
+    // Set in keyed classes only.
     std::optional<IdempotencyKey> key;
-    // Waits for the result of another attempt.
+    // True while the request waits for the result of another attempt with its key.
     bool awaiting_replay = false;
   };
-  // Flat tables: each request is entered in several, and a node allocation in each would cost too much. An
-  // insertion moves other entries; a removal does not.
+  // A flat hash map, because each request has an entry in several maps and a node allocation for each entry
+  // would cost too much. An insertion may move other entries; a removal does not.
   using Requests = absl::flat_hash_map<hingelink::RequestId, Request>;
   struct StreamAddressHash {
     std::size_t operator()(const StreamAddress& to) const { return absl::HashOf(to.connection, to.stream); }
@@ -156,7 +172,8 @@
   };
   using DeferredArrival = std::pair<hingelink::Arrival, ArrivalTimes>;
 
-  // Rejects or fails a request that must not enter the table.
+  // Answers a request that is invalid or repeats an attempt id. False if the request must be added to the
+  // table.
   [[nodiscard]] bool AnswerAtOnce(const IncomingRequest& incoming,
                                   const RequestClasses::ClassPtr& found_class,
                                   std::optional<std::uint16_t> tenant);
@@ -164,33 +181,38 @@
                             RequestClasses::ClassPtr request_class);
   void AddArrival(hingelink::RequestId id, const Request& request, const IncomingRequest& incoming,
                   std::uint16_t tenant);
-  // False if the policy does not see the arrival now.
+  // Resolves the key and sets the times of an arrival. False if the arrival must not be passed to the policy
+  // now, because the request was removed, answered or deferred.
   [[nodiscard]] bool CompleteArrival(hingelink::Arrival& arrival, const ArrivalTimes& times, UnixTime now);
-  // Finds the attempt that a keyed arrival repeats. False if the arrival was answered instead.
+  // Sets the attempt that a keyed arrival repeats. False if the request was answered with an error instead.
   [[nodiscard]] bool ResolveKey(hingelink::RequestId id, hingelink::Arrival& arrival, UnixTime arrived,
                                 UnixTime now);
-  // The answer to an attempt whose key cannot be resolved, if so.
-  [[nodiscard]] std::optional<FinalAnswer> KeyError(const IdempotencyKey& key, std::uint64_t content,
+  // The error answer if the key cannot be resolved, else nullopt.
+  [[nodiscard]] std::optional<FinalAnswer> KeyError(const IdempotencyKey& key, std::uint64_t content_hash,
                                                     SteadyTime arrived);
   void FailExpiredDeferred(UnixTime now);
   void ReassignDeferred(const RequestClasses& previous);
-  // Sets class and tenant of the arrival as in the current settings. False if one was removed.
+  // Sets the class and tenant indexes of the arrival to those of the current settings. False if the class or
+  // the tenant was removed.
   [[nodiscard]] bool Reassign(hingelink::Arrival& arrival, const Request& request,
                               const RequestClasses& previous) const;
   void SendExecution(Request& request);
 
-  // Gives the final answer, if none was given.
+  // Sends the final answer, unless the request already has one.
   void Answer(Requests::iterator at, const FinalAnswer& answer);
   void Remove(Requests::iterator at);
   void FailAndRemove(Requests::iterator at);
   [[nodiscard]] bool IsShareableRead(const Request& request) const;
-  // A rejection promises that no attempt of the request ran; a failure if one may have.
+  // The answer to a request whose own attempt did not run. Failed if another attempt with its key may have
+  // run, because a rejection guarantees that no attempt ran; otherwise rejected.
   [[nodiscard]] FinalAnswer AnswerForNotRun(const Request& request) const;
-  // Answers a request that waits for the result of another attempt, if that is known.
+  // Answers a request that waits for the result of another attempt, once the outcome of that attempt is
+  // known.
   void AnswerReplay(hingelink::RequestId id);
   void AnswerReplays(const IdempotencyKey& key);
+  // Answers with the result, or with a failure if `result` is null.
   void FinishReplay(Requests::iterator at, const std::string* result);
-  // How long after the end of its wait an attempt may still be read.
+  // How long after its arrival at the machine an attempt may still be read: the longest deadline of a class.
   [[nodiscard]] Millis MaxReadDelay() const;
   [[nodiscard]] Requests::iterator FindByAttempt(std::uint64_t attempt_id);
 
@@ -210,8 +232,9 @@
   SiblingKeys sibling_keys_ = SiblingKeys::kKnown;
   RecentAttempts recent_attempts_;
   std::vector<hingelink::Event> events_;
-  // One for each Arrival in events_, in order.
+  // One entry for each Arrival in events_, in the same order.
   std::vector<ArrivalTimes> arrival_times_;
+  // Keyed arrivals that wait until the keys of the sibling processes are known.
   std::vector<DeferredArrival> deferred_;
 };
 
--- a/src/node/request_table_actions.cpp
+++ b/src/node/request_table_actions.cpp
@@ -1,4 +1,4 @@
-// The policy's actions on requests.
+// RequestTable: execution of the policy's actions.
 #include <algorithm>
 #include <cmath>
 
@@ -13,7 +13,7 @@
   if (found == requests_.end() || found->second.running) return;
   Request& request = found->second;
   if (request.key && !keys_.Start(*request.key, action.id)) {
-    // Without its key, or after another attempt has run, this one never runs.
+    // This attempt does not hold its key, or another attempt with the key may have run, so it must not run.
     events_.emplace_back(hingelink::Finished{action.id, Outcome::kNotStarted, 0});
     Answer(found, AnswerForNotRun(request));
     Remove(found);
@@ -27,7 +27,7 @@
 void RequestTable::Execute(const hingelink::Reject& action) {
   const auto found = requests_.find(action.id);
   if (found == requests_.end()) return;
-  // A rejection would promise that it never ran.
+  // A rejection guarantees that the attempt never ran, so a running request fails instead.
   if (found->second.running) {
     Answer(found, Failed());
     return;
--- a/src/node/request_table_keys.cpp
+++ b/src/node/request_table_keys.cpp
@@ -1,5 +1,6 @@
-// Keyed requests, with what sibling processes report of their keys.
-// XXH3 in its headers alone: the platform's program links one library less.
+// RequestTable: keyed requests, and the keys that sibling processes report.
+
+// Uses XXH3 from its header only, so that the platform's program does not link against the xxHash library.
 #define XXH_INLINE_ALL
 #include <xxhash.h>
 
@@ -11,10 +12,11 @@
 namespace hingelink::node {
 namespace {
 
-// Between the answer to a deferred attempt and its deadline.
+// How long before its deadline a deferred attempt is answered.
 constexpr Millis kDeferredAnswerLead{20};
 
-// Retry-After while keys are unavailable: about as long as an unresponsive predecessor is waited for.
+// Retry-After while the keys of the predecessor are unavailable. About as long as this process waits for an
+// unresponsive predecessor.
 constexpr std::chrono::seconds kKeysUnavailableRetryAfter{1};
 
 std::uint64_t ContentHash(std::string_view class_name, std::string_view body) {
@@ -31,28 +33,28 @@
   const SteadyTime steady_now = SteadyTime::clock::now();
   const SteadyTime steady_arrived =
       steady_now - std::chrono::duration_cast<SteadyTime::duration>(now - arrived);
-  const std::uint64_t content = ContentHash(request.request_class->name, request.body);
-  if (const std::optional<FinalAnswer> error = KeyError(*request.key, content, steady_arrived)) {
+  const std::uint64_t content_hash = ContentHash(request.request_class->name, request.body);
+  if (const std::optional<FinalAnswer> error = KeyError(*request.key, content_hash, steady_arrived)) {
     Answer(found, *error);
     Remove(found);
     return false;
   }
-  request.original = keys_.AddAttempt(*request.key, content, id, steady_arrived, steady_now);
+  request.original = keys_.AddAttempt(*request.key, content_hash, id, steady_arrived, steady_now);
   arrival.original = request.original;
   return true;
 }
 
-std::optional<FinalAnswer> RequestTable::KeyError(const IdempotencyKey& key, std::uint64_t content,
+std::optional<FinalAnswer> RequestTable::KeyError(const IdempotencyKey& key, std::uint64_t content_hash,
                                                   SteadyTime arrived) {
   if (sibling_keys_ == SiblingKeys::kUnavailable) {
     FinalAnswer answer = Rejected();
     if (settings_.sends_retry_after) answer.retry_after = kKeysUnavailableRetryAfter;
     return answer;
   }
-  // It may run in another process, or it is another request with a key that is in use. Failed: a rejection
-  // would promise that no attempt with this key ran.
+  // The key may be running in another process, or it belongs to a different request. The answer is a failure,
+  // because a rejection guarantees that no attempt with this key ran.
   const bool may_run_elsewhere = sibling_keys_ == SiblingKeys::kServedElsewhere && !keys_.IsKnown(key);
-  if (may_run_elsewhere || !keys_.MatchesContent(key, content, arrived)) return Failed();
+  if (may_run_elsewhere || !keys_.MatchesContent(key, content_hash, arrived)) return Failed();
   return std::nullopt;
 }
 
@@ -73,12 +75,13 @@
   for (const IdempotencyKey& key : keys_.OnSiblingsExited()) AnswerReplays(key);
 }
 
-// The predecessor may have run a deferred attempt, so it fails when it cannot wait any longer.
+// Fails the deferred attempts whose deadline is near. They are not rejected, because a rejection guarantees
+// that no attempt with the key ran, and the predecessor may have run one.
 void RequestTable::FailExpiredDeferred(UnixTime now) {
   std::erase_if(deferred_, [this, now](const DeferredArrival& deferred) {
     const auto& [arrival, times] = deferred;
     const auto found = requests_.find(arrival.id);
-    if (found == requests_.end()) return true;  // Its caller has disconnected.
+    if (found == requests_.end()) return true;  // The caller has disconnected.
     const Millis wait = settings_.callers_send_remaining_wait
                             ? Millis(times.expires - times.arrived)
                             : Millis(settings_.classes[arrival.request_class].deadline_ms);
@@ -88,14 +91,15 @@
   });
 }
 
-// A deferred arrival names class and tenant by their indexes in the settings that were current when it came.
+// Deferred arrivals refer to classes and tenants by index in the previous settings. Converts the indexes to
+// the current settings.
 void RequestTable::ReassignDeferred(const RequestClasses& previous) {
   std::erase_if(deferred_, [this, &previous](DeferredArrival& deferred) {
     hingelink::Arrival& arrival = deferred.first;
     const auto found = requests_.find(arrival.id);
-    if (found == requests_.end()) return true;  // Its caller has disconnected.
+    if (found == requests_.end()) return true;  // The caller has disconnected.
     if (Reassign(arrival, found->second, previous)) return false;
-    // Its class or tenant was removed, and the predecessor may have run it.
+    // The class or tenant was removed. The request fails, because the predecessor may have run an attempt.
     FailAndRemove(found);
     return true;
   });
--- a/src/node/upstream_calls.cpp
+++ b/src/node/upstream_calls.cpp
@@ -5,17 +5,18 @@
 
 namespace hingelink::node {
 
-void UpstreamCalls::OnRequested(std::uint64_t attempt_id, std::uint64_t notice, std::string_view body) {
+void UpstreamCalls::OnRequested(std::uint64_t attempt_id, std::uint64_t notice_number,
+                                std::string_view body) {
   OnExecutionFinished(attempt_id);
   Call& call = calls_[attempt_id];
-  call.notice = notice;
+  call.notice_number = notice_number;
   call.text = body;
 }
 
 bool UpstreamCalls::Start(std::uint64_t attempt_id, Millis timeout) {
   const auto found = calls_.find(attempt_id);
   if (found == calls_.end() || found->second.state != State::kRequested) return true;
-  // The upstream may report the end of the call before start() returns.
+  // Set before the call starts, because the upstream may report its end before start() returns.
   found->second.state = State::kInFlight;
   if (links_.start(attempt_id, timeout, found->second.text)) return true;
   found->second.state = State::kRequested;
@@ -32,7 +33,7 @@
   }
   call.state = State::kReplied;
   call.text = reply;
-  SendDecision(attempt_id, call);
+  SendOutcome(attempt_id, call);
   return true;
 }
 
@@ -44,7 +45,7 @@
   if (call.state == State::kInFlight) links_.abandon(attempt_id);
   call.state = State::kSkipped;
   call.text.clear();
-  SendDecision(attempt_id, call);
+  SendOutcome(attempt_id, call);
 }
 
 void UpstreamCalls::OnExecutionFinished(std::uint64_t attempt_id) {
@@ -61,12 +62,12 @@
     if (decided && !processed(call.mark)) unread.push_back(attempt_id);
   }
   std::sort(unread.begin(), unread.end());
-  for (const std::uint64_t attempt_id : unread) SendDecision(attempt_id, calls_.at(attempt_id));
+  for (const std::uint64_t attempt_id : unread) SendOutcome(attempt_id, calls_.at(attempt_id));
 }
 
-void UpstreamCalls::SendDecision(std::uint64_t attempt_id, Call& call) {
+void UpstreamCalls::SendOutcome(std::uint64_t attempt_id, Call& call) {
   call.mark = call.state == State::kReplied ? links_.send_reply(attempt_id, call.text)
-                                            : links_.send_skip(attempt_id, call.notice);
+                                            : links_.send_skip(attempt_id, call.notice_number);
 }
 
 }  // namespace hingelink::node
--- a/src/node/upstream_calls.h
+++ b/src/node/upstream_calls.h
@@ -1,12 +1,13 @@
-// The upstream calls of executions: what the worker pool asked for, what the upstream answered, and what the
-// pool was told, across links to either that are lost.
+// Tracks the upstream calls of executions: the call that the worker pool requested, its state, and the reply
+// or skip command sent to the pool. Handles lost connections to the pool and to the upstream.
 //
-// A call is requested -> in flight -> replied, or requested again after a failure; the policy may skip it in
-// either state. A reply or a skip that the pool may not have read is sent again once its link carries
-// commands: the same text for the same notice, without a second call.
+// States: requested -> in flight -> replied. A failed call becomes requested again. The policy may skip a
+// call that is requested or in flight. If the connection to the pool is lost before the pool has read a reply
+// or a skip, the same command is sent again over the next connection, without a second upstream call.
 //
-// Bounds: one call per execution, with its body while it may still be started, then with its reply until the
-// execution goes on; each at most proto::kMaxPoolResultBytes.
+// Bounds: one call per execution. The table stores the body of the call until the call succeeds or is
+// skipped, then the reply until the execution requests another call or finishes. Each is at most
+// proto::kMaxPoolResultBytes.
 #ifndef HINGELINK_NODE_UPSTREAM_CALLS_H_
 #define HINGELINK_NODE_UPSTREAM_CALLS_H_
 
@@ -24,52 +25,59 @@
 
 namespace hingelink::node {
 
-// Not thread-safe. Executions are named by the ids of their attempts.
+// Not thread-safe. Executions are identified by their attempt ids.
 class UpstreamCalls {
  public:
-  // Where a command stands in the order of the pool's commands (net::PoolSide::Mark).
+  // The position of a command in the sequence of commands to the pool (net::PoolSide::Mark).
   using CommandMark = std::uint64_t;
   using Millis = std::chrono::duration<double, std::milli>;
-  // The links that carry the calls.
+  // Functions that send calls to the upstream and commands to the pool.
   struct Links {
-    // Sends the reply of a call to the pool.
+    // Sends the reply of a call to the pool. Returns the position of the command.
     std::function<CommandMark(std::uint64_t attempt_id, std::string_view reply)> send_reply;
-    // Tells the pool to go on without the call of this notice.
-    std::function<CommandMark(std::uint64_t attempt_id, std::uint64_t notice)> send_skip;
-    // Starts a call. False without an upstream: the call is known not to have run.
+    // Tells the pool that the execution continues without the call that the notice with this number
+    // requested. Returns the position of the command.
+    std::function<CommandMark(std::uint64_t attempt_id, std::uint64_t notice_number)> send_skip;
+    // Starts a call. False if no upstream is configured; the call has then certainly not run.
     std::function<bool(std::uint64_t attempt_id, Millis timeout, std::string_view body)> start;
     // Abandons a call in flight.
     std::function<void(std::uint64_t attempt_id)> abandon;
   };
   explicit UpstreamCalls(Links links) : links_(std::move(links)) {}
 
-  // An execution waits for a call. An earlier call of it is over.
-  void OnRequested(std::uint64_t attempt_id, std::uint64_t notice, std::string_view body);
-  // Starts the call that the execution waits for; does nothing if it waits for none. False if the call cannot
-  // be started, and never ran.
+  // An execution waits for a call with this body. Replaces an earlier call of the same execution.
+  // `notice_number`: the number of the pool's notice that requested the call.
+  void OnRequested(std::uint64_t attempt_id, std::uint64_t notice_number, std::string_view body);
+  // Starts the requested call of the execution. Does nothing and returns true if there is no requested call.
+  // False if the call cannot be started; the call has then certainly not run.
   [[nodiscard]] bool Start(std::uint64_t attempt_id, Millis timeout);
-  // The call has finished. After a failure it may be started again. False if none was in flight.
+  // The call has finished. A successful reply is sent to the pool; a failed call may be started again. False
+  // if no call of the execution was in flight.
   [[nodiscard]] bool OnFinished(std::uint64_t attempt_id, hingelink::Outcome outcome, std::string_view reply);
-  // The execution goes on without the call.
+  // Abandons the call and tells the pool to continue the execution without it.
   void Skip(std::uint64_t attempt_id);
-  // The execution has finished: a call in flight is abandoned, as it would only load the upstream.
+  // Removes the call of a finished execution. A call in flight is abandoned, because its reply would be
+  // unused and it would only load the upstream.
   void OnExecutionFinished(std::uint64_t attempt_id);
-  // The pool's link carries commands again: sends what `processed` says the pool has not read.
+  // Called when a connection to the pool is ready again. Sends each reply and skip again that the pool has
+  // not read; `processed` tells by position which commands the pool has read.
   void Resend(const std::function<bool(CommandMark)>& processed);
 
-  // Executions that have requested a call and not finished.
+  // The number of unfinished executions that have requested a call.
   [[nodiscard]] std::size_t executions() const { return calls_.size(); }
 
  private:
   enum class State { kRequested, kInFlight, kReplied, kSkipped };
   struct Call {
     State state = State::kRequested;
-    std::uint64_t notice = 0;
-    // The body of the call; the reply from kReplied on.
+    std::uint64_t notice_number = 0;
+    // The body of the call; in kReplied the reply; empty in kSkipped.
     std::string text;
+    // The position of the last reply or skip command.
     CommandMark mark = 0;
   };
-  void SendDecision(std::uint64_t attempt_id, Call& call);
+  // Sends the reply or the skip of the call to the pool.
+  void SendOutcome(std::uint64_t attempt_id, Call& call);
 
   Links links_;
   absl::flat_hash_map<std::uint64_t, Call> calls_;
--- a/src/node/upstream_metrics.h
+++ b/src/node/upstream_metrics.h
@@ -10,7 +10,8 @@
 
 namespace hingelink::node {
 
-// In the Prometheus text format. `store` may be null: there are no upstream calls then.
+// Returns the metrics in the Prometheus text format. `store` is null if no upstream store is configured; the
+// metrics of upstream calls are then omitted.
 [[nodiscard]] std::string UpstreamMetricsText(const KeyTable& keys, const UpstreamCalls& calls,
                                               const net::StoreClient* store);
 
