--- a/src/node/keys/key_table.cpp
+++ b/src/node/keys/key_table.cpp
@@ -5,8 +5,7 @@
 namespace hingelink::node {
 namespace {
 
-// When eviction is due but an attempt with the key is still in flight, eviction is tried again after this
-// time.
+// Delay until the eviction of an expired key is tried again, if an attempt with the key is still in flight.
 constexpr std::chrono::seconds kEvictionRetryInterval{1};
 
 // Capacity including the keys of other processes, as a multiple of Limits::max_keys.
@@ -192,8 +191,7 @@
   if (ran_here) return false;
   if (update.remaining <= Millis(0)) return ReleaseRemote(found);
   if (found == records_.end()) {
-    // A full table keeps its records. The new key is then unknown here, as after a crash of the other
-    // process.
+    // A full table drops the new key. The key is then unknown here, as after a crash of the other process.
     if (records_.size() >= kRemoteCapacityFactor * limits_.max_keys) {
       ++counters_.rejected_at_capacity;
       return false;
--- a/src/node/metrics.h
+++ b/src/node/metrics.h
@@ -29,15 +29,13 @@
 using core::StreamAddress;
 using core::UnixTime;
 
-// Used by the deciding thread only. The exception is ClassCounts: each counting thread writes its own
-// instance.
+// Used by the deciding thread only, except that each counting thread writes its own ClassCounts.
 class Metrics {
  public:
   // `counting_threads`: the number of threads that count answers, each in its own ClassCounts.
   Metrics(const std::vector<hingelink::RequestClass>& classes, std::size_t counting_threads);
 
-  // Replaces the classes. New classes count from 0. The counts of the last removed classes are still
-  // reported.
+  // Replaces the classes. New classes count from 0. The last removed classes are still reported.
   void SetClasses(const std::vector<hingelink::RequestClass>& classes);
   // The counts of a current class for one of the counting threads. Null if there is no such class.
   [[nodiscard]] ClassCountsPtr CountsFor(std::string_view class_name, std::size_t thread = 0) const;
@@ -47,8 +45,7 @@
   void CountExecution() { ++executions_; }
   void CountReload(bool succeeded) { ++(succeeded ? reloads_succeeded_ : reloads_failed_); }
 
-  // Limit of gateways with counts. A further gateway replaces the gateway that was inactive for the longest
-  // time.
+  // Limit of gateways with counts. A further gateway replaces the least recently active one.
   static constexpr std::size_t kMaxGateways = 256;
   void CountRequest(std::uint32_t gateway_id) { ++Gateway(gateway_id).requests; }
   void CountAnswer(std::uint32_t gateway_id, core::Verdict verdict) {
@@ -62,8 +59,7 @@
   };
   [[nodiscard]] const std::unordered_map<std::uint32_t, GatewayCounts>& gateways() const { return gateways_; }
 
-  // Counts summed over the counting threads, for the reported classes including removed ones, oldest class
-  // first.
+  // Counts of the reported classes, summed over the counting threads. Includes removed classes; oldest first.
   [[nodiscard]] std::vector<ClassCounts> classes() const;
   // The names of the current classes, in no particular order.
   [[nodiscard]] std::vector<std::string> class_names() const;
--- a/src/node/request_classes.h
+++ b/src/node/request_classes.h
@@ -35,8 +35,7 @@
   // Null if the current settings have no such class.
   [[nodiscard]] ClassPtr Find(std::string_view name) const;
   [[nodiscard]] bool has_tenants() const { return !tenants_.empty(); }
-  // The index of a tenant in Settings::tenants; 0 if no tenants are configured, nullopt if the name is
-  // unknown.
+  // The index of a tenant in Settings::tenants. 0 without configured tenants; nullopt for an unknown name.
   [[nodiscard]] std::optional<std::uint16_t> FindTenant(const std::string& name) const;
   // Nullopt if there is no tenant with this index.
   [[nodiscard]] std::optional<std::string> TenantName(std::uint16_t index) const;
--- a/src/node/request_table.h
+++ b/src/node/request_table.h
@@ -78,8 +78,7 @@
   void OnRequest(const IncomingRequest& incoming);
   void OnCallerDisconnected(StreamAddress from);
   void OnExecutionFinished(const ExecutionResult& execution);
-  // An execution waits for an upstream call with this body. `notice_number` is the number of the pool's
-  // notice.
+  // An execution waits for an upstream call with this body. `notice_number`: that of the pool's notice.
   void OnUpstreamCallRequested(std::uint64_t attempt_id, std::uint64_t notice_number, std::string_view body);
   void OnUpstreamCallFinished(std::uint64_t attempt_id, hingelink::Outcome outcome, Millis elapsed,
                               std::string_view reply);
@@ -172,8 +171,7 @@
   };
   using DeferredArrival = std::pair<hingelink::Arrival, ArrivalTimes>;
 
-  // Answers a request that is invalid or repeats an attempt id. False if the request must be added to the
-  // table.
+  // Answers a request that is invalid or repeats an attempt id. False for any other request.
   [[nodiscard]] bool AnswerAtOnce(const IncomingRequest& incoming,
                                   const RequestClasses::ClassPtr& found_class,
                                   std::optional<std::uint16_t> tenant);
@@ -206,8 +204,7 @@
   // The answer to a request whose own attempt did not run. Failed if another attempt with its key may have
   // run, because a rejection guarantees that no attempt ran; otherwise rejected.
   [[nodiscard]] FinalAnswer AnswerForNotRun(const Request& request) const;
-  // Answers a request that waits for the result of another attempt, once the outcome of that attempt is
-  // known.
+  // Answers a request that waits for another attempt, if the outcome of that attempt is known.
   void AnswerReplay(hingelink::RequestId id);
   void AnswerReplays(const IdempotencyKey& key);
   // Answers with the result, or with a failure if `result` is null.
--- a/tests/node/key_table_test.cpp
+++ b/tests/node/key_table_test.cpp
@@ -1,4 +1,5 @@
-// Idempotency keys: the table against a plain model, its bounds, and the updates between two processes.
+// Tests of KeyTable: states of a key, bounds of the table, key updates between two processes, and a property
+// test of random sequences of operations in two processes.
 #include "node/keys/key_table.h"
 
 #include <gtest/gtest.h>
@@ -25,10 +26,10 @@
   bool RetainFor(Id id, IdempotencyKey key = kKey) { return Retain(key, id, kWindow, kMaxDelay, now); }
 };
 
-TEST(KeyTable, ARetryNamesTheHolderOfTheKeyInEveryState) {
+TEST(KeyTable, RetryIsReportedWithTheHolderOfItsKeyInEveryState) {
   Table table;
   EXPECT_EQ(table.Add(1), 0u);
-  EXPECT_EQ(table.Add(2), 1u);  // In the same step, before anything is retained.
+  EXPECT_EQ(table.Add(2), 1u);  // Added before the policy has retained the key.
   ASSERT_TRUE(table.RetainFor(1));
   ASSERT_TRUE(table.Start(kKey, 1));
   EXPECT_FALSE(table.Start(kKey, 2));
@@ -42,21 +43,21 @@
   EXPECT_EQ(table.Add(4), 1u);
 }
 
-TEST(KeyTable, AKeyIsFreeAfterItsWindowExceptForAttemptsThatArrivedWithin) {
+TEST(KeyTable, KeyIsFreeAfterItsWindowExceptForAttemptsThatArrivedWithinIt) {
   Table table;
   table.Add(1);
   table.RetainFor(1);
   ASSERT_TRUE(table.Start(kKey, 1));
   table.Finish(kKey, 1, true, "done");
   table.RemoveAttempt(kKey, 1);
-  const KeyTable::Time came = table.now + 9'999ms;
+  const KeyTable::Time arrived = table.now + 9'999ms;
   table.now += 13s;
-  EXPECT_EQ(table.AddAttempt(kKey, 1, 2, came, table.now), 1u);
+  EXPECT_EQ(table.AddAttempt(kKey, 1, 2, arrived, table.now), 1u);
   table.RemoveAttempt(kKey, 2);
   EXPECT_EQ(table.Add(3), 0u);
 }
 
-TEST(KeyTable, AFailedKeyNeverRunsAgainWhateverThePolicySays) {
+TEST(KeyTable, FailedKeyNeverRunsAgainEvenIfThePolicyReleasesIt) {
   Table table;
   table.Add(1);
   table.RetainFor(1);
@@ -71,31 +72,31 @@
   EXPECT_EQ(table.FindReplay(kKey).status, Status::kFailed);
 }
 
-TEST(KeyTable, AnAttemptRemovedInTheStepOfTheNextFreesTheKey) {
+TEST(KeyTable, RemovedHolderFreesTheKeyForAnAttemptInTheSameStep) {
   Table table;
   table.Add(1);
   table.RetainFor(1);
-  table.RemoveAttempt(kKey, 1);  // Its caller has disconnected; the policy learns it in the next step.
+  table.RemoveAttempt(kKey, 1);  // The caller has disconnected; the policy learns of it in the next step.
   EXPECT_EQ(table.Add(2), 0u);
-  EXPECT_FALSE(table.Release(1));  // The policy's action of that step.
+  EXPECT_FALSE(table.Release(1));  // The policy's action for the disconnected attempt has no effect.
   ASSERT_TRUE(table.RetainFor(2));
   EXPECT_TRUE(table.Start(kKey, 2));
 }
 
-TEST(KeyTable, AWaitingAttemptTakesTheHoldersPlace) {
+TEST(KeyTable, WaitingAttemptTakesOverTheKeyOfARemovedHolder) {
   Table table;
   table.Add(1);
   table.RetainFor(1);
   EXPECT_EQ(table.Add(2), 1u);
   table.RemoveAttempt(kKey, 1);
-  EXPECT_EQ(table.Add(3), 1u);  // The policy still counts it to the first.
+  EXPECT_EQ(table.Add(3), 1u);  // The policy has not released the key of attempt 1 yet.
   EXPECT_EQ(table.Release(1), kKey);
   ASSERT_TRUE(table.RetainFor(2));
   EXPECT_TRUE(table.Start(kKey, 2));
   EXPECT_EQ(table.Add(4), 2u);
 }
 
-TEST(KeyTable, BoundsKeysAndResults) {
+TEST(KeyTable, NumberOfKeysAndSizeOfResultsAreBounded) {
   Table table;
   table.SetLimits({.max_keys = 4, .max_result_bytes = 25});
   for (KeyTable::Id id = 1; id <= 4; ++id) {
@@ -108,7 +109,7 @@
     table.RemoveAttempt(key, id);
     EXPECT_LE(table.result_bytes(), 25u);
   }
-  // The oldest was dropped first, and is still known to have run.
+  // The oldest result was dropped first. The table still knows that the request ran.
   EXPECT_EQ(table.FindReplay({1, 0}).status, Status::kFailed);
   EXPECT_TRUE(table.MayHaveRun({1, 0}));
   EXPECT_EQ(table.FindReplay({4, 0}).status, Status::kResult);
@@ -119,7 +120,7 @@
   EXPECT_EQ(table.counters().rejected_at_capacity, 1u);
 }
 
-TEST(KeyTable, OtherContentWithTheSameKeyDoesNotMatch) {
+TEST(KeyTable, DifferentContentWithTheSameKeyDoesNotMatchWithinTheWindow) {
   Table table;
   table.Add(1);
   table.RetainFor(1);
@@ -131,46 +132,48 @@
   EXPECT_TRUE(table.MatchesContent(kKey, 2, table.now + 11s));
 }
 
-TEST(KeyTable, ASuccessorWaitsForRunningKeysOfItsPredecessorAndRunsReleasedOnes) {
-  Table old, fresh;
-  old.Add(1);
-  old.RetainFor(1);
-  ASSERT_TRUE(old.Start(kKey, 1));
-  const IdempotencyKey held{7, 7};
-  old.Add(2, held);
-  old.RetainFor(2, held);
-  old.ForEachRetained(old.now, [&](const KeyUpdate& update) {
-    EXPECT_FALSE(fresh.ApplyUpdate(update, kMaxDelay, fresh.now));
+TEST(KeyTable, SuccessorWaitsForRunningKeysOfItsPredecessorAndRunsReleasedKeys) {
+  Table predecessor, successor;
+  predecessor.Add(1);
+  predecessor.RetainFor(1);
+  ASSERT_TRUE(predecessor.Start(kKey, 1));
+  const IdempotencyKey reserved_key{7, 7};
+  predecessor.Add(2, reserved_key);
+  predecessor.RetainFor(2, reserved_key);
+  predecessor.ForEachRetained(predecessor.now, [&](const KeyUpdate& update) {
+    EXPECT_FALSE(successor.ApplyUpdate(update, kMaxDelay, successor.now));
   });
-  EXPECT_GE(fresh.Add(10), KeyTable::kFirstRemoteId);
-  EXPECT_GE(fresh.Add(11, held), KeyTable::kFirstRemoteId);
-  EXPECT_EQ(fresh.FindReplay(kKey).status, Status::kPending);
-  EXPECT_EQ(fresh.FindReplay(held).status, Status::kPending);
-  old.Finish(kKey, 1, true, "from there");
-  EXPECT_TRUE(fresh.ApplyUpdate(old.UpdateOf(kKey, old.now), kMaxDelay, fresh.now));
-  ASSERT_EQ(fresh.FindReplay(kKey).status, Status::kResult);
-  EXPECT_EQ(*fresh.FindReplay(kKey).result, "from there");
-  // Rejected there without a run: attempts that wait here fail, and the next may run.
-  old.RemoveAttempt(held, 2);
-  old.Release(2);
-  EXPECT_TRUE(fresh.ApplyUpdate(old.UpdateOf(held, old.now), kMaxDelay, fresh.now));
-  EXPECT_EQ(fresh.FindReplay(held).status, Status::kFailed);
-  fresh.RemoveAttempt(held, 11);
-  EXPECT_EQ(fresh.Add(12, held), 0u);
-  EXPECT_FALSE(fresh.MayHaveRun(held));
+  EXPECT_GE(successor.Add(10), KeyTable::kFirstRemoteId);
+  EXPECT_GE(successor.Add(11, reserved_key), KeyTable::kFirstRemoteId);
+  EXPECT_EQ(successor.FindReplay(kKey).status, Status::kPending);
+  EXPECT_EQ(successor.FindReplay(reserved_key).status, Status::kPending);
+  predecessor.Finish(kKey, 1, true, "from predecessor");
+  EXPECT_TRUE(successor.ApplyUpdate(predecessor.UpdateOf(kKey, predecessor.now), kMaxDelay, successor.now));
+  ASSERT_EQ(successor.FindReplay(kKey).status, Status::kResult);
+  EXPECT_EQ(*successor.FindReplay(kKey).result, "from predecessor");
+  // The predecessor rejects its attempt without running it. The attempt that waits in the successor fails,
+  // and the next attempt may run.
+  predecessor.RemoveAttempt(reserved_key, 2);
+  predecessor.Release(2);
+  EXPECT_TRUE(
+      successor.ApplyUpdate(predecessor.UpdateOf(reserved_key, predecessor.now), kMaxDelay, successor.now));
+  EXPECT_EQ(successor.FindReplay(reserved_key).status, Status::kFailed);
+  successor.RemoveAttempt(reserved_key, 11);
+  EXPECT_EQ(successor.Add(12, reserved_key), 0u);
+  EXPECT_FALSE(successor.MayHaveRun(reserved_key));
 }
 
-TEST(KeyTable, KeysInFlightInAPredecessorThatExitedFail) {
-  Table fresh;
-  fresh.ApplyUpdate({kKey, 1, KeyState::kRunning, kWindow, std::nullopt}, kMaxDelay, fresh.now);
-  fresh.Add(10);
-  EXPECT_EQ(fresh.OnSiblingsExited(), std::vector<IdempotencyKey>{kKey});
-  EXPECT_EQ(fresh.FindReplay(kKey).status, Status::kFailed);
-  EXPECT_EQ(fresh.WaitingAttempts(kKey), std::vector<KeyTable::Id>{10});
+TEST(KeyTable, KeysInFlightFailWhenThePredecessorExits) {
+  Table successor;
+  successor.ApplyUpdate({kKey, 1, KeyState::kRunning, kWindow, std::nullopt}, kMaxDelay, successor.now);
+  successor.Add(10);
+  EXPECT_EQ(successor.OnSiblingsExited(), std::vector<IdempotencyKey>{kKey});
+  EXPECT_EQ(successor.FindReplay(kKey).status, Status::kFailed);
+  EXPECT_EQ(successor.WaitingAttempts(kKey), std::vector<KeyTable::Id>{10});
 }
 
-// Two tables that exchange updates as two processes do, and callers in any order: no key runs twice within
-// its window, in either process.
+// Simulates two processes of a node that exchange key updates. Step() performs one random operation and
+// asserts that no key runs twice within its window in either process.
 class TwoProcesses {
  public:
   void Step() {
@@ -227,7 +230,7 @@
     if (original == 0) attempts_[id].retained = tables_[process].RetainFor(id, key);
     SendUpdate(key);
   }
-  // Also one that does not hold the key.
+  // Also tries attempts that do not hold the key; KeyTable::Start() must refuse these.
   void TryStart(Attempts::iterator at) {
     Attempt& attempt = at->second;
     Table& table = tables_[attempt.process];
@@ -247,7 +250,7 @@
     SendUpdate(key);
     attempts_.erase(at);
   }
-  // If it held the key, the next attempt takes its place.
+  // If the attempt reserved_key the key, another waiting attempt takes over the key.
   void Disconnect(Attempts::iterator at) {
     const auto [process, key, running, retained] = at->second;
     const KeyTable::Id id = at->first;
@@ -271,7 +274,7 @@
   KeyTable::Id last_id_ = 0;
 };
 
-RC_GTEST_PROP(KeyTableProperty, NoKeyRunsTwiceInEitherProcess, ()) {
+RC_GTEST_PROP(KeyTableProperty, NoKeyRunsTwiceWithinItsWindowInTwoProcesses, ()) {
   TwoProcesses processes;
   const int steps = *rc::gen::inRange(20, 200);
   for (int step = 0; step < steps; ++step) processes.Step();
--- a/tests/node/request_integration_test.cpp
+++ b/tests/node/request_integration_test.cpp
@@ -1,4 +1,5 @@
-// Requests through a whole node: answers, rejections, shared reads, keyed requests, deadlines.
+// Integration tests of requests through a complete node: answers, rejections, shared reads, keyed requests
+// and deadlines.
 #include <gtest/gtest.h>
 
 #include <cstddef>
@@ -15,12 +16,13 @@
 
 using namespace node_tests;
 
-// With tenants, a keyed class, an upstream store, and callers that send no remaining wait.
+// Adds tenants, a keyed class and an upstream store to the configuration, and callers that send no remaining
+// wait.
 std::string WithKeyedClass(std::string json, const std::string& store_address) {
-  const auto replace = [&json](const std::string& what, const std::string& with) {
-    const std::size_t at = json.find(what);
-    ASSERT_NE(at, std::string::npos) << what;
-    json.replace(at, what.size(), with);
+  const auto replace = [&json](const std::string& old_text, const std::string& new_text) {
+    const std::size_t at = json.find(old_text);
+    ASSERT_NE(at, std::string::npos) << old_text;
+    json.replace(at, old_text.size(), new_text);
   };
   replace(R"("requestClasses":[)",
           R"("requestClasses":[{"name":"claim","goalTimeMs":2000.0,"hardLimitMs":4900.0,
@@ -39,23 +41,23 @@
 
 INSTANTIATE_TEST_SUITE_P(Threads, NodeRequestTest, kThreadCounts, ThreadCountName);
 
-// Any bytes pass through unchanged, and answers go to their streams whatever their order.
+// Bodies and results are binary and pass through unchanged. Each answer goes to the stream of its request.
 TEST_P(NodeRequestTest, AnswersEachRequestOnItsStreamWithTheBytesOfItsExecution) {
   RunningNode node(Options());
   Gateway checks(node.port());
   checks.Write(Gateway::HealthCheck(1));
   Frame health = checks.Read();
   ASSERT_EQ(health.type, kHealthResponseFrame);
-  ASSERT_EQ(health.code, 0);  // Before the pool is up, too.
+  ASSERT_EQ(health.code, 0);  // Healthy even before the pool is connected.
   PoolLink link(node.pool, 0);
   AcceptCommands(link);
   Gateway gateway(node.port());
   const std::string body("a\r\n\0b", 5);
   const std::string result("\0finished 9\r\n", 13);
-  // One arrival time for both, as the older one starts first.
+  // Both requests have the same arrival time, because the older one would start first.
   const std::map<std::string, std::string> now = {{"ts", std::to_string(Gateway::UnixMs())}};
   gateway.Write(Gateway::Request(1, kFirst, body, now) + Gateway::Request(2, kSecond, "", now));
-  // One core: the second waits for the first.
+  // The pool has one core, so the second request waits for the first.
   std::string spawned_body;
   ASSERT_EQ(link.Command(&spawned_body), "spawn " + kFirst + " order-lodge 5");
   ASSERT_EQ(spawned_body, body);
@@ -66,7 +68,7 @@
   gateway.ReadAnswer(2, kFailed);
 }
 
-// A fault of one request answers its stream alone; the connection goes on.
+// An invalid request is answered on its own stream and does not close the connection.
 TEST_P(NodeRequestTest, RejectsInvalidRequestsAndKeepsTheConnection) {
   ServingNode serving(Options());
   auto& [node, link, gateway] = serving;
@@ -83,9 +85,10 @@
   }
   gateway.Write(Gateway::Request(++stream, kFirst, std::string(2049, 'x')));
   gateway.ReadAnswer(stream, kRejected);
-  gateway.Write(Gateway::Request(++stream, kFirst, std::string(200'000, 'x')));  // Skipped as it comes.
+  gateway.Write(Gateway::Request(++stream, kFirst,
+                                 std::string(200'000, 'x')));  // The node discards the body as it arrives.
   gateway.ReadAnswer(stream, kRejected);
-  gateway.Write(Gateway::Encode(0, ++stream, "\5"));  // Fields that run past the frame.
+  gateway.Write(Gateway::Encode(0, ++stream, "\5"));  // A field length beyond the end of the frame.
   gateway.ReadAnswer(stream, kRejected);
   gateway.Write(Gateway::Request(++stream, kFirst, "good"));
   link.Command();
@@ -104,8 +107,8 @@
   ASSERT_TRUE(bad.socket().Finished());
 }
 
-// Failed, not rejected: a rejection would promise that no attempt with this id ran.
-TEST_P(NodeRequestTest, FailsASecondRequestWithTheIdOfOneThatRunsOrRan) {
+// The answer is a failure, because a rejection guarantees that no attempt with this id ran.
+TEST_P(NodeRequestTest, FailsARequestWhoseIdIsRunningOrHasRun) {
   ServingNode serving(Options());
   auto& [node, link, gateway] = serving;
   constexpr std::uint32_t stream = 1;
@@ -122,7 +125,7 @@
 TEST_P(NodeRequestTest, RejectsTheThirtyThirdOpenRequestOfAConnection) {
   ServingNode serving(Options());
   auto& [node, link, gateway] = serving;
-  // Until the node has read that its pool is connected, it rejects everything.
+  // The node rejects all requests until the pool is connected, so first wait for a served request.
   gateway.Write(Gateway::Request(1, kFirst, "x"));
   link.Command();
   link.Finish(1, kFirst, "complete", "done");
@@ -134,7 +137,7 @@
   gateway.ReadAnswer(132, kRejected);
 }
 
-// While its result is fresh; a failed execution is not shared.
+// The result is shared while it is fresh. The result of a failed execution is not shared.
 TEST_P(NodeRequestTest, ReadsOfOneSubjectShareTheExecutionOfTheFirst) {
   ServingNode serving(Options());
   auto& [node, link, gateway] = serving;
@@ -144,18 +147,18 @@
   gateway.Write(Gateway::Request(2, kSecond, "x", read));
   link.Finish(1, kFirst, "error", "");
   gateway.ReadAnswer(1, kFailed);
-  ASSERT_EQ(link.Command(), "spawn " + kSecond + " usage-view 1");  // The first failed: the next runs itself.
+  ASSERT_EQ(link.Command(),
+            "spawn " + kSecond + " usage-view 1");  // The first execution failed, so the next read runs.
   link.Finish(2, kSecond, "complete", "usage");
   ASSERT_EQ(gateway.ReadAnswer(2, kServed).body, "usage");
   gateway.Write(Gateway::Request(3, kThird, "x", read));
   ASSERT_EQ(gateway.ReadAnswer(3, kServed).body, "usage");
-  // Another subject runs for itself.
+  // A read of another subject runs separately.
   gateway.Write(Gateway::Request(4, kFourth, "x", {{"kind", "usage-view"}, {"subject", kFirst}}));
   ASSERT_NE(link.Command().find("a4"), std::string::npos);
 }
 
-// The configuration has tenants, a keyed class, an upstream store, and callers that send no remaining wait.
-TEST_P(NodeRequestTest, AKeyedRequestRunsOnceAcrossItsRetriesAndUpstreamCalls) {
+TEST_P(NodeRequestTest, KeyedRequestRunsOnceAcrossItsRetriesAndUpstreamCalls) {
   const peers::Listener store;
   NodeOptions options = Options();
   options.edit_config = [&store](const std::string& json) { return WithKeyedClass(json, store.Address()); };
@@ -168,7 +171,7 @@
     for (const auto& [name, value] : with) fields[name] = value;
     return fields;
   };
-  // What the configuration requires of every request, missing or invalid.
+  // Rejects requests without a valid idempotency key and tenant, which this configuration requires.
   std::uint32_t stream = 100;
   for (const auto& [name, value] : std::vector<std::pair<std::string, std::string>>{
            {"opkey", "(none)"}, {"owner", "(none)"}, {"opkey", "x" + key.substr(1)}, {"owner", "nobody"}}) {
@@ -183,7 +186,7 @@
   ASSERT_TRUE(call.starts_with("CALL " + kFirst + ' '));
   ASSERT_TRUE(call.ends_with(" 4"));
   ASSERT_EQ(calls.Bytes(6), "c\r\nd\r\n");
-  // A retry while the first waits for its upstream call: it waits, and does not run.
+  // A retry arrives while the first attempt waits for its upstream call. The retry waits and does not run.
   gateway.Write(Gateway::Request(2, kSecond, "body", claim({{"resent", "1"}})));
   calls.Write(kFirst + " OK 5\r\nr\r\n+1\r\n");
   std::string reply;
@@ -192,7 +195,8 @@
   link.Finish(2, kFirst, "complete", "claimed");
   ASSERT_EQ(gateway.ReadAnswer(1, kServed).body, "claimed");
   ASSERT_EQ(gateway.ReadAnswer(2, kServed).body, "claimed");
-  // So does one after the end, over another connection; but none with another body.
+  // A retry over another connection after the execution gets the same result. A request with the same key and
+  // another body fails.
   Gateway other(node.port());
   other.Write(Gateway::Request(1, kThird, "body", claim({{"resent", "1"}})));
   ASSERT_EQ(other.ReadAnswer(1, kServed).body, "claimed");
@@ -215,20 +219,20 @@
   ASSERT_NE(metrics.find("edge_node_key_mismatches 1"), std::string::npos);
 }
 
-// Timers do not wait for the pool. A disconnected caller gets no answer.
-TEST_P(NodeRequestTest, AnOverdueExecutionFailsByItsDeadlineAndItsLaterResultIsDropped) {
+// Deadline timers fire without activity of the pool. A disconnected caller gets no answer.
+TEST_P(NodeRequestTest, OverdueExecutionFailsByItsDeadlineAndItsLateResultIsDropped) {
   ServingNode serving(Options());
   auto& [node, link, gateway] = serving;
   const std::uint64_t sent = Gateway::UnixMs();
   gateway.Write(Gateway::Request(1, kFirst, "x", {{"timeout", "900"}, {"ms", "1"}}));
   link.Command();
-  gateway.ReadAnswer(1, kFailed);  // No poll is answered meanwhile.
+  gateway.ReadAnswer(1, kFailed);  // The test answers no poll of the node meanwhile.
   ASSERT_LE(Gateway::UnixMs(), sent + 1000);
   link.Finish(1, kFirst, "complete", "late");
   // A request that has expired on arrival is rejected at once.
   gateway.Write(Gateway::Request(2, kSecond, "x", {{"ts", std::to_string(sent - 5000)}}));
   gateway.ReadAnswer(2, kRejected);
-  // No answer to a caller that disconnected: the next answer is the next request's.
+  // A disconnected caller gets no answer: the next answer belongs to the next request.
   gateway.Write(Gateway::Request(3, kThird, "x"));
   link.Command();
   gateway.Write(Gateway::Encode(2, 3, "") + Gateway::HealthCheck(9));
@@ -238,8 +242,8 @@
   gateway.ReadAnswer(4, kRejected);
 }
 
-// They never reach admission control.
-TEST_P(NodeRequestTest, RequestsCancelledInTheSegmentThatSendsThemEvictNobody) {
+// Requests that are cancelled in the same TCP segment never reach admission control.
+TEST_P(NodeRequestTest, RequestsCancelledInTheSegmentThatSendsThemEvictNoOtherRequest) {
   RunningNode node(Options());
   PoolLink link(node.pool, 0);
   AcceptCommands(link);
@@ -263,20 +267,20 @@
   ASSERT_EQ(link.Command(), "spawn " + kSecond + " usage-view 4");
 }
 
-// The last report said that the cores are idle.
-TEST_P(NodeRequestTest, AStalledPoolStopsNewExecutionsOnceItsGaugesAreOutOfDate) {
+// The last gauges report idle cores. Without an answer to a poll, the node must not rely on them for long.
+TEST_P(NodeRequestTest, NewExecutionsStopOnceTheGaugesOfAStalledPoolAreOutOfDate) {
   ServingNode serving(Options());
   PoolLink& link = serving.link;
   Gateway& gateway = serving.gateway;
-  const auto ask = [&gateway](std::uint32_t stream) {
+  const auto send_read = [&gateway](std::uint32_t stream) {
     gateway.Write(Gateway::Request(stream, hingelink::proto::FormatRequestId(stream), "x",
                                    {{"kind", "usage-view"}, {"timeout", "1200"}, {"need", "0.1"}}));
   };
   for (std::uint32_t stream = 1; stream <= 3; ++stream) {
-    ask(stream);
-    link.Command();  // Answers polls: the cores are idle, so a second and a third may run.
+    send_read(stream);
+    link.Command();  // Answers polls with idle cores, so that the next request may run.
   }
-  for (std::uint32_t stream = 4; stream <= 7; ++stream) ask(stream);
+  for (std::uint32_t stream = 4; stream <= 7; ++stream) send_read(stream);
   int rejected = 0;
   for (int answers = 0; answers < 7; ++answers) rejected += gateway.Read().code == kRejected ? 1 : 0;
   ASSERT_GE(rejected, 2);
--- a/tests/node/request_table_test.cpp
+++ b/tests/node/request_table_test.cpp
@@ -1,5 +1,6 @@
-// Keyed attempts that are deferred until a predecessor has reported its keys: answered by their deadlines,
-// and decided by the settings that are current when the policy sees them.
+// Tests of RequestTable: keyed attempts that are deferred until the predecessor process has reported its
+// keys. They are answered by their deadlines, and reach the policy with the class and tenant indexes of the
+// current settings.
 #include "node/request_table.h"
 
 #include <gtest/gtest.h>
@@ -79,8 +80,8 @@
                       [](const IdempotencyKey&) {}};
 };
 
-// Of its caller's remaining wait, or of its class.
-TEST_F(DeferredAttemptTest, IsAnsweredByItsDeadline) {
+// The deadline is the remaining wait of the caller, or the deadline of the class if callers do not send it.
+TEST_F(DeferredAttemptTest, FailsShortlyBeforeItsDeadline) {
   for (const bool has_timeout : {true, false}) {
     settings_.callers_send_remaining_wait = has_timeout;
     if (has_timeout) timeout_ = 300ms;
@@ -91,17 +92,17 @@
     EXPECT_TRUE(ArrivalsAt(began_ + deadline - 50ms).empty());
     EXPECT_TRUE(front_.answers.empty());
     EXPECT_TRUE(ArrivalsAt(began_ + deadline - 10ms).empty());
-    // Failed: the predecessor may have run it.
+    // The attempt fails and is not rejected, because the predecessor may have run an attempt with its key.
     ASSERT_EQ(front_.answers.size(), 1u);
     EXPECT_EQ(front_.answers[0].second, core::Verdict::kFailed);
     EXPECT_EQ(table_.unanswered(), 0u);
   }
-  // The policy never sees it.
+  // An answered attempt never reaches the policy.
   table_.SetSiblingKeys(SiblingKeys::kKnown);
   EXPECT_TRUE(ArrivalsAt(began_ + 1s).empty());
 }
 
-TEST_F(DeferredAttemptTest, IsForgottenWhenItsCallerDisconnects) {
+TEST_F(DeferredAttemptTest, IsRemovedWithoutAnAnswerWhenItsCallerDisconnects) {
   Send(1, "first", "one");
   EXPECT_TRUE(ArrivalsAt(began_ + 1ms).empty());
   table_.OnCallerDisconnected({1, 1});
@@ -111,7 +112,7 @@
   EXPECT_TRUE(table_.empty());
 }
 
-// The new settings have another order.
+// The new settings have another order of classes and tenants.
 TEST_F(DeferredAttemptTest, KeepsItsClassAndTenantAcrossAReload) {
   Send(1, "first", "two");
   EXPECT_TRUE(ArrivalsAt(began_ + 1ms).empty());
