--- a/tests/node/deployment.h
+++ b/tests/node/deployment.h
@@ -1,5 +1,6 @@
-// Several nodes as processes of their own, each with a worker pool, with keyed requests, tenants and a store
-// that all share, and faults between them. What counts is what the stand-ins saw.
+// Test harness that runs several nodes as separate processes. Each node has its own simulated worker pool;
+// all nodes share a simulated store, a registry and gateways that send the load. Tests inject faults and
+// check the counts of the simulated components, not those of the nodes.
 #ifndef HINGELINK_TESTS_NODE_DEPLOYMENT_H_
 #define HINGELINK_TESTS_NODE_DEPLOYMENT_H_
 
@@ -31,25 +32,26 @@
 using namespace std::chrono_literals;
 using net::Steady;
 
-inline constexpr double kWindow = 20'000;
+inline constexpr double kDefaultWindowMs = 20'000;
 
 class Deployment {
  public:
   struct Options {
     int nodes = 3;
-    double rate = 90;
+    double rate = 90;  // First attempts per second, over all gateways.
     int retries = 3;
-    double leaves = 0;
-    Millis leaves_within{60};
+    double abandoned_fraction = 0;  // Fraction of requests whose caller gives up early.
+    Millis abandoned_within{60};    // Such a caller gives up within this time after sending.
     double upstream_call_quota = 8;
     StoreOptions store{};
     std::vector<TenantLoad> tenants = {{"north", 3}, {"west", 1}};
-    double window = kWindow;
+    double window_ms = kDefaultWindowMs;  // Idempotency window of the classes.
     int gateways = 3;
     Cores cores{.count = 4, .crowd_at = 50};
-    int cold_calls = 0;
-    double quota = 500;                                       // Requests a second, of each tenant.
-    std::function<void(nlohmann::ordered_json&)> tweak = {};  // The settings, before a node gets them.
+    int extra_cold_calls = 0;       // Additional upstream calls of an execution while the cores are cold.
+    double tenant_quota_rps = 500;  // Quota of each tenant.
+    // Edits the settings of a node before the node starts.
+    std::function<void(nlohmann::ordered_json&)> edit_settings = {};
   };
 
   explicit Deployment(const Options& options) : options_(options) {
@@ -58,7 +60,7 @@
       registry_.emplace(host_.base(), RegistryOptions{});
     });
     nodes_.resize(static_cast<std::size_t>(options.nodes));
-    for (std::size_t i = 0; i < nodes_.size(); ++i) StartAnew(i);
+    for (std::size_t i = 0; i < nodes_.size(); ++i) StartNode(i);
   }
   ~Deployment() {
     for (Node& node : nodes_) {
@@ -75,7 +77,9 @@
     });
   }
 
-  void Load() {
+  // Starts the gateways' load with three classes: idempotent with an upstream call, idempotent without, and
+  // keyed.
+  void StartLoad() {
     host_.Do([&] {
       GatewaysOptions load;
       for (const Node& node : nodes_) load.targets.push_back(node.listen);
@@ -97,28 +101,29 @@
       load.tells_wait = false;
       load.rate = options_.rate;
       load.retries = options_.retries;
-      load.leaves = options_.leaves;
-      load.leaves_within = options_.leaves_within;
+      load.leaves = options_.abandoned_fraction;
+      load.leaves_within = options_.abandoned_within;
       load.seed = 11;
       load.run = 77;
       gateways_.emplace(host_.base(), load);
     });
   }
-  // Until the gateways' account shows it.
-  bool Until(const std::function<bool(const Account&)>& done, std::chrono::seconds most = 40s) {
-    const auto end = Steady::now() + most;
+  // Waits until the counts of the gateways meet the condition. False on timeout.
+  bool WaitFor(const std::function<bool(const Account&)>& condition, std::chrono::seconds timeout = 40s) {
+    const auto end = Steady::now() + timeout;
     for (;;) {
-      bool is_done = false;
-      host_.Do([&] { is_done = done(gateways_->account()); });
-      if (is_done || Steady::now() > end) return is_done;
+      bool is_met = false;
+      host_.Do([&] { is_met = condition(gateways_->account()); });
+      if (is_met || Steady::now() > end) return is_met;
       std::this_thread::sleep_for(5ms);
     }
   }
-  bool Served(std::uint64_t good) {
-    return Until([good](const Account& a) { return a.Sum().good >= good; });
+  // Waits until at least this many requests in total were served in time. False on timeout.
+  bool WaitForServed(std::uint64_t requests) {
+    return WaitFor([requests](const Account& a) { return a.Sum().good >= requests; });
   }
-  // No further arrivals; all that is open ends.
-  bool Finish() {
+  // Stops the arrivals and waits until no request is open. False on timeout.
+  bool FinishLoad() {
     host_.Do([&] { gateways_->Stop(); });
     const auto end = Steady::now() + 30s;
     for (bool idle = false; Steady::now() < end; std::this_thread::sleep_for(5ms)) {
@@ -127,17 +132,19 @@
     }
     return false;
   }
-  std::string Faults(const AuditOptions& audit = {}) {
-    std::string all;
+  // Checks the counts of all simulated components for violated guarantees. Returns one line for each kind of
+  // violation; empty if there is none.
+  std::string Violations(const AuditOptions& audit = {}) {
+    std::string lines;
     host_.Do([&] {
-      std::vector<PoolCounts> pools = ended_pools_;
+      std::vector<PoolCounts> pools = counts_of_ended_pools_;
       for (const Node& node : nodes_) pools.push_back(node.pool->counts());
       for (const std::string& line : Audit({gateways_->account()}, pools, store->counts(), audit))
-        all += line + '\n';
+        lines += line + '\n';
     });
-    return all;
+    return lines;
   }
-  ClassAccount Class(const std::string& name) {
+  ClassAccount CountsOfClass(const std::string& name) {
     ClassAccount found;
     host_.Do([&] {
       for (const ClassAccount& c : gateways_->account().classes) {
@@ -146,24 +153,27 @@
     });
     return found;
   }
-  void Do(const std::function<void()>& work) { host_.Do(work); }
-  void CausePool(std::size_t i, const PoolFault& fault) {
+  // Runs the function on the thread of the simulated components and waits for its end.
+  void RunOnHost(const std::function<void()>& function) { host_.Do(function); }
+  void InjectPoolFault(std::size_t i, const PoolFault& fault) {
     host_.Do([&] { nodes_[i].pool->Cause(fault); });
   }
-  PoolCounts PoolOf(std::size_t i) {
+  PoolCounts CountsOfPool(std::size_t i) {
     PoolCounts counts;
     host_.Do([&] { counts = nodes_[i].pool->counts(); });
     return counts;
   }
-  void Signal(std::size_t i, int number) { kill(nodes_[i].pids.back(), number); }
-  void SignalFirst(std::size_t i, int number) { kill(nodes_[i].pids.front(), number); }
-  // The gateways hear of it at once, and send it nothing more; it is waited for.
+  // Sends a signal to the newest or the oldest process of a node.
+  void SignalNewestProcess(std::size_t i, int number) { kill(nodes_[i].pids.back(), number); }
+  void SignalOldestProcess(std::size_t i, int number) { kill(nodes_[i].pids.front(), number); }
+  // Drains a node and waits for its exit. The gateways stop sending requests to the node at once.
   void Drain(std::size_t i) {
     Node& node = nodes_[i];
     kill(node.pids.back(), SIGTERM);
     host_.Do([&] {
       std::vector<std::string> targets;
-      // Another one in its place: what keeps to a place in the list keeps to it.
+      // Replaces the node in the target list by another one, so that the positions of the others do not
+      // change.
       for (std::size_t k = 0; k < nodes_.size(); ++k)
         targets.push_back(nodes_[k == i ? (i + 1) % nodes_.size() : k].listen);
       if (gateways_) gateways_->SetTargets(targets);
@@ -175,28 +185,29 @@
   }
   std::string ListenOf(std::size_t i) const { return nodes_[i].listen; }
   Gateways& gateways() { return *gateways_; }
-  std::map<std::string, TenantAccount> Tenants() {
-    std::map<std::string, TenantAccount> all;
+  std::map<std::string, TenantAccount> CountsByTenant() {
+    std::map<std::string, TenantAccount> counts;
     host_.Do([&] {
-      for (const TenantAccount& t : gateways_->account().tenants) all[t.name] = t;
+      for (const TenantAccount& t : gateways_->account().tenants) counts[t.name] = t;
     });
-    return all;
+    return counts;
   }
-  // A second process of the same node, beside one that stands still or serves.
-  void StartSecond(std::size_t i) { StartProcess(i, 1, nodes_[i].pids.size(), "handover-overdue"); }
-  // With its worker pool, as the platform does; both start from nothing.
+  // Starts a second process of a node whose first process is stopped. Waits until the second process logs
+  // that the handover is overdue.
+  void StartSecondProcess(std::size_t i) { StartProcess(i, 1, nodes_[i].pids.size(), "handover-overdue"); }
+  // Kills a node and restarts it with a new worker pool, as the platform does. Neither keeps any state.
   void KillAndRestart(std::size_t i) {
     Node& node = nodes_[i];
     kill(node.pids.back(), SIGKILL);
     waitpid(node.pids.back(), nullptr, 0);
     node.pids.pop_back();
     host_.Do([&] {
-      ended_pools_.push_back(node.pool->counts());
+      counts_of_ended_pools_.push_back(node.pool->counts());
       node.pool.reset();
     });
-    StartAnew(i);
+    StartNode(i);
   }
-  // A second process of the same node takes over; the first is told to leave and is waited for.
+  // Starts a second process of a node, hands over to it, and stops the first process and waits for its exit.
   void Upgrade(std::size_t i) {
     Node& node = nodes_[i];
     StartProcess(i, 1, node.pids.size());
@@ -206,6 +217,7 @@
     node.pids.erase(node.pids.begin());
   }
 
+  // The simulated store. Use it within RunOnHost() only.
   std::optional<Store> store;
 
  private:
@@ -213,23 +225,28 @@
     std::unique_ptr<Pool> pool;
     std::string listen;
     std::unique_ptr<cli::TemporaryFolder> folder;
-    std::vector<pid_t> pids;
+    std::vector<pid_t> pids;  // The running processes, oldest first.
   };
 
-  void StartAnew(std::size_t i) {
+  // Starts a node with an empty folder and a new worker pool.
+  void StartNode(std::size_t i) {
     Node& node = nodes_[i];
     node.folder = std::make_unique<cli::TemporaryFolder>();
     host_.Do([&] {
       PoolOptions pool;
       pool.listen = {"127.0.0.1:0", "127.0.0.1:0"};
       pool.cores = options_.cores;
-      pool.cold_calls = options_.cold_calls;
+      pool.cold_calls = options_.extra_cold_calls;
       pool.call_patience = Millis(6'000);
       node.pool = std::make_unique<Pool>(host_.base(), pool);
     });
     StartProcess(i, 0, 0);
   }
-  void StartProcess(std::size_t i, std::size_t place, std::size_t before, std::string sign = {}) {
+  // Starts a process of node `i` that uses the pool address with this index. `process_number` is the number
+  // of processes that the node already has. Waits until the process logs `ready_event`; by default
+  // "pool-bound" for the first process of a node and "handover-done" for a later one.
+  void StartProcess(std::size_t i, std::size_t pool_address, std::size_t process_number,
+                    std::string ready_event = {}) {
     Node& node = nodes_[i];
     cli::Sample sample;
     sample.name = "n" + std::to_string(i);
@@ -237,7 +254,7 @@
     sample.listen = node.listen;
     nlohmann::ordered_json config;
     host_.Do([&] {
-      sample.pool = node.pool->address(place);
+      sample.pool = node.pool->address(pool_address);
       sample.registry = registry_->address();
       config = cli::SampleConfig(sample);
       config["store"] = store->address();
@@ -246,13 +263,14 @@
     auto& settings = config["settings"];
     const auto cls = [this](const char* name, const char* repeat) {
       return nlohmann::ordered_json{
-          {"name", name}, {"goalTimeMs", 2000.0}, {"hardLimitMs", 4000.0},      {"repeat", repeat},
-          {"worth", 1.0}, {"lateShare", 0.2},     {"windowMs", options_.window}};
+          {"name", name}, {"goalTimeMs", 2000.0}, {"hardLimitMs", 4000.0},         {"repeat", repeat},
+          {"worth", 1.0}, {"lateShare", 0.2},     {"windowMs", options_.window_ms}};
     };
     settings["requestClasses"] = {cls("search", "safe"), cls("match", "safe"), cls("claim", "keyed")};
     settings["tenants"] = nlohmann::ordered_json::array();
     for (const TenantLoad& t : options_.tenants)
-      settings["tenants"].push_back({{"name", t.name}, {"portion", 0.5}, {"quotaRps", options_.quota}});
+      settings["tenants"].push_back(
+          {{"name", t.name}, {"portion", 0.5}, {"quotaRps", options_.tenant_quota_rps}});
     settings["overShareWorth"] = 0.05;
     settings["peersTotal"] = options_.nodes;
     auto& specifics = settings["specifics"];
@@ -263,22 +281,22 @@
     specifics["lingersMs"] = 200.0;
     specifics["classCalls"] = {true, false, true};
     specifics["worthWithout"] = {0.5, 0.0, 0.0};
-    if (options_.tweak) options_.tweak(settings);
-    const std::string path = node.folder->path() + "/config-" + std::to_string(before) + ".json";
+    if (options_.edit_settings) options_.edit_settings(settings);
+    const std::string path = node.folder->path() + "/config-" + std::to_string(process_number) + ".json";
     const std::string log = path + ".log";
     std::ofstream(path) << config;
     node.pids.push_back(cli::StartDetached(HINGELINK_PROGRAM, {"serve", "--config", path},
                                            {{"TMPDIR", node.folder->path()}}, log));
-    if (sign.empty()) sign = before == 0 ? "pool-bound" : "handover-done";
+    if (ready_event.empty()) ready_event = process_number == 0 ? "pool-bound" : "handover-done";
     const auto end = Steady::now() + 20s;
     std::string text;
     while (Steady::now() < end) {
       std::ifstream file(log);
       text.assign(std::istreambuf_iterator<char>(file), {});
-      if (text.find(sign) != std::string::npos) break;
+      if (text.find(ready_event) != std::string::npos) break;
       std::this_thread::sleep_for(5ms);
     }
-    ASSERT_NE(text.find(sign), std::string::npos) << text;
+    ASSERT_NE(text.find(ready_event), std::string::npos) << text;
   }
 
   Options options_;
@@ -286,7 +304,7 @@
   std::optional<Registry> registry_;
   std::vector<Node> nodes_;
   std::optional<Gateways> gateways_;
-  std::vector<PoolCounts> ended_pools_;
+  std::vector<PoolCounts> counts_of_ended_pools_;
 };
 
 }  // namespace hingelink::standin
--- a/tests/node/deployment_test.cpp
+++ b/tests/node/deployment_test.cpp
@@ -1,103 +1,104 @@
-// Nodes with keys, tenants and one store, with faults between them.
+// Tests of several node processes with keyed requests, tenants and one shared store, while pools, the store
+// and nodes fail.
 #include "deployment.h"
 
 namespace hingelink::standin {
 namespace {
 
-TEST(Deployment, ServesKeyedRequestsWithCallsAndTenantsAndRunsNoneTwice) {
-  Deployment all({.leaves = 0.2, .store = {.work = Millis(20)}});
-  all.Load();
-  ASSERT_TRUE(all.Served(250));
-  ASSERT_TRUE(all.Finish());
-  EXPECT_EQ(all.Faults(), "");
-  const ClassAccount claim = all.Class("claim");
-  // Callers that left came again with the same key, and were answered from the run of the first.
+TEST(Deployment, KeyedRequestsWithUpstreamCallsAndTenantsAreServedAndNeverRunTwice) {
+  Deployment deployment({.abandoned_fraction = 0.2, .store = {.work = Millis(20)}});
+  deployment.StartLoad();
+  ASSERT_TRUE(deployment.WaitForServed(250));
+  ASSERT_TRUE(deployment.FinishLoad());
+  EXPECT_EQ(deployment.Violations(), "");
+  const ClassAccount claim = deployment.CountsOfClass("claim");
+  // Callers that gave up retried with the same key and got the result of the first execution.
   EXPECT_GT(claim.left, 5u);
   EXPECT_GT(claim.good, claim.requests * 9 / 10);
 }
 
-TEST(Deployment, ABrokenLinkToThePoolWhileRunsStandAtCallsMakesNoCallTwice) {
-  Deployment all({.nodes = 1, .rate = 60, .store = {.work = Millis(30)}});
-  all.Load();
+TEST(Deployment, BrokenPoolConnectionsDuringUpstreamCallsRepeatNoCall) {
+  Deployment deployment({.nodes = 1, .rate = 60, .store = {.work = Millis(30)}});
+  deployment.StartLoad();
   for (std::uint64_t good = 10; good <= 240; good += 10) {
-    ASSERT_TRUE(all.Served(good));
-    all.CausePool(0, {.kind = PoolFault::Kind::kBreakLinks});
+    ASSERT_TRUE(deployment.WaitForServed(good));
+    deployment.InjectPoolFault(0, {.kind = PoolFault::Kind::kBreakLinks});
   }
-  ASSERT_TRUE(all.Finish());
-  EXPECT_EQ(all.Faults(), "");
-  EXPECT_GT(all.PoolOf(0).links, 5u);
-  EXPECT_GT(all.PoolOf(0).swallowed, 0u);
-  // A reply that the break has swallowed is supplied again: no run stands at its call for good.
-  EXPECT_EQ(all.PoolOf(0).cancelled, 0u);
-  EXPECT_EQ(all.Class("claim").failed + all.Class("search").failed, 0u);
+  ASSERT_TRUE(deployment.FinishLoad());
+  EXPECT_EQ(deployment.Violations(), "");
+  EXPECT_GT(deployment.CountsOfPool(0).links, 5u);
+  EXPECT_GT(deployment.CountsOfPool(0).swallowed, 0u);
+  // A reply lost with a connection is sent again, so no execution waits for its call forever.
+  EXPECT_EQ(deployment.CountsOfPool(0).cancelled, 0u);
+  EXPECT_EQ(deployment.CountsOfClass("claim").failed + deployment.CountsOfClass("search").failed, 0u);
 }
 
-TEST(Deployment, TheStoreBrokenSilentKilledAndBackRunsNoCallTwice) {
-  Deployment all({});
-  all.Load();
-  ASSERT_TRUE(all.Served(60));
-  all.Do([&] { all.store->Break(); });
-  ASSERT_TRUE(all.Served(120));
-  all.Do([&] { all.store->Silence(); });
-  ASSERT_TRUE(all.Served(180));
-  all.Do([&] { all.store->SetDown(true); });
-  ASSERT_TRUE(all.Served(220));  // What needs no call, and the poorer answers.
-  all.Do([&] { all.store->SetDown(false); });
-  std::uint64_t ok = 0;
-  all.Do([&] { ok = all.store->counts().ok; });
-  ASSERT_TRUE(all.Served(330));
-  ASSERT_TRUE(all.Finish());
-  EXPECT_EQ(all.Faults(), "");
-  all.Do([&] { EXPECT_GT(all.store->counts().ok, ok + 20); });
+TEST(Deployment, StoreOutagesAndRecoveryRepeatNoCall) {
+  Deployment deployment({});
+  deployment.StartLoad();
+  ASSERT_TRUE(deployment.WaitForServed(60));
+  deployment.RunOnHost([&] { deployment.store->Break(); });
+  ASSERT_TRUE(deployment.WaitForServed(120));
+  deployment.RunOnHost([&] { deployment.store->Silence(); });
+  ASSERT_TRUE(deployment.WaitForServed(180));
+  deployment.RunOnHost([&] { deployment.store->SetDown(true); });
+  ASSERT_TRUE(deployment.WaitForServed(220));  // Requests without a call, and fallback answers.
+  deployment.RunOnHost([&] { deployment.store->SetDown(false); });
+  std::uint64_t ok_before = 0;
+  deployment.RunOnHost([&] { ok_before = deployment.store->counts().ok; });
+  ASSERT_TRUE(deployment.WaitForServed(330));
+  ASSERT_TRUE(deployment.FinishLoad());
+  EXPECT_EQ(deployment.Violations(), "");
+  deployment.RunOnHost([&] { EXPECT_GT(deployment.store->counts().ok, ok_before + 20); });
 }
 
-TEST(Deployment, ANodeKilledBetweenCallAndReplyTakesNoOtherWithIt) {
-  Deployment all({.store = {.work = Millis(40)}});
-  all.Load();
-  ASSERT_TRUE(all.Served(80));
-  all.KillAndRestart(1);
-  ASSERT_TRUE(all.Served(250));
-  ASSERT_TRUE(all.Finish());
-  EXPECT_EQ(all.Faults({.may_lose = true}), "");
+TEST(Deployment, NodeKilledDuringUpstreamCallsDoesNotAffectTheOtherNodes) {
+  Deployment deployment({.store = {.work = Millis(40)}});
+  deployment.StartLoad();
+  ASSERT_TRUE(deployment.WaitForServed(80));
+  deployment.KillAndRestart(1);
+  ASSERT_TRUE(deployment.WaitForServed(250));
+  ASSERT_TRUE(deployment.FinishLoad());
+  EXPECT_EQ(deployment.Violations({.may_lose = true}), "");
 }
 
-TEST(Deployment, TriesOfOneKeyOnBothSidesOfAHandoverRunOnce) {
-  // Calls take long, so that many keys are in hand as the second process takes over, and their callers come
-  // again to that one.
-  Deployment all({.nodes = 1,
-                  .rate = 60,
-                  .leaves = 0.7,
-                  .leaves_within = Millis(500),
-                  .upstream_call_quota = 200,
-                  .store = {.slots = {.count = 200}, .work = Millis(250)}});
-  all.Load();
-  ASSERT_TRUE(all.Served(60));
-  all.Upgrade(0);
-  ASSERT_TRUE(all.Served(150));
-  ASSERT_TRUE(all.Finish());
-  EXPECT_EQ(all.Faults(), "");
-  EXPECT_GT(all.Class("claim").left, 10u);
+TEST(Deployment, AttemptsOfOneKeyInBothProcessesOfAHandoverRunOnce) {
+  // Upstream calls are slow, so that many keys are in flight when the second process takes over. Their
+  // callers give up and retry at the second process.
+  Deployment deployment({.nodes = 1,
+                         .rate = 60,
+                         .abandoned_fraction = 0.7,
+                         .abandoned_within = Millis(500),
+                         .upstream_call_quota = 200,
+                         .store = {.slots = {.count = 200}, .work = Millis(250)}});
+  deployment.StartLoad();
+  ASSERT_TRUE(deployment.WaitForServed(60));
+  deployment.Upgrade(0);
+  ASSERT_TRUE(deployment.WaitForServed(150));
+  ASSERT_TRUE(deployment.FinishLoad());
+  EXPECT_EQ(deployment.Violations(), "");
+  EXPECT_GT(deployment.CountsOfClass("claim").left, 10u);
 }
 
-// ---- The auditor finds what it is there for ----
+// ---- The audit that the deployment tests rely on ----
 
-TEST(Audit, FindsEachPlantedFault) {
+TEST(Audit, ReportsEachKindOfViolation) {
   Account account;
   account.classes.resize(1);
   EXPECT_TRUE(Audit({account}, {PoolCounts{}}, StoreCounts{}).empty());
-  const auto planted = [&](const std::function<void(Account&, PoolCounts&, StoreCounts&)>& plant) {
+  const auto violations_after = [&](const std::function<void(Account&, PoolCounts&, StoreCounts&)>& inject) {
     Account a = account;
     PoolCounts p;
     StoreCounts s;
-    plant(a, p, s);
+    inject(a, p, s);
     return Audit({a}, {PoolCounts{}, p}, s).size();
   };
-  EXPECT_EQ(planted([](Account& a, PoolCounts&, StoreCounts&) { a.classes[0].wrong = 1; }), 1u);
-  EXPECT_EQ(planted([](Account& a, PoolCounts&, StoreCounts&) { a.classes[0].unanswered = 1; }), 1u);
-  EXPECT_EQ(planted([](Account& a, PoolCounts&, StoreCounts&) { a.classes[0].twice = 1; }), 1u);
-  EXPECT_EQ(planted([](Account&, PoolCounts& p, StoreCounts&) { p.run_twice = 1; }), 1u);
-  EXPECT_EQ(planted([](Account&, PoolCounts& p, StoreCounts&) { p.wrong_replies = 1; }), 1u);
-  EXPECT_EQ(planted([](Account&, PoolCounts&, StoreCounts& s) { s.twice = 1; }), 1u);
+  EXPECT_EQ(violations_after([](Account& a, PoolCounts&, StoreCounts&) { a.classes[0].wrong = 1; }), 1u);
+  EXPECT_EQ(violations_after([](Account& a, PoolCounts&, StoreCounts&) { a.classes[0].unanswered = 1; }), 1u);
+  EXPECT_EQ(violations_after([](Account& a, PoolCounts&, StoreCounts&) { a.classes[0].twice = 1; }), 1u);
+  EXPECT_EQ(violations_after([](Account&, PoolCounts& p, StoreCounts&) { p.run_twice = 1; }), 1u);
+  EXPECT_EQ(violations_after([](Account&, PoolCounts& p, StoreCounts&) { p.wrong_replies = 1; }), 1u);
+  EXPECT_EQ(violations_after([](Account&, PoolCounts&, StoreCounts& s) { s.twice = 1; }), 1u);
 }
 
 }  // namespace
