--- a/src/node/request_table.h
+++ b/src/node/request_table.h
@@ -85,7 +85,8 @@
   // The pool has no record of this execution, so the execution was never started.
   void OnExecutionUnknown(std::uint64_t attempt_id);
   // Sends the command for an execution again. Only for an execution that was not started, or whose class may
-  // be executed twice. Returns false and sends nothing if no caller waits for the answer.
+  // be executed twice. Returns false and sends nothing if the execution has finished or no caller waits for
+  // the answer.
   [[nodiscard]] bool RestartExecution(std::uint64_t attempt_id);
   // Called when a connection to the pool is ready again. Sends each command again that the pool has not read;
   // `processed` tells by position which commands the pool has read.
--- a/tests/node/deployment.h
+++ b/tests/node/deployment.h
@@ -77,14 +77,13 @@
     });
   }
 
-  // Starts the gateways' load with three classes: idempotent with an upstream call, idempotent without, and
-  // keyed.
+  // Starts the load of the gateways. Only the class "claim" is keyed; "match" makes no upstream calls.
   void StartLoad() {
     host_.Do([&] {
       GatewaysOptions load;
       for (const Node& node : nodes_) load.targets.push_back(node.listen);
       load.gateways = options_.gateways;
-      const auto cls = [&](const char* name, double share, double work, bool keyed, int calls) {
+      const auto add_class = [&](const char* name, double share, double work, bool keyed, int calls) {
         ClassLoad c;
         c.name = name;
         c.share = share;
@@ -94,9 +93,9 @@
         c.calls = calls;
         load.classes.push_back(c);
       };
-      cls("search", 0.4, 15, false, 1);
-      cls("match", 0.3, 20, false, 0);
-      cls("claim", 0.3, 10, true, 2);
+      add_class("search", 0.4, 15, false, 1);
+      add_class("match", 0.3, 20, false, 0);
+      add_class("claim", 0.3, 10, true, 2);
       load.tenants = options_.tenants;
       load.tells_wait = false;
       load.rate = options_.rate;
--- a/tests/node/deployment_hard_test.cpp
+++ b/tests/node/deployment_hard_test.cpp
@@ -180,7 +180,8 @@
   }
   deployment.SignalOldestProcess(0, SIGSTOP);
   deployment.StartSecondProcess(0);
-  // The kernel assigns some new connections to the hung process. These get no answer and are closed.
+  // The kernel assigns some new connections to the hung process. The test closes a connection without an
+  // answer.
   const auto connect_to_second_process = [&] {
     for (std::uint32_t i = 0; i < 20; ++i) {
       auto caller = std::make_unique<ScriptedGateway>(deployment.ListenOf(0));
--- a/tests/node/request_integration_test.cpp
+++ b/tests/node/request_integration_test.cpp
@@ -44,9 +44,9 @@
 // Bodies and results are binary and pass through unchanged. Each answer goes to the stream of its request.
 TEST_P(NodeRequestTest, AnswersEachRequestOnItsStreamWithTheBytesOfItsExecution) {
   RunningNode node(Options());
-  Gateway checks(node.port());
-  checks.Write(Gateway::HealthCheck(1));
-  Frame health = checks.Read();
+  Gateway health_checker(node.port());
+  health_checker.Write(Gateway::HealthCheck(1));
+  Frame health = health_checker.Read();
   ASSERT_EQ(health.type, kHealthResponseFrame);
   ASSERT_EQ(health.code, 0);  // Healthy even before the pool is connected.
   PoolLink link(node.pool, 0);
@@ -98,13 +98,13 @@
 
 TEST_P(NodeRequestTest, ClosesAConnectionThatSendsOnlyInvalidRequests) {
   ServingNode serving(Options());
-  Gateway bad(serving.node.port());
+  Gateway invalid_sender(serving.node.port());
   for (std::uint32_t stream = 1; stream <= 64; ++stream) {
-    bad.Write(Gateway::Request(stream, "xyz", ""));
-    bad.ReadAnswer(stream, kRejected);
+    invalid_sender.Write(Gateway::Request(stream, "xyz", ""));
+    invalid_sender.ReadAnswer(stream, kRejected);
   }
-  bad.ReadAnswer(0, kFailed);
-  ASSERT_TRUE(bad.socket().Finished());
+  invalid_sender.ReadAnswer(0, kFailed);
+  ASSERT_TRUE(invalid_sender.socket().Finished());
 }
 
 // The answer is a failure, because a rejection guarantees that no attempt with this id ran.
@@ -211,8 +211,8 @@
   calls.Bytes(3);
   calls.Write(kFourth + " LATE\r\n");
   ASSERT_EQ(link.PassedOn(), "pass " + kFourth + " 3");
-  link.Finish(4, kFourth, "complete", "poorer");
-  ASSERT_EQ(gateway.ReadAnswer(3, kServed).body, "poorer");
+  link.Finish(4, kFourth, "complete", "fallback");
+  ASSERT_EQ(gateway.ReadAnswer(3, kServed).body, "fallback");
   const std::string metrics = node.Get("/ops/stats");
   ASSERT_NE(metrics.find("edge_node_key_replays 2"), std::string::npos);
   ASSERT_NE(metrics.find("edge_node_store_calls{outcome=\"ok\"} 1"), std::string::npos);
--- a/tests/node/request_table_test.cpp
+++ b/tests/node/request_table_test.cpp
@@ -30,12 +30,12 @@
 class DeferredAttemptTest : public testing::Test {
  protected:
   static hingelink::RequestClass Keyed(const std::string& name, double deadline_ms) {
-    hingelink::RequestClass cls;
-    cls.name = name;
-    cls.deadline_ms = deadline_ms;
-    cls.idempotency = hingelink::Idempotency::kKeyed;
-    cls.idempotency_window_ms = 5000;
-    return cls;
+    hingelink::RequestClass request_class;
+    request_class.name = name;
+    request_class.deadline_ms = deadline_ms;
+    request_class.idempotency = hingelink::Idempotency::kKeyed;
+    request_class.idempotency_window_ms = 5000;
+    return request_class;
   }
   static hingelink::Settings MakeSettings() {
     hingelink::Settings settings;
@@ -46,14 +46,14 @@
 
   void SetUp() override { table_.SetSiblingKeys(SiblingKeys::kPending); }
 
-  void Send(std::uint32_t stream, const std::string& kind, const std::string& owner) {
+  void Send(std::uint32_t stream, const std::string& class_name, const std::string& tenant) {
     core::IncomingRequest request;
     request.reply_to = {1, stream};
-    request.class_name = kind;
-    request.tenant = owner;
+    request.class_name = class_name;
+    request.tenant = tenant;
     request.request_id = stream;
-    request.arrived_at = began_;
-    request.remaining_wait = timeout_;
+    request.arrived_at = arrived_at_;
+    request.remaining_wait = remaining_wait_;
     request.idempotency_key = core::IdempotencyKey{stream, stream};
     request.body = "body";
     table_.OnRequest(request);
@@ -66,8 +66,8 @@
     return arrivals;
   }
 
-  const UnixTime began_ = std::chrono::system_clock::now();
-  std::optional<Millis> timeout_;
+  const UnixTime arrived_at_ = std::chrono::system_clock::now();
+  std::optional<Millis> remaining_wait_;
   hingelink::Settings settings_ = MakeSettings();
   RecordingFront front_;
   Metrics metrics_{settings_.classes, 1};
@@ -82,16 +82,16 @@
 
 // The deadline is the remaining wait of the caller, or the deadline of the class if callers do not send it.
 TEST_F(DeferredAttemptTest, FailsShortlyBeforeItsDeadline) {
-  for (const bool has_timeout : {true, false}) {
-    settings_.callers_send_remaining_wait = has_timeout;
-    if (has_timeout) timeout_ = 300ms;
-    const auto deadline = has_timeout ? 300ms : 700ms;
+  for (const bool callers_send_wait : {true, false}) {
+    settings_.callers_send_remaining_wait = callers_send_wait;
+    if (callers_send_wait) remaining_wait_ = 300ms;
+    const auto deadline = callers_send_wait ? 300ms : 700ms;
     front_.answers.clear();
-    Send(has_timeout ? 1 : 2, "second", "one");
-    EXPECT_TRUE(ArrivalsAt(began_ + 1ms).empty());
-    EXPECT_TRUE(ArrivalsAt(began_ + deadline - 50ms).empty());
+    Send(callers_send_wait ? 1 : 2, "second", "one");
+    EXPECT_TRUE(ArrivalsAt(arrived_at_ + 1ms).empty());
+    EXPECT_TRUE(ArrivalsAt(arrived_at_ + deadline - 50ms).empty());
     EXPECT_TRUE(front_.answers.empty());
-    EXPECT_TRUE(ArrivalsAt(began_ + deadline - 10ms).empty());
+    EXPECT_TRUE(ArrivalsAt(arrived_at_ + deadline - 10ms).empty());
     // The attempt fails and is not rejected, because the predecessor may have run an attempt with its key.
     ASSERT_EQ(front_.answers.size(), 1u);
     EXPECT_EQ(front_.answers[0].second, core::Verdict::kFailed);
@@ -99,15 +99,15 @@
   }
   // An answered attempt never reaches the policy.
   table_.SetSiblingKeys(SiblingKeys::kKnown);
-  EXPECT_TRUE(ArrivalsAt(began_ + 1s).empty());
+  EXPECT_TRUE(ArrivalsAt(arrived_at_ + 1s).empty());
 }
 
 TEST_F(DeferredAttemptTest, IsRemovedWithoutAnAnswerWhenItsCallerDisconnects) {
   Send(1, "first", "one");
-  EXPECT_TRUE(ArrivalsAt(began_ + 1ms).empty());
+  EXPECT_TRUE(ArrivalsAt(arrived_at_ + 1ms).empty());
   table_.OnCallerDisconnected({1, 1});
   table_.SetSiblingKeys(SiblingKeys::kKnown);
-  EXPECT_TRUE(ArrivalsAt(began_ + 2ms).empty());
+  EXPECT_TRUE(ArrivalsAt(arrived_at_ + 2ms).empty());
   EXPECT_TRUE(front_.answers.empty());
   EXPECT_TRUE(table_.empty());
 }
@@ -115,12 +115,12 @@
 // The new settings have another order of classes and tenants.
 TEST_F(DeferredAttemptTest, KeepsItsClassAndTenantAcrossAReload) {
   Send(1, "first", "two");
-  EXPECT_TRUE(ArrivalsAt(began_ + 1ms).empty());
+  EXPECT_TRUE(ArrivalsAt(arrived_at_ + 1ms).empty());
   settings_.classes = {Keyed("new", 100), Keyed("second", 700), Keyed("first", 900)};
   settings_.tenants = {{"two", 0.5, 10}, {"three", 0.5, 10}};
   table_.Reconfigure();
   table_.SetSiblingKeys(SiblingKeys::kKnown);
-  const auto arrivals = ArrivalsAt(began_ + 2ms);
+  const auto arrivals = ArrivalsAt(arrived_at_ + 2ms);
   ASSERT_EQ(arrivals.size(), 1u);
   EXPECT_EQ(arrivals[0].request_class, 2);
   EXPECT_EQ(arrivals[0].tenant, 0);
@@ -129,12 +129,12 @@
 TEST_F(DeferredAttemptTest, FailsWhenItsClassOrTenantIsRemoved) {
   Send(1, "second", "one");
   Send(2, "first", "two");
-  EXPECT_TRUE(ArrivalsAt(began_ + 1ms).empty());
+  EXPECT_TRUE(ArrivalsAt(arrived_at_ + 1ms).empty());
   settings_.classes = {Keyed("first", 900)};
   settings_.tenants = {{"one", 0.5, 10}};
   table_.Reconfigure();
   table_.SetSiblingKeys(SiblingKeys::kKnown);
-  EXPECT_TRUE(ArrivalsAt(began_ + 2ms).empty());
+  EXPECT_TRUE(ArrivalsAt(arrived_at_ + 2ms).empty());
   ASSERT_EQ(front_.answers.size(), 2u);
   for (const auto& [stream, verdict] : front_.answers) EXPECT_EQ(verdict, core::Verdict::kFailed) << stream;
   EXPECT_TRUE(table_.empty());
