--- a/tests/node/deployment_hard_test.cpp
+++ b/tests/node/deployment_hard_test.cpp
@@ -180,8 +180,7 @@
   }
   deployment.SignalOldestProcess(0, SIGSTOP);
   deployment.StartSecondProcess(0);
-  // The kernel assigns some new connections to the hung process. The test closes a connection without an
-  // answer.
+  // The kernel assigns some new connections to the hung process. The test closes these after 300 ms.
   const auto connect_to_second_process = [&] {
     for (std::uint32_t i = 0; i < 20; ++i) {
       auto caller = std::make_unique<ScriptedGateway>(deployment.ListenOf(0));
@@ -202,8 +201,7 @@
   live->Write(Claim(2, "00000000000000b2", body));
   const Frame answer = live->ReadAnswer(2, 1);
   EXPECT_GT(std::stoi(answer.fields.at("holdoff")), 0);
-  // The first process continues and reports its keys. From then on, the second process answers with its
-  // result.
+  // The first process continues and reports its keys. The second process then answers with their results.
   deployment.SignalOldestProcess(0, SIGCONT);
   std::optional<Frame> replayed;
   const auto end = Steady::now() + 20s;
