--- a/src/node/metrics.cpp
+++ b/src/node/metrics.cpp
@@ -33,19 +33,17 @@
       families.Add({{"loop", std::to_string(i + 1)}}, static_cast<double>(value(loops[i])));
     }
   };
-  add("loop_connections", MetricType::Gauge, "Connections of an event loop.",
+  add("loop_connections", MetricType::Gauge, "Connections on a loop.",
       [](const LoopSnapshot& loop) { return loop.connections; });
-  add("loop_busy", MetricType::Gauge, "Share of a CPU core that an event loop used in the last half second.",
+  add("loop_busy", MetricType::Gauge, "Share of a core that a loop used in the last half second.",
       [](const LoopSnapshot& loop) { return loop.cpu_fraction; });
-  add("loop_told_waiting", MetricType::Gauge,
-      "Messages from an event loop that the deciding thread has not processed.",
+  add("loop_told_waiting", MetricType::Gauge, "Messages of a loop that wait for the decisions.",
       [](const LoopSnapshot& loop) { return loop.pending_messages; });
-  add("loop_orders_waiting", MetricType::Gauge, "Answers and commands that an event loop has not processed.",
+  add("loop_orders_waiting", MetricType::Gauge, "Answers and orders that wait for a loop.",
       [](const LoopSnapshot& loop) { return loop.pending_commands; });
-  add("loop_connections_taken", MetricType::Counter,
-      "Connections that an event loop received from other loops.",
+  add("loop_connections_taken", MetricType::Counter, "Connections that a loop took over from others.",
       [](const LoopSnapshot& loop) { return loop.connections_received; });
-  add("loop_hung", MetricType::Gauge, "1 while an event loop is stalled.",
+  add("loop_hung", MetricType::Gauge, "1 while a loop does not go round.",
       [](const LoopSnapshot& loop) { return loop.stalled ? 1 : 0; });
 }
 
@@ -130,10 +128,10 @@
     families.AddSingle(name, type, help, static_cast<double>(value));
   };
   AddClasses(classes(), families);
-  add("backend_calls", MetricType::Counter, "Executions sent to the worker pool.", executions_);
-  add("inflight", MetricType::Gauge, "Accepted requests without a final answer.", in_flight);
-  add("reconfig_ok", MetricType::Counter, "Configuration files applied at SIGHUP.", reloads_succeeded_);
-  add("reconfig_failed", MetricType::Counter, "Configuration files rejected at SIGHUP.", reloads_failed_);
+  add("backend_calls", MetricType::Counter, "Runs handed to the worker pool.", executions_);
+  add("inflight", MetricType::Gauge, "Requests taken and not ended.", in_flight);
+  add("reconfig_ok", MetricType::Counter, "Configuration files taken at SIGHUP.", reloads_succeeded_);
+  add("reconfig_failed", MetricType::Counter, "Configuration files turned down at SIGHUP.", reloads_failed_);
   AddLoops(loops, families);
   return families.Text();
 }
--- a/src/node/upstream_metrics.cpp
+++ b/src/node/upstream_metrics.cpp
@@ -14,22 +14,20 @@
   const auto add = [&families](const char* name, MetricType type, const char* help, std::uint64_t value) {
     families.AddSingle(name, type, help, static_cast<double>(value));
   };
-  add("keys", MetricType::Gauge, "Idempotency keys in the key table.", keys.keys());
-  add("key_result_bytes", MetricType::Gauge, "Bytes of results stored in the key table.",
-      keys.result_bytes());
-  add("key_replays", MetricType::Counter, "Attempts answered with the result of another attempt.",
-      counters.replays);
-  add("key_no_room", MetricType::Counter, "Keys not retained because the key table was full.",
+  add("keys", MetricType::Gauge, "Keys kept of keyed requests.", keys.keys());
+  add("key_result_bytes", MetricType::Gauge, "Bytes of the results kept with them.", keys.result_bytes());
+  add("key_replays", MetricType::Counter, "Tries answered with the result of another.", counters.replays);
+  add("key_no_room", MetricType::Counter, "Tries refused as their key had no room.",
       counters.rejected_at_capacity);
-  add("key_results_gone", MetricType::Counter, "Results dropped before their window ended, to limit memory.",
+  add("key_results_gone", MetricType::Counter, "Results let go before their window was over.",
       counters.results_dropped);
-  add("key_mismatches", MetricType::Counter,
-      "Attempts whose class or body differs from the first attempt with their key.", counters.mismatches);
+  add("key_mismatches", MetricType::Counter, "Tries with another class or body than their key's first.",
+      counters.mismatches);
 }
 
 void AddUpstreamCalls(const UpstreamCalls& calls, const net::StoreClient& store, MetricFamilies& families) {
   const net::StoreClient::Counts& counts = store.counts();
-  families.Begin("store_calls", MetricType::Counter, "Finished calls to the store, by outcome.");
+  families.Begin("store_calls", MetricType::Counter, "Calls to the store that ended, by outcome.");
   for (const auto& [outcome, value] : {std::pair{"ok", counts.ok},
                                        {"busy", counts.busy},
                                        {"error", counts.errors},
@@ -39,12 +37,11 @@
                                        {"dropped", counts.dropped}}) {
     families.Add({{"outcome", outcome}}, static_cast<double>(value));
   }
-  families.AddSingle("store_connects", MetricType::Counter, "Attempted connections to the store.",
+  families.AddSingle("store_connects", MetricType::Counter, "Connections to the store that were tried.",
                      static_cast<double>(counts.connects));
-  families.AddSingle("store_in_hand", MetricType::Gauge,
-                     "Calls to the store in flight or waiting for a connection.",
+  families.AddSingle("store_in_hand", MetricType::Gauge, "Calls to the store in hand.",
                      static_cast<double>(store.in_hand()));
-  families.AddSingle("runs_at_calls", MetricType::Gauge, "Unfinished executions that have requested a call.",
+  families.AddSingle("runs_at_calls", MetricType::Gauge, "Runs that have stood at a call and not ended.",
                      static_cast<double>(calls.executions()));
 }
 
