--- a/src/node/keys/key_table.cpp
+++ b/src/node/keys/key_table.cpp
@@ -5,10 +5,10 @@
 namespace hingelink::node {
 namespace {
 
-// Until a key whose window has ended, but that is still in flight, is looked at again.
+// Delay until the eviction of an expired key is tried again, if an attempt with the key is still in flight.
 constexpr std::chrono::seconds kEvictionRetryInterval{1};
 
-// Capacity for the keys of other processes, as a multiple of Limits::max_keys.
+// Capacity including the keys of other processes, as a multiple of Limits::max_keys.
 constexpr std::size_t kRemoteCapacityFactor = 2;
 
 KeyTable::Time::duration ToSteady(KeyTable::Millis span) {
@@ -25,16 +25,17 @@
   return record.retained && arrived > record.window_end && record.HasFinished();
 }
 
-bool KeyTable::MatchesContent(const IdempotencyKey& key, std::uint64_t content, Time arrived) {
+bool KeyTable::MatchesContent(const IdempotencyKey& key, std::uint64_t content_hash, Time arrived) {
   const auto found = records_.find(key);
-  if (found == records_.end() || HasExpired(found->second, arrived) || found->second.content == content) {
+  if (found == records_.end() || HasExpired(found->second, arrived) ||
+      found->second.content_hash == content_hash) {
     return true;
   }
   ++counters_.mismatches;
   return false;
 }
 
-KeyTable::Id KeyTable::AddAttempt(const IdempotencyKey& key, std::uint64_t content, Id id, Time arrived,
+KeyTable::Id KeyTable::AddAttempt(const IdempotencyKey& key, std::uint64_t content_hash, Id id, Time arrived,
                                   Time now) {
   Expire(now);
   const auto found = records_.find(key);
@@ -42,7 +43,8 @@
     Erase(found);
   } else if (found != records_.end()) {
     Record& record = found->second;
-    // Its attempt is gone, which the policy learns in this same step, and no other waits for its place.
+    // The holder has been removed and no attempt waits for the key. The policy learns of the removal in the
+    // same step, so the new attempt may be the first one.
     const bool is_free = record.state == KeyState::kReserved && !record.IsRemote() && record.attempts.empty();
     if (!is_free) {
       record.attempts.push_back(id);
@@ -52,7 +54,7 @@
   }
   Record& record = records_[key];
   record.holder = id;
-  record.content = content;
+  record.content_hash = content_hash;
   record.attempts.push_back(id);
   return 0;
 }
@@ -76,7 +78,8 @@
 }
 
 std::optional<IdempotencyKey> KeyTable::Release(Id id) {
-  // A key that has run is not among the reserved ones: it cannot run twice, whatever the policy says.
+  // reserved_ does not contain keys whose execution has started, so the policy cannot free such a key and let
+  // it run a second time.
   const auto reserved = reserved_.find(id);
   if (reserved == reserved_.end()) return std::nullopt;
   const IdempotencyKey key = reserved->second;
@@ -120,7 +123,7 @@
   if (found == records_.end()) return;
   Record& record = found->second;
   std::erase(record.attempts, id);
-  // A key that was never retained, or that was released, has no owner left.
+  // A key that was never retained, or that was released, is not owned by the policy.
   const bool unowned = record.state == KeyState::kReserved && !record.retained && !record.IsRemote();
   if (record.attempts.empty() && unowned) Erase(found);
 }
@@ -147,17 +150,17 @@
 
 KeyUpdate KeyTable::UpdateOf(const IdempotencyKey& key, Time now) const {
   const auto found = records_.find(key);
-  // No attempt of a key without a record has run.
+  // No attempt with a key without a record has run, so the key is reported as free.
   if (found == records_.end()) {
     return {.key = key,
-            .content = 0,
+            .content_hash = 0,
             .state = KeyState::kReserved,
             .remaining = Millis(0),
             .result = std::nullopt};
   }
   const Record& record = found->second;
   return {.key = key,
-          .content = record.content,
+          .content_hash = record.content_hash,
           .state = record.state,
           .remaining = record.retained ? std::max(Millis(0), Millis(record.window_end - now)) : Millis(0),
           .result = record.result};
@@ -188,7 +191,7 @@
   if (ran_here) return false;
   if (update.remaining <= Millis(0)) return ReleaseRemote(found);
   if (found == records_.end()) {
-    // A full table keeps what it has; the key is then unknown here, as after a crash of the other process.
+    // A full table drops the new key. The key is then unknown here, as after a crash of the other process.
     if (records_.size() >= kRemoteCapacityFactor * limits_.max_keys) {
       ++counters_.rejected_at_capacity;
       return false;
@@ -198,7 +201,7 @@
   Record& record = found->second;
   reserved_.erase(record.holder);
   record.holder = ++last_remote_id_;
-  record.content = update.content;
+  record.content_hash = update.content_hash;
   record.retained = true;
   record.state = update.state;
   record.window_end = now + ToSteady(update.remaining);
--- a/tests/node/metrics_test.cpp
+++ b/tests/node/metrics_test.cpp
@@ -1,4 +1,4 @@
-// The figures as text: names, labels, their order and values are what the operators' tools read.
+// Tests of the metrics text. Operators' tools read the names, labels, order and values of the samples.
 #include "node/metrics.h"
 
 #include <gtest/gtest.h>
@@ -6,7 +6,7 @@
 namespace hingelink::node {
 namespace {
 
-TEST(Metrics, TextIsAsItAlwaysWas) {
+TEST(Metrics, TextHasTheExpectedNamesLabelsAndOrder) {
   Metrics metrics({{.name = "usage-view"}, {.name = "odd\"\\\nname"}}, 2);
   ++metrics.CountsFor("usage-view", 0)->served;
   metrics.CountsFor("usage-view", 1)->served += 11;
@@ -36,13 +36,13 @@
             "edge_node_reconfig_failed 0\n");
 }
 
-TEST(Metrics, CountsOfLongLivesAreWhole) {
+TEST(Metrics, LargeCountsAreWrittenAsWholeNumbers) {
   Metrics metrics({{.name = "usage-view"}}, 1);
   metrics.CountsFor("usage-view")->served += 1'234'567'890'123;
   EXPECT_NE(metrics.Text(0, {}).find("code=\"success\"} 1234567890123\n"), std::string::npos);
 }
 
-TEST(Metrics, NamesLoopsFromOneOn) {
+TEST(Metrics, LoopLabelsStartAtOne) {
   Metrics metrics({{.name = "usage-view"}}, 2);
   LoopSnapshot busy;
   busy.cpu_fraction = 0.25;
