--- a/src/node/checks/deep_checks.cpp
+++ b/src/node/checks/deep_checks.cpp
@@ -11,22 +11,23 @@
 
 }  // namespace
 
-DeepChecks::DeepChecks(event_base* base, Ends ends)
-    : ends_(std::move(ends)), due_(base, [this] { CarryOut(decide_.ExpireWaiting(Now())); }) {}
+DeepChecks::DeepChecks(event_base* base, Callbacks callbacks)
+    : callbacks_(std::move(callbacks)),
+      deadline_timer_(base, [this] { Execute(decide_.ExpireWaiting(Now())); }) {}
 
-void DeepChecks::Ask(core::StreamAddress from) { CarryOut(decide_.OnCheck(from, Now())); }
+void DeepChecks::OnDeepCheck(core::StreamAddress from) { Execute(decide_.OnCheck(from, Now())); }
 
-void DeepChecks::Verified(std::uint64_t tag, bool good) { CarryOut(decide_.OnVerified(tag, good)); }
+void DeepChecks::OnVerified(std::uint64_t tag, bool good) { Execute(decide_.OnVerified(tag, good)); }
 
-void DeepChecks::Rebound() { CarryOut(decide_.OnReconnected()); }
+void DeepChecks::OnPoolLinkReady() { Execute(decide_.OnReconnected()); }
 
-void DeepChecks::CarryOut(const Decide::Actions& steps) {
-  if (steps.verify && !ends_.verify(*steps.verify)) decide_.OnSendFailed();
-  for (const auto& [to, good] : steps.answers) ends_.answer(to, good);
+void DeepChecks::Execute(const Decide::Actions& actions) {
+  if (actions.verify && !callbacks_.verify(*actions.verify)) decide_.OnSendFailed();
+  for (const auto& [to, good] : actions.answers) callbacks_.answer(to, good);
   if (const auto next = decide_.next_deadline()) {
-    due_.Start(*next - Now());
+    deadline_timer_.Start(*next - Now());
   } else {
-    due_.Stop();
+    deadline_timer_.Stop();
   }
 }
 
--- a/src/node/checks/deep_checks.h
+++ b/src/node/checks/deep_checks.h
@@ -1,4 +1,4 @@
-// Carries out decide::DeepChecks between the callers' side, the pool and the clock.
+// Connects decide::DeepHealthChecks to the gateway front end, the worker pool link and the clock.
 #ifndef HINGELINK_NODE_CHECKS_DEEP_CHECKS_H_
 #define HINGELINK_NODE_CHECKS_DEEP_CHECKS_H_
 
@@ -11,29 +11,33 @@
 
 namespace hingelink::node {
 
+// Answers the deep health checks of callers by verify commands to the worker pool. All methods are called,
+// and all callbacks run, on the thread of `base`.
 class DeepChecks {
  public:
-  struct Ends {
-    std::function<bool(std::uint64_t tag)> verify;  // False where nothing carries commands just now.
+  struct Callbacks {
+    // Sends a verify command to the worker pool. Returns false if no link to the pool carries commands.
+    std::function<bool(std::uint64_t tag)> verify;
     std::function<void(core::StreamAddress to, bool good)> answer;
   };
-  DeepChecks(event_base* base, Ends ends);
+  DeepChecks(event_base* base, Callbacks callbacks);
 
-  void Ask(core::StreamAddress from);
-  void Left(core::StreamAddress from) { decide_.OnCallerDisconnected(from); }
-  void Verified(std::uint64_t tag, bool good);
-  // The pool's link has settled.
-  void Rebound();
+  void OnDeepCheck(core::StreamAddress from);
+  void OnCallerDisconnected(core::StreamAddress from) { decide_.OnCallerDisconnected(from); }
+  // The worker pool has answered the verify command with this tag.
+  void OnVerified(std::uint64_t tag, bool good);
+  // The link to the worker pool carries commands again.
+  void OnPoolLinkReady();
 
-  std::size_t asking() const { return decide_.waiting(); }
+  std::size_t waiting_callers() const { return decide_.waiting(); }
 
  private:
   using Decide = decide::DeepHealthChecks<core::StreamAddress>;
-  void CarryOut(const Decide::Actions& steps);
+  void Execute(const Decide::Actions& actions);
 
-  Ends ends_;
+  Callbacks callbacks_;
   Decide decide_;
-  net::Timer due_;
+  net::Timer deadline_timer_;
 };
 
 }  // namespace hingelink::node
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -128,10 +128,10 @@
     table_.OnUpstreamCallRequested(run.request_id, run.notice_number, run.body);
   };
   events.spawn_unknown = [this](std::uint64_t req) { table_.OnExecutionUnknown(req); };
-  events.verified = [this](std::uint64_t tag, bool good) { checks_.Verified(tag, good); };
+  events.verified = [this](std::uint64_t tag, bool good) { checks_.OnVerified(tag, good); };
   events.ready = [this] {
     table_.Resend([this](RequestTable::CommandMark mark) { return pool_->Processed(mark); });
-    checks_.Rebound();
+    checks_.OnPoolLinkReady();
   };
   if (!create_pool)
     return std::make_unique<net::PoolLink>(base_.get(), net::ParseAddress(config_.pool_address),
@@ -198,9 +198,9 @@
       .disconnected =
           [this](StreamAddress from) {
             table_.OnCallerDisconnected(from);
-            checks_.Left(from);
+            checks_.OnCallerDisconnected(from);
           },
-      .deep_check = [this](StreamAddress from) { checks_.Ask(from); },
+      .deep_check = [this](StreamAddress from) { checks_.OnDeepCheck(from); },
       .class_counts = [this](std::string_view class_name) { return metrics_.CountsFor(class_name); }};
   if (loops() == 0) {
     return std::make_unique<net::SingleLoopFrontEnd>(base_.get(), listen, handover_.RequestListener(), most,
--- a/tests/background/learned_state_persister_test.cpp
+++ b/tests/background/learned_state_persister_test.cpp
@@ -32,7 +32,7 @@
           persister_.Finish();
         }),
         link_(pool_, 0) {
-    link_.Bound();
+    link_.SendBound();
   }
   ~RunningNode() { Stop(); }
   void Stop() {
@@ -52,8 +52,8 @@
       char request_id[17];
       std::snprintf(request_id, sizeof request_id, "%016x", ++last_request_);
       gateway.Write(Gateway::Request(static_cast<std::uint32_t>(i), request_id, "body"));
-      assert(link_.Command() == std::string("spawn ") + request_id + " order-lodge 4");
-      link_.Finish(++notice_, request_id, "complete", "result");
+      assert(link_.ReadCommand() == std::string("spawn ") + request_id + " order-lodge 4");
+      link_.SendFinished(++notice_, request_id, "complete", "result");
       gateway.ReadAnswer(static_cast<std::uint32_t>(i), 0);
     }
   }
--- a/tests/net/connection_lifecycle_test.cpp
+++ b/tests/net/connection_lifecycle_test.cpp
@@ -154,7 +154,7 @@
     RunReadyEvents();
     if (split < request.size()) peer.gateway.Write(request.substr(split));
     RunReadyEvents();
-    ASSERT_TRUE(peer.gateway.socket().Finished()) << split;
+    ASSERT_TRUE(peer.gateway.socket().ClosedCleanly()) << split;
     ASSERT_EQ(set_->size(), 1u);  // The descriptor counts until the peer has closed.
     peer.gateway.socket().Close();
     RunUntil([&] { return set_->size() == 0; });
@@ -173,7 +173,7 @@
   peer.gateway.Write(kCheck);
   RunReadyEvents();
   EXPECT_EQ(peer.gateway.ReadAnswer(7, 0).body.size(), 4096u);
-  EXPECT_TRUE(peer.gateway.socket().Finished());
+  EXPECT_TRUE(peer.gateway.socket().ClosedCleanly());
 }
 
 // ---- Lingering ----
@@ -184,7 +184,7 @@
   CloseIdleNow();
   RunUntil([&] { return set_->size() == 0; });
   EXPECT_GE(Steady::now() - began, LingeringCloser::kLingerTime);
-  EXPECT_TRUE(peer.gateway.socket().Finished());
+  EXPECT_TRUE(peer.gateway.socket().ClosedCleanly());
 }
 
 TEST_F(ConnectionLifecycleTest, FloodingPeerIsClosedAfterLingerBytes) {
@@ -239,7 +239,7 @@
 
 TEST_F(ConnectionLifecycleTest, EvictionKeepsConnectionThatSkipsOverlongFrame) {
   Peer peer = ConnectUsed();
-  peer.gateway.Write(peers::Number(200'000, 4) + peers::Number(0, 1) + peers::Number(9, 4) +
+  peer.gateway.Write(peers::EncodeNumber(200'000, 4) + peers::EncodeNumber(0, 1) + peers::EncodeNumber(9, 4) +
                      std::string(100, 'x'));
   RunReadyEvents();
   peer.gateway.ReadAnswer(9, 1);
@@ -247,7 +247,7 @@
   CloseIdleNow();
   peer.gateway.Write(std::string(200'000 - 5 - 100, 'x') + kCheck);
   std::optional<Frame> answer;
-  RunUntil([&] { return peer.gateway.socket().Ready(0); });
+  RunUntil([&] { return peer.gateway.socket().HasInput(0); });
   EXPECT_EQ(peer.gateway.Read().type, 7);
 }
 
@@ -268,7 +268,7 @@
   set_->CloseIdleForHandover();
   peer.gateway.Write(kCheck);  // Sent after the close: no reset.
   RunReadyEvents();
-  EXPECT_TRUE(peer.gateway.socket().Finished());
+  EXPECT_TRUE(peer.gateway.socket().ClosedCleanly());
   EXPECT_EQ(set_->size(), 1u);
 }
 
@@ -284,7 +284,7 @@
   peer.gateway.Write(Gateway::Request(8, "00000000000000a2", "late"));
   set_->Shutdown(Steady::now() + 20ms);
   EXPECT_EQ(peer.gateway.ReadAnswer(7, 0).body.size(), 4096u);
-  EXPECT_TRUE(peer.gateway.socket().Finished());
+  EXPECT_TRUE(peer.gateway.socket().ClosedCleanly());
   EXPECT_EQ(requests_.size(), 1u);  // The late request was not reported, so it never runs.
   EXPECT_EQ(set_->size(), 0u);
 }
@@ -341,7 +341,7 @@
   RunReadyEvents();
   peer.gateway.ReadAnswer(7, 2);
   peer.gateway.ReadAnswer(0, 2);
-  EXPECT_TRUE(peer.gateway.socket().Finished());
+  EXPECT_TRUE(peer.gateway.socket().ClosedCleanly());
   EXPECT_EQ(disconnected_, requests_);
 }
 
@@ -422,7 +422,7 @@
     while (answered < requests_.size()) front.Deliver(requests_[answered++], core::Served("result"));
   }
   for (std::uint32_t i = 0; i < kClients; ++i) {
-    for (int turns = 0; turns < 100 && !flood[i].socket().Ready(0); ++turns) RunOnce(front);
+    for (int turns = 0; turns < 100 && !flood[i].socket().HasInput(0); ++turns) RunOnce(front);
     EXPECT_EQ(flood[i].ReadAnswer(i + 1, 0).body, "result");
   }
 }
--- a/tests/net/loop_group_test.cpp
+++ b/tests/net/loop_group_test.cpp
@@ -268,7 +268,7 @@
     while (!over) {
       Gateway bad(rig.port);
       bad.Write(std::string(64, '\xff'));
-      bad.socket().Rest();
+      bad.socket().ReadToEnd();
     }
   });
   for (std::uint32_t stream = 2; stream < 200; ++stream) {
--- a/tests/net/upstream_lifecycle_test.cpp
+++ b/tests/net/upstream_lifecycle_test.cpp
@@ -35,12 +35,12 @@
   // Reads one complete report and returns its body.
   static std::string ReadReport(Socket& connection) {
     std::size_t length = 0;
-    EXPECT_EQ(connection.Line(), "PUT /v1/instances/n3 HTTP/1.1");
-    for (std::string line = connection.Line(); !line.empty(); line = connection.Line()) {
+    EXPECT_EQ(connection.ReadLine(), "PUT /v1/instances/n3 HTTP/1.1");
+    for (std::string line = connection.ReadLine(); !line.empty(); line = connection.ReadLine()) {
       constexpr std::string_view kLength = "Content-Length: ";
       if (line.starts_with(kLength)) length = std::stoul(line.substr(kLength.size()));
     }
-    return connection.Bytes(length);
+    return connection.ReadBytes(length);
   }
   bool LastReportSucceeded() {
     bool succeeded = false;
@@ -144,14 +144,14 @@
 // ever accepted a link, the node waits. Afterwards it considers the connection broken and opens another.
 TEST_F(PoolLifecycleTest, LinkThatIsNotAcceptedAfterEarlierAcceptanceIsReopened) {
   Socket first = pool_.Accept();
-  EXPECT_EQ(first.Line(), "bind 0");
+  EXPECT_EQ(first.ReadLine(), "bind 0");
   first.Write("bound hot 1.0\r\n");
   WaitForValue(bound_events_, 1);
   first.Close();
   Socket silent = pool_.Accept();
-  EXPECT_EQ(silent.Line(), "bind 0");
+  EXPECT_EQ(silent.ReadLine(), "bind 0");
   Socket next = pool_.Accept();  // The silent one is still open.
-  EXPECT_EQ(next.Line(), "bind 0");
+  EXPECT_EQ(next.ReadLine(), "bind 0");
 }
 
 // For each prefix of a notice, followed by a close or a reset: the notice is handled once, when a link
@@ -160,7 +160,7 @@
   const std::string notice = "finished 1 00000000000000a1 complete 3.5 4\r\nwhol\r\n";
   for (std::size_t cut = 0; cut < notice.size(); ++cut) {
     Socket link = pool_.Accept();
-    EXPECT_EQ(link.Line(), "bind 0");
+    EXPECT_EQ(link.ReadLine(), "bind 0");
     link.Write("bound hot 1.0\r\n" + notice.substr(0, cut));
     WaitForValue(bound_events_, static_cast<int>(cut) + 1);
     if (cut % 2 == 0) {
@@ -170,17 +170,17 @@
     }
   }
   Socket link = pool_.Accept();
-  EXPECT_EQ(link.Line(), "bind 0");
+  EXPECT_EQ(link.ReadLine(), "bind 0");
   link.Write("bound hot 1.0\r\n" + notice);
   WaitForValue(finished_, {"whol"});
   link.Close();
   Socket last = pool_.Accept();
-  EXPECT_EQ(last.Line(), "bind 1");
+  EXPECT_EQ(last.ReadLine(), "bind 1");
 }
 
 TEST_F(PoolLifecycleTest, NoticeReceivedByteByByteIsHandled) {
   Socket link = pool_.Accept();
-  link.Line();
+  link.ReadLine();
   for (const char byte :
        std::string("bound hot 1.0\r\nfinished 1 00000000000000a1 complete 3.5 2\r\nok\r\n")) {
     link.Write(std::string(1, byte));
--- a/tests/node/admin_integration_test.cpp
+++ b/tests/node/admin_integration_test.cpp
@@ -27,20 +27,21 @@
   AcceptCommands(link);
   Gateway gateway(node.port());
   gateway.Write(Gateway::Request(1, kFirst, "x"));
-  link.Command();
+  link.ReadCommand();
   half.Write("TP/1.1\r\nHost: n3\r\n\r");
   half.Write("\n");
-  ASSERT_TRUE(half.socket().Rest().starts_with("HTTP/1.1 200 "));
+  ASSERT_TRUE(half.socket().ReadToEnd().starts_with("HTTP/1.1 200 "));
   ASSERT_TRUE(node.Get("/ops/stats?all").starts_with("HTTP/1.1 200 "));
   ASSERT_TRUE(node.Get("/ops").starts_with("HTTP/1.1 404 "));
-  ASSERT_TRUE(node.Ask("POST /ops/stats HTTP/1.1\r\n\r\n").starts_with("HTTP/1.1 405 "));
+  ASSERT_TRUE(node.SendAdminRequest("POST /ops/stats HTTP/1.1\r\n\r\n").starts_with("HTTP/1.1 405 "));
   for (const char* malformed :
        {"nonsense\r\n\r\n", "GET  HTTP/1.1\r\n\r\n", "GET / HTTP/1.1\r\nno field\r\n\r\n"}) {
-    ASSERT_TRUE(node.Ask(malformed).starts_with("HTTP/1.1 400 "));
+    ASSERT_TRUE(node.SendAdminRequest(malformed).starts_with("HTTP/1.1 400 "));
   }
-  ASSERT_TRUE(node.Ask("GET /" + std::string(9000, 'x')).starts_with("HTTP/1.1 400 "));
-  for (Gateway& caller : idle) ASSERT_TRUE(caller.socket().Closed());  // By the deadline at the latest.
-  node.Leave();
+  ASSERT_TRUE(node.SendAdminRequest("GET /" + std::string(9000, 'x')).starts_with("HTTP/1.1 400 "));
+  for (Gateway& caller : idle)
+    ASSERT_TRUE(caller.socket().ClosedOrReset());  // By the deadline at the latest.
+  node.RequestDrain();
   ASSERT_EQ(gateway.Read().type, kStopNewRequestsFrame);
   ASSERT_TRUE(node.Get("/ops/readiness").starts_with("HTTP/1.1 503 "));
 }
@@ -56,13 +57,13 @@
   std::string metrics = node.Get("/ops/stats");
   ASSERT_TRUE(HasLine(metrics, "edge_node_calls{tier=\"usage-view\",code=\"success\"} 0"));  // From 0 on.
   gateway.Write(Gateway::Request(2, kFirst, "x"));
-  link.Command();
+  link.ReadCommand();
   ASSERT_TRUE(HasLine(node.Get("/ops/stats"), "edge_node_inflight 1"));
-  link.Finish(1, kFirst, "complete", "y");
+  link.SendFinished(1, kFirst, "complete", "y");
   gateway.ReadAnswer(2, kServed);
   gateway.Write(Gateway::Request(3, kSecond, "x"));
-  link.Command();
-  link.Finish(2, kSecond, "error", "");
+  link.ReadCommand();
+  link.SendFinished(2, kSecond, "error", "");
   gateway.ReadAnswer(3, kFailed);
   gateway.Write(Gateway::Request(4, kSecond, "x"));  // One attempt id a second time.
   gateway.ReadAnswer(4, kFailed);
@@ -71,8 +72,8 @@
   gateway.Write(Gateway::Request(6, kThird, "x", {{"kind", "no-such"}}));  // Of no class: not counted.
   gateway.ReadAnswer(6, kRejected);
   gateway.Write(Gateway::Request(7, kThird, "x"));
-  link.Command();
-  gateway.Write(peers::Number(1, 4) + std::string(5, '\0'));  // A framing error fails open requests.
+  link.ReadCommand();
+  gateway.Write(peers::EncodeNumber(1, 4) + std::string(5, '\0'));  // A framing error fails open requests.
   gateway.ReadAnswer(7, kFailed);
   gateway.ReadAnswer(0, kFailed);
   // A loop reports the failed request after its answer.
--- a/tests/node/connection_integration_test.cpp
+++ b/tests/node/connection_integration_test.cpp
@@ -32,8 +32,8 @@
   AcceptCommands(link);
   Gateway good(node.port());
   const std::string faults[] = {
-      peers::Number(4, 4) + std::string(5, '\0'),
-      peers::Number(262'145, 4) + std::string(5, '\0'),
+      peers::EncodeNumber(4, 4) + std::string(5, '\0'),
+      peers::EncodeNumber(262'145, 4) + std::string(5, '\0'),
       Gateway::Encode(3, 1, ""),
       Gateway::Request(0, kFirst, "x"),
       Gateway::Encode(1, 1, ""),
@@ -42,7 +42,7 @@
     Gateway gateway(node.port());
     gateway.Write(fault);
     gateway.ReadAnswer(0, kFailed);
-    ASSERT_TRUE(gateway.socket().Closed());
+    ASSERT_TRUE(gateway.socket().ClosedOrReset());
   }
   // Random bytes: whatever they are answered, the node serves on.
   std::mt19937_64 draw(7);
@@ -53,9 +53,9 @@
     gateway.Write(noise);
   }
   good.Write(Gateway::Request(1, kFirst, "x"));
-  while (link.Command().find(kFirst) == std::string::npos) {
+  while (link.ReadCommand().find(kFirst) == std::string::npos) {
   }
-  link.Finish(1, kFirst, "complete", "y");
+  link.SendFinished(1, kFirst, "complete", "y");
   ASSERT_EQ(good.ReadAnswer(1, kServed).body, "y");
 }
 
@@ -64,11 +64,11 @@
   ServingNode serving(Options());
   auto& [node, link, gateway] = serving;
   gateway.Write(Gateway::Request(1, kFirst, "x"));
-  link.Command();
-  gateway.Write(peers::Number(60'000'000, 4) + std::string(3'000'000, 'x'));
+  link.ReadCommand();
+  gateway.Write(peers::EncodeNumber(60'000'000, 4) + std::string(3'000'000, 'x'));
   gateway.ReadAnswer(1, kFailed);
   gateway.ReadAnswer(0, kFailed);
-  ASSERT_TRUE(gateway.socket().Finished());
+  ASSERT_TRUE(gateway.socket().ClosedCleanly());
 }
 
 // Without an idle one the new connection is closed. Descriptors of the pool and the registry are reserved.
@@ -80,8 +80,8 @@
   AcceptCommands(link);
   Gateway served(node.port());
   served.Write(Gateway::Request(1, kFirst, "x"));
-  link.Command();
-  link.Finish(1, kFirst, "complete", "y");
+  link.ReadCommand();
+  link.SendFinished(1, kFirst, "complete", "y");
   served.ReadAnswer(1, kServed);
   Gateway checks(node.port());
   checks.Write(kHealthCheck);
@@ -95,7 +95,7 @@
     more.emplace_back(node.port());
     more.back().Write(kHealthCheck);
     ASSERT_EQ(more.back().Read().type, kHealthResponseFrame);
-    ASSERT_TRUE((i < 30 ? silent[i] : checks).socket().Closed());
+    ASSERT_TRUE((i < 30 ? silent[i] : checks).socket().ClosedOrReset());
   }
   served.Write(kHealthCheck);
   ASSERT_EQ(served.Read().type, kHealthResponseFrame);
@@ -114,14 +114,14 @@
   Gateway used(node.port());
   used.Write(kHealthCheck + kHealthCheck.substr(0, 7));
   ASSERT_EQ(used.Read().type, kHealthResponseFrame);
-  endless.Write(peers::Number(200'000, 4) + peers::Number(1, 5) + std::string(50'000, 'x'));
+  endless.Write(peers::EncodeNumber(200'000, 4) + peers::EncodeNumber(1, 5) + std::string(50'000, 'x'));
   endless.ReadAnswer(1, kRejected);
   const std::uint64_t began = Gateway::UnixMs();
-  ASSERT_TRUE(silent.socket().Closed());
-  ASSERT_TRUE(half.socket().Closed());
-  ASSERT_TRUE(endless.socket().Closed());
+  ASSERT_TRUE(silent.socket().ClosedOrReset());
+  ASSERT_TRUE(half.socket().ClosedOrReset());
+  ASSERT_TRUE(endless.socket().ClosedOrReset());
   ASSERT_LT(Gateway::UnixMs() - began, 3000u);
-  ASSERT_TRUE(used.socket().Closed());
+  ASSERT_TRUE(used.socket().ClosedOrReset());
   idle.Write(kHealthCheck);
   ASSERT_EQ(idle.Read().type, kHealthResponseFrame);
 }
--- a/tests/node/deployment_hard_test.cpp
+++ b/tests/node/deployment_hard_test.cpp
@@ -17,7 +17,7 @@
                                    {"opkey", kKey},
                                    {"owner", "north"},
                                    {"ts", std::to_string(ts)},
-                                   {"timeout", std::string(ScriptedGateway::kNone)}});
+                                   {"timeout", std::string(ScriptedGateway::kOmitted)}});
 }
 
 void WaitUntil(std::uint64_t unix_ms) {
@@ -70,7 +70,7 @@
                                       {{"kind", "claim"},
                                        {"opkey", key},
                                        {"owner", "west"},
-                                       {"timeout", std::string(ScriptedGateway::kNone)}});
+                                       {"timeout", std::string(ScriptedGateway::kOmitted)}});
     };
     callers.emplace_back(all.ListenOf(0));
     callers.back().Write(claim(1, 0xd000 + 2 * i) + claim(2, 0xd001 + 2 * i));
@@ -178,8 +178,8 @@
       std::snprintf(req, sizeof req, "%016x", 0xc00 + i);
       caller->Write(ScriptedGateway::Request(
           1, req, WorkBody(Millis(5), "z"),
-          {{"kind", "match"}, {"owner", "west"}, {"timeout", std::string(ScriptedGateway::kNone)}}));
-      if (caller->socket().Ready(300)) {
+          {{"kind", "match"}, {"owner", "west"}, {"timeout", std::string(ScriptedGateway::kOmitted)}}));
+      if (caller->socket().HasInput(300)) {
         EXPECT_EQ(caller->ReadAnswer(1, 0).body, ResultOf(0xc00 + i, WorkBody(Millis(5), "z")));
         return caller;
       }
--- a/tests/node/handover_integration_test.cpp
+++ b/tests/node/handover_integration_test.cpp
@@ -47,7 +47,7 @@
   AcceptCommands(link);
   Gateway gateway(node.port);
   gateway.Write(Gateway::Request(1, kFirst, "x"));
-  link.Command();
+  link.ReadCommand();
   return gateway;
 }
 
@@ -64,7 +64,8 @@
   ASSERT_FALSE(fresh.Ready());
   ASSERT_TRUE(old.Ready());
   PoolLink link(fresh.pool, 0);
-  for (int polls = 0; polls < 3; ++polls) old_link.AnswerPoll(old_link.Line());  // It has reported its load.
+  for (int polls = 0; polls < 3; ++polls)
+    old_link.AnswerPoll(old_link.ReadLine());  // It has reported its load.
   AcceptCommands(link);
   ASSERT_EQ(gateway.Read().type, kStopNewRequestsFrame);
   fresh.AwaitReady();
@@ -73,20 +74,20 @@
   next.Write(Gateway::Request(1, kThird, "x"));
   gateway.Write(Gateway::Request(2, kSecond, "crossed"));
   for (int polls = 0; polls < 4; ++polls) {  // The one core runs the predecessor's execution.
-    const std::string line = link.Line();
+    const std::string line = link.ReadLine();
     ASSERT_TRUE(line.starts_with("poll "));
     link.Write("polled " + line.substr(5) + " 1 3 0.1 1\r\n");
   }
   old.Signal(SIGTERM);
-  old_link.Finish(1, kFirst, "complete", "y");
+  old_link.SendFinished(1, kFirst, "complete", "y");
   ASSERT_EQ(gateway.ReadAnswer(1, kServed).body, "y");
-  ASSERT_TRUE(old_link.Command().starts_with("spawn " + kSecond));
-  old_link.Finish(2, kSecond, "complete", "z");
+  ASSERT_TRUE(old_link.ReadCommand().starts_with("spawn " + kSecond));
+  old_link.SendFinished(2, kSecond, "complete", "z");
   ASSERT_EQ(gateway.ReadAnswer(2, kServed).body, "z");
   gateway.socket().Close();
   ASSERT_EQ(old.Wait(), 0);
-  ASSERT_TRUE(link.Command().starts_with("spawn " + kThird));
-  link.Finish(1, kThird, "complete", "next");
+  ASSERT_TRUE(link.ReadCommand().starts_with("spawn " + kThird));
+  link.SendFinished(1, kThird, "complete", "next");
   ASSERT_EQ(next.ReadAnswer(1, kServed).body, "next");
   // A third takes over from the second.
   ForkedNode third(directory.path, Successor());
@@ -107,11 +108,11 @@
     stay.back().Write(kHealthCheck);
     ASSERT_EQ(stay.back().Read().type, kHealthResponseFrame);
   }
-  for (int polls = 0; polls < 3; ++polls) old_link.AnswerPoll(old_link.Line());
+  for (int polls = 0; polls < 3; ++polls) old_link.AnswerPoll(old_link.ReadLine());
   ForkedNode fresh(directory.path, Successor(DescriptorLimit(80)));
   PoolLink link(fresh.pool, 0);
   for (int polls = 0; polls < 3; ++polls)
-    old_link.AnswerPoll(old_link.Line());  // It has reported its connections.
+    old_link.AnswerPoll(old_link.ReadLine());  // It has reported its connections.
   AcceptCommands(link);
   for (Gateway& gateway : stay) ASSERT_EQ(gateway.Read().type, kStopNewRequestsFrame);
   std::vector<Gateway> next;
@@ -120,7 +121,7 @@
     next.back().Write(kHealthCheck);
   }
   for (Gateway& gateway : next) ASSERT_EQ(gateway.Read().type, kHealthResponseFrame);
-  for (Gateway& gateway : stay) ASSERT_TRUE(gateway.socket().Finished());
+  for (Gateway& gateway : stay) ASSERT_TRUE(gateway.socket().ClosedCleanly());
   ASSERT_EQ(old.Wait(), 0);
 }
 
@@ -132,13 +133,13 @@
   Gateway gateway = StartRequest(old, old_link);
   {
     ForkedNode early(directory.path, Successor());
-    early.End(SIGKILL);  // Before it accepted a client.
+    early.SignalAndWait(SIGKILL);  // Before it accepted a client.
   }
   ForkedNode fresh(directory.path, Successor());
   PoolLink link(fresh.pool, 0);
   AcceptCommands(link);
   fresh.AwaitReady();
-  fresh.End(SIGKILL);
+  fresh.SignalAndWait(SIGKILL);
   Gateway back(old.port);
   back.Write(Gateway::HealthCheck(1));
   ASSERT_EQ(back.Read().type, kHealthResponseFrame);
@@ -147,7 +148,7 @@
     ForkedNode again(directory.path, Successor());
     ASSERT_EQ(again.port, old.port);
   }
-  old.End(SIGKILL);
+  old.SignalAndWait(SIGKILL);
   ForkedNode alone(directory.path, Successor());
   PoolLink alone_link(alone.pool, 0);
   AcceptCommands(alone_link);
--- a/tests/node/integration_fixture.h
+++ b/tests/node/integration_fixture.h
@@ -34,8 +34,8 @@
 
 // Accepts the bind command and answers the barrier poll that follows, so that the link carries commands.
 inline void AcceptCommands(PoolLink& link) {
-  link.Bound();
-  link.AnswerPoll(link.Line());
+  link.SendBound();
+  link.AnswerPoll(link.ReadLine());
 }
 
 // A link that carries commands.
--- a/tests/node/node_extension_test.cpp
+++ b/tests/node/node_extension_test.cpp
@@ -86,7 +86,7 @@
   // Nothing is decided before the worker pool is up.
   EXPECT_NE(rig.MetricsText().find("news_left 150"), std::string::npos);
   peers::PoolLink link(rig.pool(), 0);
-  link.Bound();
+  link.SendBound();
   rig.AwaitAllTold();
   rig.End();
   // The first batch also has the word on the other processes of this node, which extension before.
@@ -98,7 +98,7 @@
   News news(100, true);
   Rig rig(news);
   peers::PoolLink link(rig.pool(), 0);
-  link.Bound();
+  link.SendBound();
   rig.AwaitReady();
   peers::Gateway gateway(rig.node().port());
   gateway.Write(peers::Gateway::Request(1, "00000000000000a1", "x", {}));
@@ -112,7 +112,7 @@
   {
     Rig rig(news, true);
     peers::PoolLink link(rig.pool(), 0);
-    link.Bound();
+    link.SendBound();
     rig.AwaitReady();
   }
   EXPECT_EQ(news.steps_ + news.leavings_, 0);
--- a/tests/node/node_lifecycle_test.cpp
+++ b/tests/node/node_lifecycle_test.cpp
@@ -27,8 +27,8 @@
 struct BoundLink : PoolLink {
   explicit BoundLink(const peers::Listener& pool, std::uint64_t last_notice = 0)
       : PoolLink(pool, last_notice) {
-    Bound();
-    AnswerPoll(Line());
+    SendBound();
+    AnswerPoll(ReadLine());
   }
 };
 
@@ -41,11 +41,11 @@
   Gateway gateway(node.port());
   gateway.Write(Gateway::Request(1, kOne, "early"));
   gateway.ReadAnswer(1, 1);
-  node.Leave();
+  node.RequestDrain();
   EXPECT_EQ(gateway.Read().type, 9);
   gateway.Write(Gateway::Request(2, kTwo, "crossed"));
   gateway.ReadAnswer(2, 1);
-  EXPECT_TRUE(gateway.socket().Finished());
+  EXPECT_TRUE(gateway.socket().ClosedCleanly());
   node.Join();
 }
 
@@ -58,10 +58,10 @@
     BoundLink link(node.pool);
     const std::string now = std::to_string(Gateway::UnixMs());
     gateway.Write(Gateway::Request(1, kOne, "runs", {{"ts", now}}));
-    EXPECT_EQ(link.Command(), "spawn " + kOne + " order-lodge 4");
+    EXPECT_EQ(link.ReadCommand(), "spawn " + kOne + " order-lodge 4");
     gateway.Write(Gateway::Request(2, kTwo, "held", {{"ts", now}}) + kCheck);
     EXPECT_EQ(gateway.Read().type, 7);  // Both have been read.
-    node.Leave();
+    node.RequestDrain();
     EXPECT_EQ(gateway.Read().type, 9);
   }
   std::vector<int> codes(3, -1);
@@ -72,7 +72,7 @@
   }
   EXPECT_EQ(codes[1], 2);
   EXPECT_NE(codes[2], 0);
-  EXPECT_TRUE(gateway.socket().Finished());
+  EXPECT_TRUE(gateway.socket().ClosedCleanly());
   node.Join();
 }
 
@@ -84,7 +84,7 @@
   Gateway gateway(node.port());
   gateway.Write(kCheck);
   EXPECT_EQ(gateway.Read().type, 7);
-  node.Leave();
+  node.RequestDrain();
   EXPECT_EQ(gateway.Read().type, 9);
   std::uint32_t sent = 0;
   std::set<std::uint32_t> answered;
@@ -94,8 +94,8 @@
     const std::string request =
         Gateway::Request(sent, hingelink::proto::FormatRequestId(1000 + sent), "late", {{"ts", ahead}});
     open = send(gateway.socket().fd(), request.data(), request.size(), MSG_NOSIGNAL) > 0;
-    while (open && gateway.socket().Ready(0)) {
-      if (gateway.socket().AtEnd()) {
+    while (open && gateway.socket().HasInput(0)) {
+      if (gateway.socket().AtEndOfStream()) {
         open = false;
         break;
       }
@@ -107,9 +107,9 @@
   }
   node.Join();
   EXPECT_FALSE(answered.empty());
-  EXPECT_TRUE(gateway.socket().Finished());
+  EXPECT_TRUE(gateway.socket().ClosedCleanly());
   // The worker pool was told of none of them.
-  EXPECT_EQ(link.CommandsSoFar(), std::vector<std::string>());
+  EXPECT_EQ(link.ReadPendingCommands(), std::vector<std::string>());
 }
 
 // A caller that breaks the connection under its keyed request: the key outlives it, and a later try gets the
@@ -127,13 +127,13 @@
   {
     Gateway first(node.port());
     first.Write(Gateway::Request(1, kOne, "body", keyed));
-    EXPECT_EQ(link.Command(), "spawn " + kOne + " order-lodge 4");
+    EXPECT_EQ(link.ReadCommand(), "spawn " + kOne + " order-lodge 4");
     first.socket().Reset();
   }
   Gateway second(node.port());
   second.Write(Gateway::Request(1, kTwo, "body", keyed) + kCheck);
   EXPECT_EQ(second.Read().type, 7);
-  link.Finish(1, kOne, "complete", "once");
+  link.SendFinished(1, kOne, "complete", "once");
   EXPECT_EQ(second.ReadAnswer(1, 0).body, "once");
   second.Write(Gateway::Request(2, kThree, "body", keyed));
   EXPECT_EQ(second.ReadAnswer(2, 0).body, "once");
@@ -170,7 +170,7 @@
     reload(with);
   }
   gateway.Write(Gateway::Request(5000, kTwo, "x"));
-  EXPECT_EQ(link.Command(), "spawn " + kTwo + " order-lodge 1");
+  EXPECT_EQ(link.ReadCommand(), "spawn " + kTwo + " order-lodge 1");
 }
 
 // ---- Descriptors ----
@@ -191,13 +191,13 @@
   for (;;) {
     peers::Socket registry = node.registry.Accept();
     registry.Write("HTTP/1.1 204 No Content\r\n\r\n");
-    const std::string first = registry.LineOrEnd();
+    const std::string first = registry.ReadLineOrEnd();
     if (first.empty()) continue;
     EXPECT_EQ(first, "PUT /v1/instances/n3 HTTP/1.1");
-    while (!registry.Line().empty()) {
+    while (!registry.ReadLine().empty()) {
     }
-    registry.Bytes(17);
-    if (registry.LineOrEnd() == "PUT /v1/instances/n3 HTTP/1.1")
+    registry.ReadBytes(17);
+    if (registry.ReadLineOrEnd() == "PUT /v1/instances/n3 HTTP/1.1")
       break;  // The next report, on the same connection.
   }
 }
@@ -211,8 +211,8 @@
   fields["kind"] = kind;
   const std::string req = hingelink::proto::FormatRequestId(stream);
   gateway.Write(Gateway::Request(stream, req, "body", fields));
-  std::string command = link.Command();
-  link.Finish(notice, req, "complete", "result of " + kind);
+  std::string command = link.ReadCommand();
+  link.SendFinished(notice, req, "complete", "result of " + kind);
   EXPECT_EQ(gateway.ReadAnswer(stream, 0).body, "result of " + kind);
   return command;
 }
--- a/tests/node/peer_link_integration_test.cpp
+++ b/tests/node/peer_link_integration_test.cpp
@@ -21,45 +21,45 @@
     PoolLink link(node.pool, 0);
     AcceptCommands(link);
     gateway.Write(Gateway::Request(1, kFirst, "first"));
-    link.Command();
+    link.ReadCommand();
     link.Write("chatter 1 nothing 4\r\nfinished 2 " + kFirst + " comp");  // Cut off within a line.
   }
   {
     // It ran while there was no link: its notice is replayed, and it is not sent again.
     PoolLink link(node.pool, 1);
-    link.Bound();
-    const std::string barrier = link.Line();
+    link.SendBound();
+    const std::string barrier = link.ReadLine();
     ASSERT_TRUE(barrier.starts_with("poll "));
-    link.Finish(1, kFirst, "error", "");  // Not above the last notice read: ignored.
-    link.Finish(2, kFirst, "complete", "once");
+    link.SendFinished(1, kFirst, "error", "");  // Not above the last notice read: ignored.
+    link.SendFinished(2, kFirst, "complete", "once");
     link.AnswerPoll(barrier);
     ASSERT_EQ(gateway.ReadAnswer(1, kServed).body, "once");
     gateway.Write(Gateway::Request(2, kSecond, "second"));
-    ASSERT_TRUE(link.Command().starts_with("spawn " + kSecond));
+    ASSERT_TRUE(link.ReadCommand().starts_with("spawn " + kSecond));
   }
   {
     // The pool never read that one: it is sent again, after the barrier.
     PoolLink link(node.pool, 2);
-    link.Bound();
-    const std::string barrier = link.Line();
+    link.SendBound();
+    const std::string barrier = link.ReadLine();
     ASSERT_TRUE(barrier.starts_with("poll "));
     link.AnswerPoll(barrier);
     std::string body;
-    ASSERT_TRUE(link.Command(&body).starts_with("spawn " + kSecond));
+    ASSERT_TRUE(link.ReadCommand(&body).starts_with("spawn " + kSecond));
     ASSERT_EQ(body, "second");
-    link.Finish(3, kSecond, "complete", "sent twice");
+    link.SendFinished(3, kSecond, "complete", "sent twice");
     ASSERT_EQ(gateway.ReadAnswer(2, kServed).body, "sent twice");
     gateway.Write(Gateway::Request(3, kThird, "third"));
-    ASSERT_TRUE(link.Command().starts_with("spawn " + kThird));
+    ASSERT_TRUE(link.ReadCommand().starts_with("spawn " + kThird));
   }
   // That one finishes right after the barrier: it is not sent again.
   PoolLink link(node.pool, 3);
-  link.Bound();
-  const std::string tag = link.Line().substr(5);
+  link.SendBound();
+  const std::string tag = link.ReadLine().substr(5);
   link.Write("polled " + tag + " 0.1 0 0.1 1\r\nfinished 4 " + kThird + " complete 9 5\r\nthird\r\n");
   ASSERT_EQ(gateway.ReadAnswer(3, kServed).body, "third");
   gateway.Write(Gateway::Request(4, kFourth, "fourth"));
-  ASSERT_TRUE(link.Command().starts_with("spawn " + kFourth));
+  ASSERT_TRUE(link.ReadCommand().starts_with("spawn " + kFourth));
   // A command that the pool does not know of never ran.
   link.Write("unknown spawn " + kFourth + "\r\n");
   gateway.ReadAnswer(4, kRejected);
@@ -70,12 +70,12 @@
   ServingNode serving(Options());
   auto& [node, link, gateway] = serving;
   gateway.Write(Gateway::Request(1, kFirst, "x"));
-  link.Command();
+  link.ReadCommand();
   link.Write("chatter 1 " + std::string(300'000, 'x') + "\r\nchatter 2 " + std::string(65'525, 'y') + "\r\n");
-  link.Finish(3, kFirst, "complete", "y");
+  link.SendFinished(3, kFirst, "complete", "y");
   ASSERT_EQ(gateway.ReadAnswer(1, kServed).body, "y");
   gateway.Write(Gateway::Request(2, kSecond, "x"));
-  ASSERT_TRUE(link.Command().starts_with("spawn " + kSecond));  // On the same link.
+  ASSERT_TRUE(link.ReadCommand().starts_with("spawn " + kSecond));  // On the same link.
 }
 
 // However it failed.
@@ -84,11 +84,11 @@
   for (const char* answer : {"", "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n", "nonsense\r\n\r\n",
                              "HTTP/1.1 204 No Content\r\nConnection: close\r\n\r\n"}) {
     peers::Socket registry = node.registry.Accept();
-    ASSERT_TRUE(registry.Line().starts_with("PUT "));
+    ASSERT_TRUE(registry.ReadLine().starts_with("PUT "));
     registry.Write(answer);
   }
   peers::Socket registry = node.registry.Accept();
-  ASSERT_TRUE(registry.Line().starts_with("PUT "));
+  ASSERT_TRUE(registry.ReadLine().starts_with("PUT "));
 }
 
 }  // namespace
--- a/tests/node/reconfiguration_integration_test.cpp
+++ b/tests/node/reconfiguration_integration_test.cpp
@@ -31,26 +31,26 @@
   PoolLink link(node.pool, 0);
   AcceptCommands(link);
   peers::Socket registry = node.registry.Accept();
-  ASSERT_EQ(registry.Line(), "PUT /v1/instances/n3 HTTP/1.1");
-  while (registry.Line() != "") {
+  ASSERT_EQ(registry.ReadLine(), "PUT /v1/instances/n3 HTTP/1.1");
+  while (registry.ReadLine() != "") {
   }
-  ASSERT_EQ(registry.Bytes(17), R"({"state":"ready"})");
+  ASSERT_EQ(registry.ReadBytes(17), R"({"state":"ready"})");
   Gateway gateway(node.port());
   gateway.Write(Gateway::Request(1, kFirst, "held"));
-  link.Command();
-  node.Leave();
+  link.ReadCommand();
+  node.RequestDrain();
   ASSERT_EQ(gateway.Read().type, kStopNewRequestsFrame);
   // The report in flight completes first; the new state follows at once, not a report interval later.
   registry.Write("HTTP/1.1 204 No Content\r\n\r\n");
-  while (registry.Line() != "") {
+  while (registry.ReadLine() != "") {
   }
-  ASSERT_EQ(registry.Bytes(20), R"({"state":"draining"})");
+  ASSERT_EQ(registry.ReadBytes(20), R"({"state":"draining"})");
   // Arrived after the grace period of the notice, which is 0 here.
   gateway.Write(Gateway::Request(2, kSecond, "late", {{"ts", std::to_string(Gateway::UnixMs() + 1)}}));
   gateway.ReadAnswer(2, kRejected);
   gateway.ReadAnswer(1, kFailed);  // Its execution never finishes: failed before the kill.
   node.Join();
-  ASSERT_TRUE(gateway.socket().Closed());
+  ASSERT_TRUE(gateway.socket().ClosedOrReset());
 }
 
 // An invalid configuration changes nothing.
@@ -64,32 +64,32 @@
   AcceptCommands(old);
   Gateway gateway(node.port());
   gateway.Write(Gateway::Request(1, kFirst, "first"));
-  old.Command();
-  const std::string moved = node.Moved(pool, registry);
-  const std::string moved_again = node.Moved(second_pool, second_registry);
+  old.ReadCommand();
+  const std::string moved = node.ConfigWithPeers(pool, registry);
+  const std::string moved_again = node.ConfigWithPeers(second_pool, second_registry);
   node.Reload("{\"pool\":");
   // The old link still carries commands.
-  old.Finish(1, kFirst, "complete", "old");
+  old.SendFinished(1, kFirst, "complete", "old");
   ASSERT_EQ(gateway.ReadAnswer(1, kServed).body, "old");
   gateway.Write(Gateway::Request(2, kSecond, "second"));
-  ASSERT_TRUE(old.Command().starts_with("spawn " + kSecond));
+  ASSERT_TRUE(old.ReadCommand().starts_with("spawn " + kSecond));
   node.Reload(moved);
   peers::Socket reports = registry.Accept();
-  ASSERT_TRUE(reports.Line().starts_with("PUT "));
+  ASSERT_TRUE(reports.ReadLine().starts_with("PUT "));
   PoolLink fresh(pool, 1);
   // A second reload before the new link carries commands.
   node.Reload(moved_again);
-  ASSERT_TRUE(second_registry.Accept().Line().starts_with("PUT "));
+  ASSERT_TRUE(second_registry.Accept().ReadLine().starts_with("PUT "));
   PoolLink link(second_pool, 1);
-  link.Bound();
-  const std::string barrier = link.Line();
+  link.SendBound();
+  const std::string barrier = link.ReadLine();
   ASSERT_TRUE(barrier.starts_with("poll "));
   // The execution went on meanwhile: its notice is replayed, and it is not sent again.
-  link.Finish(2, kSecond, "complete", "moved");
+  link.SendFinished(2, kSecond, "complete", "moved");
   link.AnswerPoll(barrier);
   ASSERT_EQ(gateway.ReadAnswer(2, kServed).body, "moved");
   gateway.Write(Gateway::Request(3, kThird, "third"));
-  ASSERT_TRUE(link.Command().starts_with("spawn " + kThird));
+  ASSERT_TRUE(link.ReadCommand().starts_with("spawn " + kThird));
 }
 
 // Requests are open in a class that is removed.
@@ -118,7 +118,7 @@
     await_metric("edge_node_reconfig_failed", ++failed);
   }
   gateway.Write(Gateway::Request(1, kFirst, "x"));
-  link.Command();
+  link.ReadCommand();
   // Of two requests with one arrival time either may start first.
   gateway.Write(Gateway::Request(2, kSecond, "held", {{"ts", std::to_string(Gateway::UnixMs() - 100)}}));
   gateway.Write(Gateway::HealthCheck(9));
@@ -128,12 +128,12 @@
   gateway.Write(Gateway::Request(3, kThird, "x"));
   gateway.ReadAnswer(3, kRejected);  // Of a class that was removed.
   gateway.Write(Gateway::Request(4, kFourth, "x", {{"kind", "order-new"}}));
-  link.Finish(1, kFirst, "complete", "y");
+  link.SendFinished(1, kFirst, "complete", "y");
   ASSERT_EQ(gateway.ReadAnswer(1, kServed).body, "y");
-  ASSERT_EQ(link.Command(), "spawn " + kSecond + " order-lodge 4");
-  link.Finish(2, kSecond, "complete", "z");
+  ASSERT_EQ(link.ReadCommand(), "spawn " + kSecond + " order-lodge 4");
+  link.SendFinished(2, kSecond, "complete", "z");
   ASSERT_EQ(gateway.ReadAnswer(2, kServed).body, "z");
-  ASSERT_EQ(link.Command(), "spawn " + kFourth + " order-new 1");
+  ASSERT_EQ(link.ReadCommand(), "spawn " + kFourth + " order-new 1");
   const std::string metrics = node.Get("/ops/stats");
   ASSERT_TRUE(HasLine(metrics, "edge_node_calls{tier=\"usage-new\",code=\"busy\"} 0"));
   ASSERT_TRUE(HasLine(metrics, "edge_node_calls{tier=\"order-lodge\",code=\"success\"} 2"));
--- a/tests/node/request_integration_test.cpp
+++ b/tests/node/request_integration_test.cpp
@@ -57,12 +57,12 @@
   gateway.Write(Gateway::Request(1, kFirst, body, now) + Gateway::Request(2, kSecond, "", now));
   // One core: the second waits for the first.
   std::string spawned_body;
-  ASSERT_EQ(link.Command(&spawned_body), "spawn " + kFirst + " order-lodge 5");
+  ASSERT_EQ(link.ReadCommand(&spawned_body), "spawn " + kFirst + " order-lodge 5");
   ASSERT_EQ(spawned_body, body);
-  link.Finish(1, kFirst, "complete", result);
+  link.SendFinished(1, kFirst, "complete", result);
   ASSERT_EQ(gateway.ReadAnswer(1, kServed).body, result);
-  ASSERT_EQ(link.Command(), "spawn " + kSecond + " order-lodge 0");
-  link.Finish(2, kSecond, "error", "");
+  ASSERT_EQ(link.ReadCommand(), "spawn " + kSecond + " order-lodge 0");
+  link.SendFinished(2, kSecond, "error", "");
   gateway.ReadAnswer(2, kFailed);
 }
 
@@ -88,8 +88,8 @@
   gateway.Write(Gateway::Encode(0, ++stream, "\5"));  // Fields that run past the frame.
   gateway.ReadAnswer(stream, kRejected);
   gateway.Write(Gateway::Request(++stream, kFirst, "good"));
-  link.Command();
-  link.Finish(1, kFirst, "complete", "done");
+  link.ReadCommand();
+  link.SendFinished(1, kFirst, "complete", "done");
   gateway.ReadAnswer(stream, kServed);
 }
 
@@ -101,7 +101,7 @@
     bad.ReadAnswer(stream, kRejected);
   }
   bad.ReadAnswer(0, kFailed);
-  ASSERT_TRUE(bad.socket().Finished());
+  ASSERT_TRUE(bad.socket().ClosedCleanly());
 }
 
 // Failed, not rejected: a rejection would promise that no attempt with this id ran.
@@ -110,10 +110,10 @@
   auto& [node, link, gateway] = serving;
   constexpr std::uint32_t stream = 1;
   gateway.Write(Gateway::Request(stream, kFirst, "good"));
-  link.Command();
+  link.ReadCommand();
   gateway.Write(Gateway::Request(50, kFirst, "again"));
   gateway.ReadAnswer(50, kFailed);
-  link.Finish(1, kFirst, "complete", "done");
+  link.SendFinished(1, kFirst, "complete", "done");
   gateway.ReadAnswer(stream, kServed);
   gateway.Write(Gateway::Request(51, kFirst, "again"));
   gateway.ReadAnswer(51, kFailed);
@@ -124,8 +124,8 @@
   auto& [node, link, gateway] = serving;
   // Until the node has read that its pool is connected, it rejects everything.
   gateway.Write(Gateway::Request(1, kFirst, "x"));
-  link.Command();
-  link.Finish(1, kFirst, "complete", "done");
+  link.ReadCommand();
+  link.SendFinished(1, kFirst, "complete", "done");
   gateway.ReadAnswer(1, kServed);
   for (std::uint32_t stream = 100; stream <= 132; ++stream) {
     gateway.Write(
@@ -140,18 +140,19 @@
   auto& [node, link, gateway] = serving;
   const std::map<std::string, std::string> read = {{"kind", "usage-view"}, {"subject", "7f3a9c21e0b4d655"}};
   gateway.Write(Gateway::Request(1, kFirst, "x", read));
-  link.Command();
+  link.ReadCommand();
   gateway.Write(Gateway::Request(2, kSecond, "x", read));
-  link.Finish(1, kFirst, "error", "");
+  link.SendFinished(1, kFirst, "error", "");
   gateway.ReadAnswer(1, kFailed);
-  ASSERT_EQ(link.Command(), "spawn " + kSecond + " usage-view 1");  // The first failed: the next runs itself.
-  link.Finish(2, kSecond, "complete", "usage");
+  ASSERT_EQ(link.ReadCommand(),
+            "spawn " + kSecond + " usage-view 1");  // The first failed: the next runs itself.
+  link.SendFinished(2, kSecond, "complete", "usage");
   ASSERT_EQ(gateway.ReadAnswer(2, kServed).body, "usage");
   gateway.Write(Gateway::Request(3, kThird, "x", read));
   ASSERT_EQ(gateway.ReadAnswer(3, kServed).body, "usage");
   // Another subject runs for itself.
   gateway.Write(Gateway::Request(4, kFourth, "x", {{"kind", "usage-view"}, {"subject", kFirst}}));
-  ASSERT_NE(link.Command().find("a4"), std::string::npos);
+  ASSERT_NE(link.ReadCommand().find("a4"), std::string::npos);
 }
 
 // The configuration has tenants, a keyed class, an upstream store, and callers that send no remaining wait.
@@ -176,20 +177,20 @@
     ASSERT_EQ(gateway.ReadAnswer(stream, kRejected).fields.at("nomore"), "1");
   }
   gateway.Write(Gateway::Request(1, kFirst, "body", claim()));
-  ASSERT_EQ(link.Command(), "spawn " + kFirst + " claim 4");
+  ASSERT_EQ(link.ReadCommand(), "spawn " + kFirst + " claim 4");
   link.Write("blocked 1 " + kFirst + " 4\r\nc\r\nd\r\n");
   peers::Socket calls = store.Accept();
-  const std::string call = calls.Line();
+  const std::string call = calls.ReadLine();
   ASSERT_TRUE(call.starts_with("CALL " + kFirst + ' '));
   ASSERT_TRUE(call.ends_with(" 4"));
-  ASSERT_EQ(calls.Bytes(6), "c\r\nd\r\n");
+  ASSERT_EQ(calls.ReadBytes(6), "c\r\nd\r\n");
   // A retry while the first waits for its upstream call: it waits, and does not run.
   gateway.Write(Gateway::Request(2, kSecond, "body", claim({{"resent", "1"}})));
   calls.Write(kFirst + " OK 5\r\nr\r\n+1\r\n");
   std::string reply;
-  ASSERT_EQ(link.Command(&reply), "supply " + kFirst + " 5");
+  ASSERT_EQ(link.ReadCommand(&reply), "supply " + kFirst + " 5");
   ASSERT_EQ(reply, "r\r\n+1");
-  link.Finish(2, kFirst, "complete", "claimed");
+  link.SendFinished(2, kFirst, "complete", "claimed");
   ASSERT_EQ(gateway.ReadAnswer(1, kServed).body, "claimed");
   ASSERT_EQ(gateway.ReadAnswer(2, kServed).body, "claimed");
   // So does one after the end, over another connection; but none with another body.
@@ -201,13 +202,13 @@
   // A read whose upstream call fails uses its fallback.
   gateway.Write(
       Gateway::Request(3, kFourth, "x", {{"kind", "usage-view"}, {"timeout", "(none)"}, {"owner", "north"}}));
-  link.Command();
+  link.ReadCommand();
   link.Write("blocked 3 " + kFourth + " 1\r\nc\r\n");
-  ASSERT_TRUE(calls.Line().starts_with("CALL " + kFourth));
-  calls.Bytes(3);
+  ASSERT_TRUE(calls.ReadLine().starts_with("CALL " + kFourth));
+  calls.ReadBytes(3);
   calls.Write(kFourth + " LATE\r\n");
-  ASSERT_EQ(link.PassedOn(), "pass " + kFourth + " 3");
-  link.Finish(4, kFourth, "complete", "poorer");
+  ASSERT_EQ(link.ReadLineCommand(), "pass " + kFourth + " 3");
+  link.SendFinished(4, kFourth, "complete", "poorer");
   ASSERT_EQ(gateway.ReadAnswer(3, kServed).body, "poorer");
   const std::string metrics = node.Get("/ops/stats");
   ASSERT_NE(metrics.find("edge_node_key_replays 2"), std::string::npos);
@@ -221,19 +222,19 @@
   auto& [node, link, gateway] = serving;
   const std::uint64_t sent = Gateway::UnixMs();
   gateway.Write(Gateway::Request(1, kFirst, "x", {{"timeout", "900"}, {"ms", "1"}}));
-  link.Command();
+  link.ReadCommand();
   gateway.ReadAnswer(1, kFailed);  // No poll is answered meanwhile.
   ASSERT_LE(Gateway::UnixMs(), sent + 1000);
-  link.Finish(1, kFirst, "complete", "late");
+  link.SendFinished(1, kFirst, "complete", "late");
   // A request that has expired on arrival is rejected at once.
   gateway.Write(Gateway::Request(2, kSecond, "x", {{"ts", std::to_string(sent - 5000)}}));
   gateway.ReadAnswer(2, kRejected);
   // No answer to a caller that disconnected: the next answer is the next request's.
   gateway.Write(Gateway::Request(3, kThird, "x"));
-  link.Command();
+  link.ReadCommand();
   gateway.Write(Gateway::Encode(2, 3, "") + Gateway::HealthCheck(9));
   ASSERT_EQ(gateway.Read().type, kHealthResponseFrame);  // The node has read the cancellation.
-  link.Finish(2, kThird, "complete", "unheard");
+  link.SendFinished(2, kThird, "complete", "unheard");
   gateway.Write(Gateway::Request(4, kFourth, "x", {{"ts", std::to_string(sent - 5000)}}));
   gateway.ReadAnswer(4, kRejected);
 }
@@ -246,7 +247,7 @@
   Gateway gateway(node.port());
   Gateway other(node.port());
   gateway.Write(Gateway::Request(1, kFirst, "x"));
-  link.Command();
+  link.ReadCommand();
   gateway.Write(Gateway::Request(2, kSecond, "held", {{"kind", "usage-view"}, {"subject", kSecond}}));
   gateway.Write(Gateway::HealthCheck(1));
   ASSERT_EQ(gateway.Read().type, kHealthResponseFrame);
@@ -258,9 +259,9 @@
   }
   other.Write(requests + cancellations + Gateway::HealthCheck(17));
   ASSERT_EQ(other.Read().type, kHealthResponseFrame);
-  link.Finish(1, kFirst, "complete", "y");
+  link.SendFinished(1, kFirst, "complete", "y");
   ASSERT_EQ(gateway.ReadAnswer(1, kServed).body, "y");
-  ASSERT_EQ(link.Command(), "spawn " + kSecond + " usage-view 4");
+  ASSERT_EQ(link.ReadCommand(), "spawn " + kSecond + " usage-view 4");
 }
 
 // The last report said that the cores are idle.
@@ -274,7 +275,7 @@
   };
   for (std::uint32_t stream = 1; stream <= 3; ++stream) {
     ask(stream);
-    link.Command();  // Answers polls: the cores are idle, so a second and a third may run.
+    link.ReadCommand();  // Answers polls: the cores are idle, so a second and a third may run.
   }
   for (std::uint32_t stream = 4; stream <= 7; ++stream) ask(stream);
   int rejected = 0;
--- a/tests/node/scripted_peers.h
+++ b/tests/node/scripted_peers.h
@@ -56,54 +56,54 @@
     close(std::exchange(fd_, -1));
   }
   // Whether something comes within so many ms.
-  bool Ready(int ms) const {
+  bool HasInput(int ms) const {
     pollfd one{fd_, POLLIN, 0};
     return !read_.empty() || poll(&one, 1, ms) > 0;
   }
   void Write(std::string_view bytes) const {
     assert(send(fd_, bytes.data(), bytes.size(), MSG_NOSIGNAL) == static_cast<ssize_t>(bytes.size()));
   }
-  std::string Bytes(std::size_t count) {
-    while (read_.size() < count) assert(More());
+  std::string ReadBytes(std::size_t count) {
+    while (read_.size() < count) assert(ReceiveMore());
     std::string taken = read_.substr(0, count);
     read_.erase(0, count);
     return taken;
   }
-  std::string Line() {
+  std::string ReadLine() {
     std::size_t end;
-    while ((end = read_.find("\r\n")) == std::string::npos) assert(More());
-    const std::string line = Bytes(end + 2);
+    while ((end = read_.find("\r\n")) == std::string::npos) assert(ReceiveMore());
+    const std::string line = ReadBytes(end + 2);
     return line.substr(0, end);
   }
   // Whether nothing but the end of the stream is left to read, where Ready() is true.
-  bool AtEnd() const {
+  bool AtEndOfStream() const {
     char byte;
     return read_.empty() && recv(fd_, &byte, 1, MSG_PEEK) == 0;
   }
   // A line, or nothing where the peer ends the stream or resets first.
-  std::string LineOrEnd() {
+  std::string ReadLineOrEnd() {
     while (read_.find("\r\n") == std::string::npos) {
-      if (!More()) return {};
+      if (!ReceiveMore()) return {};
     }
-    return Line();
+    return ReadLine();
   }
   // Whether the peer closes in good order, without a further byte.
-  bool Finished() {
+  bool ClosedCleanly() {
     char byte;
     return read_.empty() && recv(fd_, &byte, 1, 0) == 0;
   }
   // Whether the peer closes or resets without a further byte.
-  bool Closed() { return read_.empty() && !More(); }
+  bool ClosedOrReset() { return read_.empty() && !ReceiveMore(); }
   // All that comes until the peer closes.
-  std::string Rest() {
-    while (More()) {
+  std::string ReadToEnd() {
+    while (ReceiveMore()) {
     }
     return std::exchange(read_, {});
   }
   int fd() const { return fd_; }
 
  private:
-  bool More() {
+  bool ReceiveMore() {
     char bytes[4096];
     const ssize_t got = recv(fd_, bytes, sizeof bytes, 0);
     assert(got >= 0 || errno == ECONNRESET);
@@ -153,12 +153,12 @@
 inline constexpr int kFailed = 2;
 
 // `value` in so many bytes, most significant first.
-inline std::string Number(std::uint64_t value, int bytes) {
+inline std::string EncodeNumber(std::uint64_t value, int bytes) {
   std::string out;
   while (bytes-- > 0) out.push_back(static_cast<char>(value >> (8 * bytes)));
   return out;
 }
-inline std::uint64_t Value(std::string_view bytes) {
+inline std::uint64_t DecodeNumber(std::string_view bytes) {
   std::uint64_t value = 0;
   for (const char c : bytes) value = value << 8 | static_cast<unsigned char>(c);
   return value;
@@ -176,7 +176,7 @@
 class Gateway {
  public:
   // The value of a field that is left out.
-  static constexpr std::string_view kNone = "(none)";
+  static constexpr std::string_view kOmitted = "(none)";
   explicit Gateway(std::uint16_t port) : socket_(::socket(AF_INET, SOCK_STREAM, 0)) {
     sockaddr_in at{};
     at.sin_family = AF_INET;
@@ -196,7 +196,7 @@
   }
 
   static std::string Encode(int type, std::uint32_t stream, std::string_view payload) {
-    std::string frame = Number(5 + payload.size(), 4) + Number(type, 1) + Number(stream, 4);
+    std::string frame = EncodeNumber(5 + payload.size(), 4) + EncodeNumber(type, 1) + EncodeNumber(stream, 4);
     return frame.append(payload);
   }
   // A health check that does not ask whether work gets done.
@@ -214,23 +214,23 @@
         {"kind", "order-lodge"}, {"req", req},     {"via", "1"},     {"timeout", "4000"},
         {"ms", "300.0"},         {"need", "20.0"}, {"level", "0.5"}, {"ts", std::to_string(UnixMs())}};
     for (const auto& [name, value] : with) {
-      if (value == kNone) {
+      if (value == kOmitted) {
         fields.erase(name);
       } else {
         fields[name] = value;
       }
     }
-    std::string payload = Number(fields.size(), 1);
+    std::string payload = EncodeNumber(fields.size(), 1);
     for (const auto& [name, value] : fields) {
-      payload += Number(name.size(), 1) + name + Number(value.size(), 2) + value;
+      payload += EncodeNumber(name.size(), 1) + name + EncodeNumber(value.size(), 2) + value;
     }
     return Encode(kRequestFrame, stream, payload.append(body));
   }
 
   Frame Read() {
-    std::string payload = socket_.Bytes(Value(socket_.Bytes(4)));
-    Frame frame{static_cast<int>(Value(payload.substr(0, 1))),
-                static_cast<std::uint32_t>(Value(payload.substr(1, 4))),
+    std::string payload = socket_.ReadBytes(DecodeNumber(socket_.ReadBytes(4)));
+    Frame frame{static_cast<int>(DecodeNumber(payload.substr(0, 1))),
+                static_cast<std::uint32_t>(DecodeNumber(payload.substr(1, 4))),
                 0,
                 {},
                 {}};
@@ -242,10 +242,10 @@
       return taken;
     };
     if (frame.type == kStopNewRequestsFrame) return frame;
-    frame.code = static_cast<int>(Value(take(1)));
-    for (std::uint64_t left = Value(take(1)); left > 0; --left) {
-      const std::string name = take(Value(take(1)));
-      frame.fields[name] = take(Value(take(2)));
+    frame.code = static_cast<int>(DecodeNumber(take(1)));
+    for (std::uint64_t left = DecodeNumber(take(1)); left > 0; --left) {
+      const std::string name = take(DecodeNumber(take(1)));
+      frame.fields[name] = take(DecodeNumber(take(2)));
     }
     frame.body = payload;
     return frame;
@@ -266,43 +266,44 @@
 class PoolLink {
  public:
   PoolLink(const Listener& pool, std::uint64_t last_notice) : socket_(pool.Accept()) {
-    assert(socket_.Line() == "bind " + std::to_string(last_notice));
+    assert(socket_.ReadLine() == "bind " + std::to_string(last_notice));
   }
   void Write(std::string_view bytes) const { socket_.Write(bytes); }
-  void Bound() const { Write("bound hot 1.0\r\n"); }
+  void SendBound() const { Write("bound hot 1.0\r\n"); }
   // Answers polls until another command comes, which it returns; a spawn's body goes to `body`.
-  std::string Command(std::string* body = nullptr) {
+  std::string ReadCommand(std::string* body = nullptr) {
     for (;;) {
-      const std::string line = socket_.Line();
+      const std::string line = socket_.ReadLine();
       if (line.starts_with("poll ")) {
         AnswerPoll(line);
         continue;
       }
-      const std::string bytes = socket_.Bytes(std::stoul(line.substr(line.rfind(' '))) + 2);
+      const std::string bytes = socket_.ReadBytes(std::stoul(line.substr(line.rfind(' '))) + 2);
       if (body != nullptr) *body = bytes.substr(0, bytes.size() - 2);
       return line;
     }
   }
-  std::string Line() { return socket_.Line(); }
+  std::string ReadLine() { return socket_.ReadLine(); }
   // The next command but polls, of those without a body.
-  std::string PassedOn() {
+  std::string ReadLineCommand() {
     for (;;) {
-      const std::string line = socket_.Line();
+      const std::string line = socket_.ReadLine();
       if (!line.starts_with("poll ")) return line;
       AnswerPoll(line);
     }
   }
   // All commands but polls that have come by now, of a node that sends no more.
-  std::vector<std::string> CommandsSoFar() {
+  std::vector<std::string> ReadPendingCommands() {
     std::vector<std::string> commands;
-    while (socket_.Ready(0)) {
-      const std::string line = socket_.Line();
+    while (socket_.HasInput(0)) {
+      const std::string line = socket_.ReadLine();
       if (!line.starts_with("poll ")) commands.push_back(line);
     }
     return commands;
   }
   void AnswerPoll(const std::string& line) const { Write("polled " + line.substr(5) + " 0.1 0 0.1 1\r\n"); }
-  void Finish(int number, const std::string& req, const std::string& end, const std::string& result) const {
+  void SendFinished(int number, const std::string& req, const std::string& end,
+                    const std::string& result) const {
     Write("finished " + std::to_string(number) + ' ' + req + ' ' + end + " 300.5 " +
           std::to_string(result.size()) + "\r\n" + result + "\r\n");
   }
@@ -312,13 +313,13 @@
 };
 
 // The whole response to one call on a node's second address.
-inline std::string Ask(std::uint16_t port, const std::string& call) {
+inline std::string SendAdminRequest(std::uint16_t port, const std::string& call) {
   Gateway caller(port);
   caller.Write(call);
-  return caller.socket().Rest();
+  return caller.socket().ReadToEnd();
 }
 inline std::string Get(std::uint16_t port, const std::string& path) {
-  return Ask(port, "GET " + path + " HTTP/1.1\r\nHost: n3\r\n\r\n");
+  return SendAdminRequest(port, "GET " + path + " HTTP/1.1\r\nHost: n3\r\n\r\n");
 }
 
 // The descriptor limit that leaves the gateways of `processes` nodes what `limit` leaves them with one thread
@@ -347,10 +348,10 @@
             {}, options.threads),
         thread_([this] { node_.Run(); }) {}
   ~RunningNode() {
-    if (thread_.joinable()) Leave();
+    if (thread_.joinable()) RequestDrain();
     if (thread_.joinable()) thread_.join();
   }
-  void Leave() { assert(kill(getpid(), SIGTERM) == 0); }
+  void RequestDrain() { assert(kill(getpid(), SIGTERM) == 0); }
   void Join() { thread_.join(); }
   // Puts another configuration in place and tells the node of it. Not again before it has been read.
   void Reload(const std::string& config) {
@@ -358,7 +359,7 @@
     assert(kill(getpid(), SIGHUP) == 0);
   }
   // The configuration with other peers.
-  std::string Moved(const Listener& to_pool, const Listener& to_registry) const {
+  std::string ConfigWithPeers(const Listener& to_pool, const Listener& to_registry) const {
     std::string config = config_;
     config.replace(config.find(pool.Address()), pool.Address().size(), to_pool.Address());
     config.replace(config.find(registry.Address()), registry.Address().size(), to_registry.Address());
@@ -367,7 +368,9 @@
   std::uint16_t port() const { return node_.port(); }
   std::uint16_t admin_port() const { return node_.admin_port(); }
   const std::string& config() const { return config_; }
-  std::string Ask(const std::string& call) const { return peers::Ask(admin_port(), call); }
+  std::string SendAdminRequest(const std::string& request) const {
+    return peers::SendAdminRequest(admin_port(), request);
+  }
   std::string Get(const std::string& path) const { return peers::Get(admin_port(), path); }
 
   static std::string Json(const Listener& pool, const Listener& registry, int stop_ms, int sockets) {
@@ -427,7 +430,7 @@
     admin_port = ports[1];
   }
   ~ForkedNode() {
-    if (pid_ > 0) End(SIGKILL);
+    if (pid_ > 0) SignalAndWait(SIGKILL);
   }
   void Signal(int number) const { assert(kill(pid_, number) == 0); }
   // The exit status, once it has ended by itself.
@@ -436,7 +439,7 @@
     assert(waitpid(std::exchange(pid_, -1), &status, 0) > 0);
     return WIFEXITED(status) ? WEXITSTATUS(status) : -1;
   }
-  void End(int number) {
+  void SignalAndWait(int number) {
     Signal(number);
     Wait();
   }
