--- a/src/node/config.cpp
+++ b/src/node/config.cpp
@@ -22,11 +22,12 @@
 
 using Json = nlohmann::json;
 
-constexpr int kLeastSockets = 64;
-constexpr int kMostSockets = std::numeric_limits<int>::max();
+constexpr int kMinDescriptors = 64;
+constexpr int kMaxDescriptors = std::numeric_limits<int>::max();
 
-// Guards against a text that the settings' lines would take for further lines.
-std::string Scalar(const Json& value, const std::string& path) {
+// Formats a value for a settings line. Rejects a text with a line break, since the parser would read the rest
+// as further settings.
+std::string FormatScalar(const Json& value, const std::string& path) {
   if (!value.is_string()) return value.dump();
   std::string text = value.get<std::string>();
   if (text.find_first_of("\r\n") != std::string::npos) {
@@ -36,7 +37,7 @@
   return text;
 }
 
-std::string Below(const std::string& path, const std::string& name) {
+std::string JoinPath(const std::string& path, const std::string& name) {
   return path.empty() ? name : std::string(path).append(".").append(name);
 }
 
@@ -44,7 +45,7 @@
 void Flatten(const Json& value, const std::string& path, std::string& lines) {
   if (value.is_object()) {
     for (const auto& [name, member] : value.items()) {
-      Flatten(member, Below(path, name), lines);
+      Flatten(member, JoinPath(path, name), lines);
     }
     return;
   }
@@ -57,22 +58,22 @@
   }
   lines += path + '=';
   if (value.is_array()) {
-    for (std::size_t i = 0; i < value.size(); ++i) lines += (i > 0 ? "," : "") + Scalar(value[i], path);
+    for (std::size_t i = 0; i < value.size(); ++i) lines += (i > 0 ? "," : "") + FormatScalar(value[i], path);
   } else if (!value.is_null()) {
-    lines += Scalar(value, path);
+    lines += FormatScalar(value, path);
   }
   lines += '\n';
 }
 
-// What is shown of a value at fault.
-std::string Shown(const Json& value) {
-  constexpr std::size_t kMostShown = 60;
+// Formats an invalid value for an error message, shortened.
+std::string FormatValue(const Json& value) {
+  constexpr std::size_t kMaxShownBytes = 60;
   const std::string text = value.dump(-1, ' ', false, Json::error_handler_t::replace);
-  return text.size() <= kMostShown ? text : text.substr(0, kMostShown) + "...";
+  return text.size() <= kMaxShownBytes ? text : text.substr(0, kMaxShownBytes) + "...";
 }
 
 [[noreturn]] void Reject(const std::string& path, const Json& value, const std::string& allowed) {
-  const std::string shown = Shown(value);
+  const std::string shown = FormatValue(value);
   throw ConfigError(path + " is " + shown + "; it must be " + allowed,
                     {.file = {}, .key = path, .value = shown, .allowed = allowed});
 }
@@ -96,12 +97,12 @@
   return value.get<std::string>();
 }
 
-// A number within these bounds, both included.
-double GetNumber(const Json& object, const std::string& path, const char* name, double least, double most) {
-  const std::string allowed = "a number from " + Json(least).dump() + " to " + Json(most).dump();
+// Reads a number between `min` and `max` inclusive.
+double GetNumber(const Json& object, const std::string& path, const char* name, double min, double max) {
+  const std::string allowed = "a number from " + Json(min).dump() + " to " + Json(max).dump();
   const Json& value = Member(object, path, name, allowed);
   const double number = value.is_number() ? value.get<double>() : std::nan("");
-  if (!(number >= least && number <= most)) Reject(path + name, value, allowed);
+  if (!(number >= min && number <= max)) Reject(path + name, value, allowed);
   return number;
 }
 
@@ -112,17 +113,17 @@
   return value;
 }
 
-// A name that requests carry, unlike the others of its list.
-void CheckName(const Json& item, const std::string& path, std::set<std::string>& taken) {
+// Checks that the member "name" of a class or tenant is valid in a request and unique in its list.
+void CheckName(const Json& item, const std::string& path, std::set<std::string>& names) {
   constexpr char kAllowed[] = "a text of 1 to 255 bytes, unlike the names before it";
-  constexpr std::size_t kMostBytes = 255;
+  constexpr std::size_t kMaxNameBytes = 255;
   const Json& name = Member(item, path, "name", kAllowed);
   const std::string text = name.is_string() ? name.get<std::string>() : std::string();
-  if (text.empty() || text.size() > kMostBytes || !taken.insert(text).second)
+  if (text.empty() || text.size() > kMaxNameBytes || !names.insert(text).second)
     Reject(path + "name", name, kAllowed);
 }
 
-// The objects of a list, each with its path.
+// Calls `check` with each object of a list and the path of the object.
 void ForEachObject(const Json& list, const std::string& path,
                    const std::function<void(const Json& item, const std::string& path)>& check) {
   if (!list.is_array()) Reject(path, list, "a list of objects");
@@ -133,8 +134,8 @@
   }
 }
 
-// Guards against a deadline that is a number in quotes, which flattened would be read as one, and against
-// classes and tenants that no request could name.
+// Checks the classes and tenants. Rejects a deadline that is a quoted number, since the flattened line would
+// be parsed as a number, and names that no request can carry.
 void CheckLists(const Json& settings) {
   constexpr char kClasses[] = "a list of at least one class";
   const Json& classes = Member(settings, "settings.", "requestClasses", kClasses);
@@ -149,45 +150,48 @@
   });
   const auto tenants = settings.find("tenants");
   if (tenants == settings.end() || tenants->is_null()) return;
-  std::set<std::string> owners;
-  ForEachObject(*tenants, "settings.tenants",
-                [&owners](const Json& item, const std::string& path) { CheckName(item, path, owners); });
+  std::set<std::string> tenant_names;
+  ForEachObject(*tenants, "settings.tenants", [&tenant_names](const Json& item, const std::string& path) {
+    CheckName(item, path, tenant_names);
+  });
 }
 
-// Translates an error of Settings::Validate(), "field: must be ...", into the keys of the file.
-[[noreturn]] void RejectField(const Json& settings, const std::string& word) {
-  const std::size_t colon = word.find(": must ");
-  const std::string key = SettingsKeyOf(word.substr(0, colon));
+// Throws a ConfigError for an error of Settings::Validate() ("field: must be ...") that names the key in the
+// configuration file instead of the field.
+[[noreturn]] void RejectField(const Json& settings, const std::string& error) {
+  const std::size_t colon = error.find(": must ");
+  const std::string key = SettingsKeyOf(error.substr(0, colon));
   std::string pointer = '/' + key;
   std::replace(pointer.begin(), pointer.end(), '.', '/');
   const Json::json_pointer at(pointer);
   const Json value = settings.contains(at) ? settings.at(at) : Json();
-  throw ConfigError("settings." + key + " is " + Shown(value) + "; it " + word.substr(colon + 2),
+  throw ConfigError("settings." + key + " is " + FormatValue(value) + "; it " + error.substr(colon + 2),
                     {.file = {},
                      .key = "settings." + key,
-                     .value = Shown(value),
-                     .allowed = word.substr(colon + std::string_view(": must ").size())});
+                     .value = FormatValue(value),
+                     .allowed = error.substr(colon + std::string_view(": must ").size())});
 }
 
-bool SameKind(const Json& a, const Json& b) {
+bool SameType(const Json& a, const Json& b) {
   return (a.is_number() && b.is_number()) || a.type() == b.type();
 }
 
-std::string KindName(const Json& value) {
+std::string TypeName(const Json& value) {
   return std::string(value.is_number() ? "a number" : value.type_name());
 }
 
-// Guards against a file with a part left out, whose place a default would take: what `running` has must be in
-// `fresh`, too. Lists of objects are matched by name; one of a new name needs what all the running have.
+// Checks that `fresh` has every key that `running` has, with a value of the same JSON type. Otherwise a key
+// left out of the file would silently get its default. Objects in a list are matched by name; an object with
+// a new name needs the keys that all running objects of the list have.
 void CheckKeys(const Json& running, const Json& fresh, const std::string& path) {
-  if (!SameKind(running, fresh)) {
-    Reject(path, fresh, KindName(running) + ", as in the running one");
+  if (!SameType(running, fresh)) {
+    Reject(path, fresh, TypeName(running) + ", as in the running configuration");
   }
   if (running.is_object()) {
     for (const auto& [name, member] : running.items()) {
-      const std::string at = Below(path, name);
+      const std::string at = JoinPath(path, name);
       if (!fresh.contains(name)) {
-        RejectMissing(at, KindName(member) + ", as in the running one");
+        RejectMissing(at, TypeName(member) + ", as in the running configuration");
       }
       CheckKeys(member, fresh[name], at);
     }
@@ -212,9 +216,9 @@
 }  // namespace
 
 Config ParseConfig(const std::string& text) {
-  constexpr double kMostStopMs = 3'600'000;
-  constexpr double kMostMemoryMb = 1 << 20;
-  constexpr double kLeastMemoryMb = 1;
+  constexpr double kMaxDrainTimeoutMs = 3'600'000;
+  constexpr double kMaxMemoryMb = 1 << 20;
+  constexpr double kMinMemoryMb = 1;
   const Json json = Json::parse(text, nullptr, false);
   if (!json.is_object())
     throw ConfigError("the text is not JSON, or not an object; it must be one JSON object");
@@ -226,17 +230,17 @@
   if (json.contains("store")) config.store_address = GetText(json, "store");
   if (json.contains("ops")) config.admin_address = GetText(json, "ops");
   const std::string seed = GetText(json, "seed");
-  const auto [end, fault] = std::from_chars(seed.data(), seed.data() + seed.size(), config.seed, 16);
-  if (fault != std::errc() || end != seed.data() + seed.size()) {
+  const auto [end, parse_error] = std::from_chars(seed.data(), seed.data() + seed.size(), config.seed, 16);
+  if (parse_error != std::errc() || end != seed.data() + seed.size()) {
     Reject("seed", seed, "a hexadecimal number of at most 64 bits");
   }
-  config.drain_timeout =
-      std::chrono::milliseconds(static_cast<std::int64_t>(GetNumber(json, "", "stop_ms", 0, kMostStopMs)));
+  config.drain_timeout = std::chrono::milliseconds(
+      static_cast<std::int64_t>(GetNumber(json, "", "stop_ms", 0, kMaxDrainTimeoutMs)));
   const Json& limits = GetObject(json, "limits");
   config.max_descriptors =
-      static_cast<int>(GetNumber(limits, "limits.", "sockets", kLeastSockets, kMostSockets));
+      static_cast<int>(GetNumber(limits, "limits.", "sockets", kMinDescriptors, kMaxDescriptors));
   if (limits.contains("memory_mb")) {
-    config.memory_limit_mb = GetNumber(limits, "limits.", "memory_mb", kLeastMemoryMb, kMostMemoryMb);
+    config.memory_limit_mb = GetNumber(limits, "limits.", "memory_mb", kMinMemoryMb, kMaxMemoryMb);
   }
   const Json& settings = GetObject(json, "settings");
   CheckLists(settings);
@@ -244,11 +248,11 @@
   Flatten(settings, "", lines);
   try {
     config.settings = hingelink::simulator_adapter::ParseSettings(lines);
-  } catch (const std::exception& wrong) {
-    throw ConfigError(wrong.what());
+  } catch (const std::exception& error) {
+    throw ConfigError(error.what());
   }
-  const std::string wrong = config.settings.Validate();
-  if (!wrong.empty()) RejectField(settings, wrong);
+  const std::string error = config.settings.Validate();
+  if (!error.empty()) RejectField(settings, error);
   config.source_text = text;
   return config;
 }
@@ -266,10 +270,10 @@
   }
   try {
     return ParseConfig(std::string(std::istreambuf_iterator<char>(file), {}));
-  } catch (const ConfigError& fault) {
-    ConfigError::Details details = fault.details();
+  } catch (const ConfigError& error) {
+    ConfigError::Details details = error.details();
     details.file = path;
-    throw ConfigError("configuration '" + path + "': " + fault.what(), std::move(details));
+    throw ConfigError("configuration '" + path + "': " + error.what(), std::move(details));
   }
 }
 
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -19,20 +19,23 @@
 using namespace std::chrono_literals;
 using hingelink::Outcome;
 
-// How long before a timer the gauges are asked for, so that they are new when it fires: a few round trips.
+// How long before a policy timer the node polls the gauges, so that they are current when the timer fires. A
+// few round trips to the worker pool.
 constexpr auto kGaugeLead = 4ms;
-// From the policy's last step to the kill: time to flush on a core that others use too.
+// Time between the policy's drain deadline and the kill: lets the node flush its answers on a shared core.
 constexpr auto kPolicyFlushLead = 150ms;
-// Before the kill: the process ends, whoever is still connected.
+// How long before the kill the main loop ends, even if callers are still connected.
 constexpr auto kExitLead = 60ms;
+// How long before the kill the node stops waiting for unsent answers.
 constexpr auto kFlushLead = 20ms;
-// Before the kill: connections whose peers have not closed by then are closed all the same.
+// How long before the kill the node closes connections that their peers have not closed.
 constexpr auto kCloseLead = 10ms;
 constexpr auto kDrainPollInterval = 10ms;
 constexpr std::size_t kMaxThreads = 64;
-// What an extension may do in one batch: without requests, and beside them. The latter is what one or two
-// requests cost, so that extensions delay an answer no more than one more request before it would.
+// Budget of the extensions in a batch without requests.
 constexpr BatchBudget kIdleBudget{.events = 64, .work = 1ms};
+// Budget in a batch with requests: the cost of one or two requests, so that extensions delay an answer no
+// more than another request ahead of it would.
 constexpr BatchBudget kRequestBudget{.events = 8, .work = 100us};
 
 Outcome ToOutcome(proto::RunOutcome end) {
@@ -57,10 +60,10 @@
 
 }  // namespace
 
-Node::Node(Config config, std::function<Config()> reread, const std::string& handover_folder,
+Node::Node(Config config, std::function<Config()> load_config, const std::string& handover_folder,
            std::size_t threads, const WorkerPoolFactory& create_pool)
     : config_(std::move(config)),
-      reread_(std::move(reread)),
+      load_config_(std::move(load_config)),
       threads_(std::clamp<std::size_t>(threads, 1, kMaxThreads)),
       base_(net::MakeBase()),
       metrics_(config_.settings.classes, std::max<std::size_t>(1, loops())),
@@ -92,12 +95,12 @@
           base_.get(),
           [this] {
             step_due_ = true;
-            // Guards the decisions against a flood that always leaves something to read: they are made now.
+            // Interrupts the loop: a flood of input would otherwise keep it reading and delay the decisions.
             event_base_loopbreak(base_.get());
           },
           net::kHighPriority),
       gauge_timer_(base_.get(), [this] { pool_->PollGauges(); }),
-      // Beside a predecessor, once there is a worker pool to run what comes.
+      // With a predecessor, the node accepts clients only once its worker pool has connected.
       listening_(!handover_.has_siblings()),
       drain_timer_(base_.get(), [] {}) {
   ConnectStore(config_.store_address);
@@ -109,10 +112,10 @@
                           net::OpsServer::Answers{.ready = [this] { return Ready(); },
                                                   .stats = [this] { return MetricsText(); }});
   }
-  const auto leave = [](evutil_socket_t, short, void* self) { static_cast<Node*>(self)->StartDrain(); };
-  sigterm_ = OnSignal(base_.get(), SIGTERM, leave, this);
-  sigint_ = OnSignal(base_.get(), SIGINT, leave, this);
-  // Guards against a new configuration that ends the node: SIGHUP does, where nothing handles it.
+  const auto start_drain = [](evutil_socket_t, short, void* self) { static_cast<Node*>(self)->StartDrain(); };
+  sigterm_ = OnSignal(base_.get(), SIGTERM, start_drain, this);
+  sigint_ = OnSignal(base_.get(), SIGINT, start_drain, this);
+  // Without a handler, SIGHUP would terminate the process.
   sighup_ = OnSignal(
       base_.get(), SIGHUP, [](evutil_socket_t, short, void* self) { static_cast<Node*>(self)->Reload(); },
       this);
@@ -180,19 +183,19 @@
                  });
 }
 
-// Shares of the process's memory. Guards against results and keys that outgrow it, and take the node with
-// them.
+// Limits the stored results and keys to fractions of the memory limit, so that they cannot exhaust the memory
+// of the process.
 KeyTable::Limits Node::KeyLimits() const {
-  constexpr double kResults = 1.0 / 8, kKeys = 1.0 / 16, kBytesOfKey = 320;
+  constexpr double kResultsFraction = 1.0 / 8, kKeysFraction = 1.0 / 16, kBytesPerKey = 320;
   const double bytes = config_.memory_limit_mb * (1 << 20);
-  return {.max_keys = static_cast<std::size_t>(kKeys * bytes / kBytesOfKey),
-          .max_result_bytes = static_cast<std::size_t>(kResults * bytes)};
+  return {.max_keys = static_cast<std::size_t>(kKeysFraction * bytes / kBytesPerKey),
+          .max_result_bytes = static_cast<std::size_t>(kResultsFraction * bytes)};
 }
 
 std::unique_ptr<net::GatewayFrontEnd> Node::CreateFront() {
   const sockaddr_in listen = net::ParseAddress(config_.listen_address);
   const auto sockets = static_cast<std::size_t>(config_.max_descriptors);
-  const std::size_t most = sockets > ReservedDescriptors() ? sockets - ReservedDescriptors() : 1;
+  const std::size_t max_connections = sockets > ReservedDescriptors() ? sockets - ReservedDescriptors() : 1;
   core::FrontEndEvents events{
       .request = [this](const IncomingRequest& request) { HandleRequest(request); },
       .disconnected =
@@ -203,12 +206,12 @@
       .deep_check = [this](StreamAddress from) { checks_.OnDeepCheck(from); },
       .class_counts = [this](std::string_view class_name) { return metrics_.CountsFor(class_name); }};
   if (loops() == 0) {
-    return std::make_unique<net::SingleLoopFrontEnd>(base_.get(), listen, handover_.RequestListener(), most,
-                                                     std::move(events));
+    return std::make_unique<net::SingleLoopFrontEnd>(base_.get(), listen, handover_.RequestListener(),
+                                                     max_connections, std::move(events));
   }
   net::LoopGroup::Options options;
   options.loops = loops();
-  options.max_connections = most;
+  options.max_connections = max_connections;
   options.classes = [this](std::size_t loop) {
     auto table = std::make_shared<net::ClassTable>();
     for (const std::string& name : metrics_.class_names())
@@ -222,30 +225,33 @@
                                           std::move(options), std::move(events));
 }
 
-// The front tells the table of each connection that it ends, so it must end them while the table stands.
+// The front end reports each connection that it closes to table_, so it must close them before table_ is
+// destroyed.
 Node::~Node() { front_->Shutdown({}); }
 
 void Node::HandleRequest(const IncomingRequest& request) {
   if (policy_ && !stopped_) {
     table_.OnRequest(request);
   } else {
-    // Without a worker pool nothing can run; without a module, before and after its life, nothing is held.
+    // The policy does not exist before the worker pool has connected, and is not called after the drain.
     front_->Deliver(request.reply_to, Rejected());
   }
 }
 
 void Node::Run() {
   for (;;) {
-    // An action may have left an event for the policy (the end of a replay): that one waits for nothing.
-    // Nor does news that had no room in the last batch.
-    const bool more = table_.has_events() || (policy_ && AnyExtensionHasEvents());
-    event_base_loop(base_.get(), more ? EVLOOP_NONBLOCK : EVLOOP_ONCE);
-    if (step_due_ || table_.has_events() || (draining_ && !notice_given_) || AnyExtensionHasEvents()) Step();
+    // Does not block if events are pending: an action may have added one (the end of a replay), and events of
+    // extensions may not have fit into the last batch.
+    const bool events_pending = table_.has_events() || (policy_ && AnyExtensionHasEvents());
+    event_base_loop(base_.get(), events_pending ? EVLOOP_NONBLOCK : EVLOOP_ONCE);
+    if (step_due_ || table_.has_events() || (draining_ && !drain_notice_sent_) || AnyExtensionHasEvents())
+      Step();
     front_->Sweep();
     for (NodeExtension* extension : extensions_) extension->OnRoundCompleted();
     if (store_) store_->FreeEndedConnections();
     if (admin_server_) admin_server_->Sweep();
-    // Its runs too must be over: the successor counts them for as long as this process tells of them.
+    // Also waits for executions without a waiting caller: the successor counts them in its load as long as
+    // this process reports them.
     if (handed_over_ && table_.empty() && front_->AllSent() && front_->connections() == 0) break;
     if (draining_) {
       const Steady::time_point now = Steady::now();
@@ -255,8 +261,8 @@
       drain_timer_.Start(kDrainPollInterval);
     }
   }
-  // The last answers must be out before the process ends; what is still read is turned away, also what has
-  // come by now and lies unread.
+  // Sends the last answers before the process exits. Requests that are read from here on, including those
+  // already in the socket buffers, are rejected.
   stopped_ = true;
   event_base_loop(base_.get(), EVLOOP_ONCE | EVLOOP_NONBLOCK);
   front_->StopReading();
@@ -273,15 +279,15 @@
   event_base_loop(base_.get(), EVLOOP_NONBLOCK);
 }
 
-void Node::BindThreads(const std::vector<std::vector<unsigned>>& units) {
-  bool good = true;
-  for (std::size_t i = 0; i < units.size() && i < threads_; ++i) {
-    good =
-        (i == 0 ? net::PinThreadToCpus(pthread_self(), units[i]) : front_->PinLoopToCpus(i - 1, units[i])) &&
-        good;
+void Node::BindThreads(const std::vector<std::vector<unsigned>>& cpus) {
+  bool pinned = true;
+  for (std::size_t i = 0; i < cpus.size() && i < threads_; ++i) {
+    pinned =
+        (i == 0 ? net::PinThreadToCpus(pthread_self(), cpus[i]) : front_->PinLoopToCpus(i - 1, cpus[i])) &&
+        pinned;
   }
-  // It serves as well as without; only the operator's wish is not met.
-  if (!good) log::Warn("pin-failed");
+  // The node works without pinning, so a failure is only logged.
+  if (!pinned) log::Warn("pin-failed");
 }
 
 void Node::OnPoolConnected(bool warming_up) {
@@ -298,15 +304,15 @@
   handover_.SendReady();
 }
 
-// All that is ready goes to the policy in one call; then its actions are executed in order.
+// Passes all pending events to the policy in one call and executes the resulting actions in order.
 void Node::Step() {
   step_due_ = false;
   if (!policy_) return;
   std::vector<hingelink::Event> events = table_.TakeEvents(std::chrono::system_clock::now());
-  if (draining_ && !notice_given_) {
-    notice_given_ = true;
-    const Millis left = kill_at_ - Steady::now() - kPolicyFlushLead;
-    events.emplace_back(hingelink::DrainNotice{std::max(0.0, left.count())});
+  if (draining_ && !drain_notice_sent_) {
+    drain_notice_sent_ = true;
+    const Millis remaining = kill_at_ - Steady::now() - kPolicyFlushLead;
+    events.emplace_back(hingelink::DrainNotice{std::max(0.0, remaining.count())});
   }
   EventBatch batch(events, events.empty() ? kIdleBudget : kRequestBudget);
   for (NodeExtension* extension : extensions_) extension->AddEvents(batch);
@@ -328,10 +334,10 @@
 std::string Node::MetricsText() const {
   std::string text = metrics_.Text(table_.unanswered(), TakeLoopSnapshots());
   const auto& classes = config_.settings.classes;
-  const bool keyed = std::any_of(classes.begin(), classes.end(), [](const auto& c) {
+  const bool has_keyed_class = std::any_of(classes.begin(), classes.end(), [](const auto& c) {
     return c.idempotency == hingelink::Idempotency::kKeyed;
   });
-  if (keyed || store_)
+  if (has_keyed_class || store_)
     text += UpstreamMetricsText(table_.keys(), table_.upstream_calls(), store_ ? &*store_ : nullptr);
   for (const NodeExtension* extension : extensions_) text += extension->MetricsText();
   return text;
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -1,4 +1,4 @@
-// The portal node: connects gateways, worker pool and policy in one event loop.
+// The portal node: connects the gateways, the worker pool and the server policy in one event loop.
 #ifndef HINGELINK_NODE_NODE_H_
 #define HINGELINK_NODE_NODE_H_
 
@@ -28,50 +28,54 @@
 
 namespace hingelink::node {
 
+// One portal node process. All methods but the constructor and ImportLearned() must be called on the thread
+// that calls Run().
 class Node {
  public:
-  // Listens and connects at once. Throws where that cannot be.
-  // `reread` gives the configuration anew, or throws what is wrong with it.
-  // Processes of one node that share `handover_folder` take over from each other there; empty: none does.
-  // With more than one thread, this one decides and the others carry the gateways' connections.
-  // Without `create_pool` it has the one worker pool of its configuration.
   using WorkerPoolFactory = std::function<std::unique_ptr<net::WorkerPool>(
       event_base* base, const std::string& name, net::PoolEvents events, net::PoolGroupCallbacks callbacks)>;
-  Node(Config config, std::function<Config()> reread, const std::string& handover_folder = {},
+  // Opens the listening sockets and starts to connect to the peers. Throws if an address is invalid or a
+  // socket cannot be opened. `load_config` reads the configuration again for a reload and throws if the
+  // configuration is invalid. `handover_folder`: the processes of one node that share this directory hand
+  // over the clients to each other; empty: no handover. `threads`: with more than one, the thread that calls
+  // Run() makes all decisions, and each other thread runs an event loop that carries gateway connections.
+  // `create_pool` creates the worker pool; without it, the node connects to the pool in its configuration.
+  Node(Config config, std::function<Config()> load_config, const std::string& handover_folder = {},
        std::size_t threads = 1, const WorkerPoolFactory& create_pool = {});
   ~Node();
   Node(const Node&) = delete;
   Node& operator=(const Node&) = delete;
 
-  // Binds the calling thread, which is to Run(), and then each loop. To be called before Run().
-  void BindThreads(const std::vector<std::vector<unsigned>>& units);
-  // What an earlier process learned, for the policy to start from. To be called before Run().
+  // Pins the calling thread to the CPUs `cpus[0]` and the event loop i to `cpus[i + 1]`. Must be called
+  // before Run(), on the thread that calls Run().
+  void BindThreads(const std::vector<std::vector<unsigned>>& cpus);
+  // Sets the learned state of an earlier process, from which the policy starts. Must be called before Run().
   void ImportLearned(const hingelink::Learned& learned);
-  // Serves until a notice to leave has been carried out.
+  // Serves until a drain or a handover is complete.
   void Run();
 
-  // ---- For those who watch and steer it, on its own loop, from callbacks of their own ----
+  // ---- For the control server, the background jobs and the fleet: called from callbacks on base() ----
   event_base* base() const { return base_.get(); }
   Snapshot TakeSnapshot() const;
   std::vector<LoopSnapshot> TakeLoopSnapshots() const;
-  // At most so many of the gateways' connections.
-  std::vector<ConnectionSnapshot> TakeConnectionSnapshots(std::size_t most) const;
-  // What SIGTERM and SIGHUP do. StartDrain() says whether it was told before.
+  // Describes at most `max_connections` gateway connections.
+  std::vector<ConnectionSnapshot> TakeConnectionSnapshots(std::size_t max_connections) const;
+  // Starts the drain, as SIGTERM does. Returns false if the drain has already started.
   bool StartDrain();
-  // Empty, or what is wrong with the file.
+  // Reloads the configuration, as SIGHUP does. Returns the error message, or an empty text on success.
   std::string Reload();
 
-  // What the policy has learned so far; nothing before it exists.
+  // The learned state of the policy; empty before the worker pool has connected.
   hingelink::Learned ExportLearned() const {
     return policy_ ? policy_->ExportLearned() : hingelink::Learned{};
   }
-  // Requests wait to be run.
+  // Whether requests wait for a start.
   bool HasQueuedRequests() const { return policy_ && policy_->CurrentLoad().queued_work_ms > 0; }
   bool draining() const { return draining_; }
-  // Whether this process takes clients.
+  // Whether this process accepts clients.
   bool ready() const { return Ready(); }
-  // Takes part in the loop from now on, behind those that were added before, until RemoveExtension(). Not to
-  // be called from within its own calls.
+  // Calls `extension` in each round of the loop, after the extensions added earlier, until RemoveExtension().
+  // The node doesn't own it. Neither method may be called from a method of an extension.
   void AddExtension(NodeExtension& extension) { extensions_.push_back(&extension); }
   void RemoveExtension(const NodeExtension& extension) { std::erase(extensions_, &extension); }
   const std::string& name() const { return config_.name; }
@@ -83,18 +87,19 @@
  private:
   using Steady = net::Steady;
 
-  // Descriptors kept from the gateways: the pool link, the registry, the log, epoll, and what is closing.
+  // Descriptors reserved for the pool link, the registry, the log, epoll, and sockets that are closing.
   static constexpr std::size_t kReservedDescriptors = 32;
 
-  // Descriptors that are not the gateways': a loop has its epoll, its timer and its wake; the store its
-  // connections.
+  // Descriptors that gateway connections must not use. Each loop needs three: epoll, its timer and its
+  // wake-up descriptor. The store client needs its connections.
   std::size_t ReservedDescriptors() const {
     const std::size_t store = config_.store_address.empty() ? 0
                                                             : decide::kMaxUpstreamConnections +
                                                                   net::StoreClient::kMaxRetiringConnections;
     return kReservedDescriptors + 3 * loops() + store;
   }
-  std::size_t loops() const { return threads_ - 1; }  // Those that carry connections, beside this one.
+  // Event loops that carry connections, without the loop of the deciding thread.
+  std::size_t loops() const { return threads_ - 1; }
   std::unique_ptr<net::GatewayFrontEnd> CreateFront();
   void HandleRequest(const IncomingRequest& request);
   void Step();
@@ -103,51 +108,54 @@
   void ArmTimers();
   void OnPoolConnected(bool warming_up);
   void DrainStep();
-  // Whether this process takes clients.
+  // Whether this process accepts clients.
   bool Ready() const { return listening_ && policy_ && !draining_ && handover_.takeover_complete(); }
-  // Another process takes the clients from now on, or none does any more.
+  // The successor is ready: stops accepting clients.
   void HandOverToSuccessor();
+  // The successor has exited before the handover was complete: accepts clients again.
   void ResumeServing();
-  // What the other processes of this node have in hand has changed.
+  // The load or the number of the sibling processes, or the descriptor limit, has changed.
   void OnSiblingLoadChanged();
-  // What is known of their keys has changed; a key of this process has; another tells of one of its own.
+  // Tells the request table whether the idempotency keys of the siblings are known.
   void UpdateSiblingKeys();
+  // Calls `each` for every idempotency key that this process retains.
   void ReportKeys(const net::Handover::KeyVisitor& each) const;
+  // Sends the state of a key to the successor, if there is one.
   void ReportKey(const core::IdempotencyKey& key);
+  // The predecessor has sent the state of one of its keys.
   void OnKeyReported(const proto::KeyMessage& line, std::string_view result);
   std::string MetricsText() const;
   void NotifyLifecyclePhase(NodeExtension::LifecyclePhase phase);
-  // Whether an extension has events for the policy.
   bool AnyExtensionHasEvents() const;
-  // What a predecessor has learned is newer than what any folder holds.
+  // The learned state is passed from a process to its successor, since the state stored in files is older.
   std::vector<proto::LearnedClassMessage> LearnedForSuccessor() const;
   void OnPredecessorLearned(const proto::LearnedClassMessage& line);
   Millis Clock() const { return Steady::now() - started_at_; }
 
   Config config_;
-  std::function<Config()> reread_;
+  std::function<Config()> load_config_;
   const std::size_t threads_;
   net::BasePtr base_;
   Steady::time_point started_at_ = Steady::now();
   Metrics metrics_;
-  // The other processes of this node, as a part that joins the loop: their load in, this one's out.
+  // Passes the load of the sibling processes to the policy and reports the load of this process to them.
   class SiblingProcesses : public NodeExtension {
    public:
     explicit SiblingProcesses(Node& node) : node_(node) {}
-    void Changed() { changed_ = true; }
-    bool HasPendingEvents() const override { return changed_; }
+    void MarkLoadChanged() { load_changed_ = true; }
+    bool HasPendingEvents() const override { return load_changed_; }
     void AddEvents(EventBatch& batch) override;
     void OnStepCompleted() override;
     void OnRoundCompleted() override { node_.handover_.Sweep(); }
 
    private:
     Node& node_;
-    bool changed_ = false;
+    bool load_changed_ = false;
     Steady::time_point reported_at_{};
   };
 
   std::unique_ptr<net::WorkerPool> CreatePool(const WorkerPoolFactory& create_pool);
-  // What the table's runs stand on.
+  // The functions by which the request table makes upstream calls.
   UpstreamCalls::Links UpstreamLinks();
   void ConnectStore(const std::string& address);
   KeyTable::Limits KeyLimits() const;
@@ -163,9 +171,11 @@
   net::RegistryClient registry_;
   std::optional<net::OpsServer> admin_server_;
   std::optional<hingelink::ServerPolicy> policy_;
+  // The learned state that the policy starts from.
   hingelink::Learned imported_;
-  using Due = std::pair<Steady::time_point, std::uint32_t>;
-  std::priority_queue<Due, std::vector<Due>, std::greater<>> timers_;
+  // The expiry of a policy timer and its token.
+  using PolicyTimer = std::pair<Steady::time_point, std::uint32_t>;
+  std::priority_queue<PolicyTimer, std::vector<PolicyTimer>, std::greater<>> timers_;
   net::Timer timer_;
   net::Timer gauge_timer_;
   bool step_due_ = false;
@@ -173,10 +183,11 @@
   net::EventPtr sigint_;
   net::EventPtr sighup_;
   bool draining_ = false;
-  bool notice_given_ = false;
+  bool drain_notice_sent_ = false;  // The policy has received the DrainNotice, or needs none.
   bool listening_;
   bool handed_over_ = false;
-  bool stopped_ = false;  // The module has had its last say.
+  bool stopped_ = false;  // The policy is no longer called; new requests are rejected.
+  // When the supervisor kills the process at the latest; set by StartDrain().
   Steady::time_point kill_at_{};
   net::Timer drain_timer_;
 };
--- a/src/node/node_drain.cpp
+++ b/src/node/node_drain.cpp
@@ -1,4 +1,4 @@
-// A node that hands over, leaves, or takes another configuration.
+// Handover to a successor process, drain, and configuration reload of a node.
 #include <algorithm>
 #include <cmath>
 #include <exception>
@@ -12,10 +12,12 @@
 
 using namespace std::chrono_literals;
 
-// Before the kill: no more connections are taken, and those that stand are asked for no more.
+// How long before the kill the node closes its listener and asks its callers to send no new requests.
 constexpr auto kCloseListenerLead = 500ms;
-// Beside a successor the kill follows so long behind the longest deadline, which is taken as at most this.
-constexpr auto kAfterLongestDeadline = 700ms, kMaxDeadlineConsidered = 3000ms;
+// After a handover, the process exits this long after the longest request deadline has passed.
+constexpr auto kExitDelayAfterLongestDeadline = 700ms;
+// Upper bound on the deadline in that calculation.
+constexpr auto kMaxDeadlineConsidered = 3000ms;
 
 }  // namespace
 
@@ -30,10 +32,10 @@
   NotifyLifecyclePhase(NodeExtension::LifecyclePhase::kHandedOver);
 }
 
-// Guards against a successor that dies: its clients are served by this process again.
+// Called if the successor dies: this process accepts its clients again.
 void Node::ResumeServing() {
   if (draining_) return;
-  log::Warn("taken-back");
+  log::Warn("serving-resumed");
   handed_over_ = false;
   listening_ = true;
   front_->ResumeListening();
@@ -46,12 +48,13 @@
   draining_ = true;
   NotifyLifecyclePhase(NodeExtension::LifecyclePhase::kDraining);
   if (handed_over_) {
-    // No DrainNotice for the policy: the successor has the clients already, and requests in flight are
-    // executed and answered in their own time.
-    notice_given_ = true;
+    // The policy gets no DrainNotice: the successor already serves the clients, and the requests in flight
+    // complete normally before their deadlines.
+    drain_notice_sent_ = true;
     double longest = 0;
     for (const auto& c : config_.settings.classes) longest = std::max(longest, c.deadline_ms);
-    const Millis stop = std::min(Millis(longest), Millis(kMaxDeadlineConsidered)) + kAfterLongestDeadline;
+    const Millis stop =
+        std::min(Millis(longest), Millis(kMaxDeadlineConsidered)) + kExitDelayAfterLongestDeadline;
     kill_at_ = Steady::now() + std::chrono::duration_cast<Steady::duration>(stop);
     log::Info("leave", {{"successor", true}, {"stop_ms", std::llround(stop.count())}});
     return true;
@@ -63,16 +66,16 @@
   return true;
 }
 
-// Takes the whole file or nothing of it. Name, addresses of its own and seed hold for the process's whole
-// life.
+// Applies the whole new configuration or nothing of it. Changes of the name, the seed and the node's own
+// addresses need a restart and are not applied.
 std::string Node::Reload() {
   try {
-    Config fresh = reread_();
+    Config fresh = load_config_();
     fresh.CheckAgainst(config_);
     const sockaddr_in pool = net::ParseAddress(fresh.pool_address),
                       registry = net::ParseAddress(fresh.registry_address);
     if (!fresh.store_address.empty()) net::ParseAddress(fresh.store_address);
-    // The arrivals so far name their class by its place in the settings that held when they came.
+    // Pending events refer to classes by their index in the current settings, so they are processed first.
     Step();
     if (policy_) policy_->Reconfigure(fresh.settings);
     log::Info("reload", {{"pool", fresh.pool_address},
--- a/src/node/node_siblings.cpp
+++ b/src/node/node_siblings.cpp
@@ -1,4 +1,4 @@
-// What a node and the other processes of it tell each other: load, keys, what was learned.
+// Messages between the sibling processes of a node: load, idempotency keys and learned state.
 #include <algorithm>
 #include <utility>
 
@@ -10,10 +10,10 @@
 
 using namespace std::chrono_literals;
 
-// Between two words on what this process has in hand.
+// Minimum interval between two load reports to the sibling processes.
 constexpr auto kLoadReportInterval = 4ms;
 
-proto::KeyMessage LineOf(const KeyUpdate& update) {
+proto::KeyMessage ToKeyMessage(const KeyUpdate& update) {
   return {update.key,
           update.content,
           static_cast<int>(update.state),
@@ -22,15 +22,15 @@
           update.result ? update.result->size() : 0};
 }
 
-std::string_view ResultOf(const KeyUpdate& update) {
+std::string_view ResultOrEmpty(const KeyUpdate& update) {
   return update.result ? std::string_view(*update.result) : std::string_view();
 }
 }  // namespace
 
 void Node::SiblingProcesses::AddEvents(EventBatch& batch) {
-  if (!changed_) return;
+  if (!load_changed_) return;
   const proto::LoadMessage load = node_.handover_.siblings_load();
-  changed_ = !batch.Add(hingelink::SiblingLoad{{load.running, load.memory_kb, load.queued_work_ms}});
+  load_changed_ = !batch.Add(hingelink::SiblingLoad{{load.running, load.memory_kb, load.queued_work_ms}});
 }
 
 void Node::SiblingProcesses::OnStepCompleted() {
@@ -41,12 +41,12 @@
 }
 
 void Node::OnSiblingLoadChanged() {
-  sibling_processes_.Changed();
-  // The descriptors are one limit for all processes of this node, and each keeps its own reserve.
-  const std::size_t taken =
+  sibling_processes_.MarkLoadChanged();
+  // All processes of this node share one descriptor limit, and each process reserves its own descriptors.
+  const std::size_t used =
       ReservedDescriptors() * (1 + handover_.sibling_count()) + handover_.siblings_load().connections;
   const auto sockets = static_cast<std::size_t>(config_.max_descriptors);
-  front_->SetMaxConnections(sockets > taken ? sockets - taken : 1, handover_.has_siblings());
+  front_->SetMaxConnections(sockets > used ? sockets - used : 1, handover_.has_siblings());
 }
 
 void Node::UpdateSiblingKeys() {
@@ -58,14 +58,14 @@
 }
 
 void Node::ReportKeys(const net::Handover::KeyVisitor& each) const {
-  table_.keys().ForEachRetained(Steady::now(),
-                                [&each](const KeyUpdate& update) { each(LineOf(update), ResultOf(update)); });
+  table_.keys().ForEachRetained(
+      Steady::now(), [&each](const KeyUpdate& update) { each(ToKeyMessage(update), ResultOrEmpty(update)); });
 }
 
 void Node::ReportKey(const core::IdempotencyKey& key) {
   if (!handed_over_) return;
   const KeyUpdate update = table_.keys().UpdateOf(key, Steady::now());
-  handover_.SendKey(LineOf(update), ResultOf(update));
+  handover_.SendKey(ToKeyMessage(update), ResultOrEmpty(update));
 }
 
 void Node::OnKeyReported(const proto::KeyMessage& line, std::string_view result) {
@@ -76,7 +76,7 @@
                    .result = std::nullopt};
   if (line.has_result) update.result = result;
   table_.OnKeyUpdate(update);
-  // A third process may have taken over from this one by then.
+  // If this process has already handed over to a successor, it forwards the key to the successor.
   ReportKey(line.key);
 }
 
@@ -90,26 +90,27 @@
 std::vector<proto::LearnedClassMessage> Node::LearnedForSuccessor() const {
   std::vector<proto::LearnedClassMessage> lines;
   for (const hingelink::LearnedClass& c : ExportLearned().classes) {
-    const auto told = std::find_if(config_.settings.classes.begin(), config_.settings.classes.end(),
-                                   [&c](const auto& t) { return t.name == c.name; });
-    if (told == config_.settings.classes.end()) continue;
-    lines.push_back({c.name, told->latency_objective_ms, told->deadline_ms, c.run_ms, c.core_time_ms,
+    const auto settings = std::find_if(config_.settings.classes.begin(), config_.settings.classes.end(),
+                                       [&c](const auto& s) { return s.name == c.name; });
+    if (settings == config_.settings.classes.end()) continue;
+    lines.push_back({c.name, settings->latency_objective_ms, settings->deadline_ms, c.run_ms, c.core_time_ms,
                      c.expected_work_ms, c.samples});
   }
   return lines;
 }
 
 void Node::OnPredecessorLearned(const proto::LearnedClassMessage& line) {
-  // Once decisions have begun, this process knows better. A predecessor may have had another file.
+  // Once the policy exists, it has its own measurements. ImportLearnedRecord() checks the record against the
+  // settings, since the predecessor may have had another configuration.
   if (policy_) return;
-  const decide::LearnedRecord remembered{
+  const decide::LearnedRecord record{
       config_.name,
       std::chrono::milliseconds(0),
       config_.settings.cores,
       {{line.name, line.latency_objective_ms, line.deadline_ms}},
       {{{line.name, line.run_ms, line.core_time_ms, line.expected_work_ms, line.samples}}}};
   ImportLearned(
-      decide::ImportLearnedRecord(remembered, config_.name, std::chrono::milliseconds(0), config_.settings)
+      decide::ImportLearnedRecord(record, config_.name, std::chrono::milliseconds(0), config_.settings)
           .learned);
 }
 
--- a/src/node/settings_keys.cpp
+++ b/src/node/settings_keys.cpp
@@ -11,8 +11,8 @@
   std::string_view key;
 };
 
-// The one place where fields of hingelink::Settings meet the keys of the configuration file, which do not
-// change with the names of the fields.
+// Maps fields of hingelink::Settings to keys of the configuration file. The keys stay the same when a field
+// is renamed.
 constexpr FieldKey kScalars[] = {
     {"cores", "specifics.cpus"},
     {"memory_kb", "specifics.memoryKb"},
@@ -42,6 +42,7 @@
     {"classes", "requestClasses"},
 };
 
+// Fields of list elements.
 constexpr FieldKey kMembers[] = {
     {"deadline_ms", "hardLimitMs"},
     {"latency_objective_ms", "goalTimeMs"},
@@ -70,7 +71,7 @@
   const std::string_view list = KeyIn(kScalars, field.substr(0, open));
   const std::string_view index = field.substr(open + 1, close - open - 1);
   const std::string_view member = field.substr(close + 2);
-  // The file has one list for all classes, beside them.
+  // The configuration file keeps these values in a separate list, indexed by class.
   if (member == "fallback_weight_fraction") return std::string("specifics.worthWithout.").append(index);
   return std::string(list).append(".").append(index).append(".").append(KeyIn(kMembers, member));
 }
--- a/src/node/settings_keys.h
+++ b/src/node/settings_keys.h
@@ -1,4 +1,4 @@
-// Keys of the configuration file for the fields of hingelink::Settings, for error messages.
+// Maps the fields of hingelink::Settings to keys of the configuration file, for error messages.
 #ifndef HINGELINK_NODE_SETTINGS_KEYS_H_
 #define HINGELINK_NODE_SETTINGS_KEYS_H_
 
@@ -7,7 +7,7 @@
 
 namespace hingelink::node {
 
-// The key of a field as Settings::Validate() names it: "specifics.cpus" for "cores",
+// Returns the key of a field that Settings::Validate() names: "specifics.cpus" for "cores",
 // "requestClasses.2.hardLimitMs" for "classes[2].deadline_ms". A field without a key of its own is returned
 // unchanged.
 [[nodiscard]] std::string SettingsKeyOf(std::string_view field);
--- a/src/node/snapshot.h
+++ b/src/node/snapshot.h
@@ -15,16 +15,16 @@
   kStarting,    // The worker pool has not connected yet.
   kServing,     // Accepts clients.
   kHandedOver,  // A successor accepts the clients; requests in flight are completed here.
-  kDraining,    // The drain notice has come.
+  kDraining,    // The drain has started.
 };
-// The name of a state in the control protocol.
+// Returns the name of a state in the control protocol.
 [[nodiscard]] const char* NodeStateName(NodeState state);
 
 struct ClassSnapshot {
   std::string name;
-  // Requests that wait for a start, now.
+  // Requests that currently wait for a start.
   std::uint64_t queued = 0;
-  // Executions handed to the worker pool, now; those without a waiting caller included.
+  // Executions that currently run on the worker pool, including executions without a waiting caller.
   std::uint64_t running = 0;
   // Final answers since the start of the process.
   std::uint64_t served = 0, rejected = 0, failed = 0;
@@ -32,7 +32,7 @@
 
 struct GatewaySnapshot {
   std::uint32_t gateway_id = 0;
-  // Requests without a final answer, now.
+  // Requests that currently have no final answer.
   std::uint64_t open_requests = 0;
   // Since the gateway was first seen.
   std::uint64_t requests = 0;
@@ -49,12 +49,12 @@
   std::chrono::milliseconds idle{0};
 };
 
-// One event loop that carries connections for the deciding thread.
+// An event loop that carries connections for the deciding thread.
 struct LoopSnapshot {
   std::size_t connections = 0;
   // Messages from the loop that the deciding thread has not processed.
   std::size_t pending_messages = 0;
-  // Answers and commands that the loop has not carried out.
+  // Answers and commands that the loop has not executed.
   std::size_t pending_commands = 0;
   // CPU time used, as a fraction of one core.
   double cpu_fraction = 0;
@@ -64,7 +64,7 @@
 };
 
 struct DrainSnapshot {
-  // Until the process ends at the latest.
+  // Time until the process exits at the latest.
   std::chrono::milliseconds remaining{0};
   // Requests that still need a final answer.
   std::size_t unanswered = 0;
@@ -76,11 +76,11 @@
   bool ready = false;
   std::chrono::milliseconds uptime{0};
   std::vector<ClassSnapshot> classes;
-  // The busiest gateways, by open requests, then requests in all.
+  // The busiest gateways, ordered by open requests, then by total requests.
   std::vector<GatewaySnapshot> gateways;
-  // Gateways known, those that are not listed included.
+  // Number of known gateways, including those not listed in `gateways`.
   std::size_t gateway_count = 0;
-  // Empty where one thread does everything.
+  // Empty if the node has one thread.
   std::vector<LoopSnapshot> loops;
   // Requests that need a final answer.
   std::size_t unanswered = 0;
@@ -91,7 +91,7 @@
   double reserved_kb = 0;
   bool pool_connected = false;
   std::string pool_address;
-  // The gauge cpu_busy; none where the gauges are out of date.
+  // The gauge cpu_busy of the worker pool; empty if the gauges are out of date.
   std::optional<double> pool_cpu_busy;
   bool registry_healthy = false;
   std::string registry_address;
--- a/tests/node/admin_integration_test.cpp
+++ b/tests/node/admin_integration_test.cpp
@@ -1,4 +1,4 @@
-// The admin server of a whole node: readiness, metrics, malformed calls.
+// Tests of the admin server of a whole node: readiness, metrics, malformed requests.
 #include <gtest/gtest.h>
 
 #include <string>
@@ -14,23 +14,23 @@
 
 INSTANTIATE_TEST_SUITE_P(Threads, NodeAdminServerTest, kThreadCounts, ThreadCountName);
 
-// Calls come in any pieces; callers that complete no call keep out nobody.
+// Requests may arrive in pieces, and connections without a complete request do not block other clients.
 TEST_P(NodeAdminServerTest, ServesReadinessAndMetricsDespiteIncompleteAndMalformedCalls) {
   RunningNode node(Options());
   std::vector<Gateway> idle;
   idle.reserve(20);
   for (int i = 0; i < 20; ++i) idle.emplace_back(node.admin_port());
-  Gateway half(node.admin_port());
-  half.Write("GET /ops/readiness HT");
-  ASSERT_TRUE(node.Get("/ops/readiness").starts_with("HTTP/1.1 503 "));  // The worker pool is not up.
+  Gateway partial(node.admin_port());
+  partial.Write("GET /ops/readiness HT");
+  ASSERT_TRUE(node.Get("/ops/readiness").starts_with("HTTP/1.1 503 "));  // The worker pool is not connected.
   PoolLink link(node.pool, 0);
   AcceptCommands(link);
   Gateway gateway(node.port());
   gateway.Write(Gateway::Request(1, kFirst, "x"));
   link.ReadCommand();
-  half.Write("TP/1.1\r\nHost: n3\r\n\r");
-  half.Write("\n");
-  ASSERT_TRUE(half.socket().ReadToEnd().starts_with("HTTP/1.1 200 "));
+  partial.Write("TP/1.1\r\nHost: n3\r\n\r");
+  partial.Write("\n");
+  ASSERT_TRUE(partial.socket().ReadToEnd().starts_with("HTTP/1.1 200 "));
   ASSERT_TRUE(node.Get("/ops/stats?all").starts_with("HTTP/1.1 200 "));
   ASSERT_TRUE(node.Get("/ops").starts_with("HTTP/1.1 404 "));
   ASSERT_TRUE(node.SendAdminRequest("POST /ops/stats HTTP/1.1\r\n\r\n").starts_with("HTTP/1.1 405 "));
@@ -40,22 +40,24 @@
   }
   ASSERT_TRUE(node.SendAdminRequest("GET /" + std::string(9000, 'x')).starts_with("HTTP/1.1 400 "));
   for (Gateway& caller : idle)
-    ASSERT_TRUE(caller.socket().ClosedOrReset());  // By the deadline at the latest.
+    ASSERT_TRUE(caller.socket().ClosedOrReset());  // Closed by the server's deadline at the latest.
   node.RequestDrain();
   ASSERT_EQ(gateway.Read().type, kStopNewRequestsFrame);
   ASSERT_TRUE(node.Get("/ops/readiness").starts_with("HTTP/1.1 503 "));
 }
 
-// Metrics by class and outcome, from 0 on.
-TEST_P(NodeAdminServerTest, CountsEachOutcomeOnceWhereItsAnswerIsWritten) {
+// The metrics contain each class and outcome, including those with count 0.
+TEST_P(NodeAdminServerTest, CountsEachOutcomeOnce) {
   RunningNode node(Options());
   Gateway gateway(node.port());
-  gateway.Write(Gateway::Request(1, kFirst, "x"));  // Rejected: no worker pool yet.
+  gateway.Write(Gateway::Request(1, kFirst, "x"));  // Rejected: the worker pool is not connected.
   gateway.ReadAnswer(1, kRejected);
   PoolLink link(node.pool, 0);
   AcceptCommands(link);
   std::string metrics = node.Get("/ops/stats");
-  ASSERT_TRUE(HasLine(metrics, "edge_node_calls{tier=\"usage-view\",code=\"success\"} 0"));  // From 0 on.
+  ASSERT_TRUE(HasLine(
+      metrics,
+      "edge_node_calls{tier=\"usage-view\",code=\"success\"} 0"));  // Present before the first request.
   gateway.Write(Gateway::Request(2, kFirst, "x"));
   link.ReadCommand();
   ASSERT_TRUE(HasLine(node.Get("/ops/stats"), "edge_node_inflight 1"));
@@ -65,18 +67,18 @@
   link.ReadCommand();
   link.SendFinished(2, kSecond, "error", "");
   gateway.ReadAnswer(3, kFailed);
-  gateway.Write(Gateway::Request(4, kSecond, "x"));  // One attempt id a second time.
+  gateway.Write(Gateway::Request(4, kSecond, "x"));  // An attempt id that was used before.
   gateway.ReadAnswer(4, kFailed);
   gateway.Write(Gateway::Request(5, kThird, "x", {{"via", "none"}}));  // Malformed.
   gateway.ReadAnswer(5, kRejected);
-  gateway.Write(Gateway::Request(6, kThird, "x", {{"kind", "no-such"}}));  // Of no class: not counted.
+  gateway.Write(Gateway::Request(6, kThird, "x", {{"kind", "no-such"}}));  // Unknown class: not counted.
   gateway.ReadAnswer(6, kRejected);
   gateway.Write(Gateway::Request(7, kThird, "x"));
   link.ReadCommand();
   gateway.Write(peers::EncodeNumber(1, 4) + std::string(5, '\0'));  // A framing error fails open requests.
   gateway.ReadAnswer(7, kFailed);
   gateway.ReadAnswer(0, kFailed);
-  // A loop reports the failed request after its answer.
+  // An event loop reports the failed request after it has sent the answer.
   do {
     metrics = node.Get("/ops/stats");
   } while (!HasLine(metrics, "edge_node_inflight 0"));
--- a/tests/node/config_test.cpp
+++ b/tests/node/config_test.cpp
@@ -1,5 +1,5 @@
-// The node's configuration: what is wrong with a file is told by file, key, value and what is allowed, for
-// each key that it needs, and nothing of one deployment's settings is left where another's are read.
+// Tests of the node's configuration: an error names the file, the key, the value and the allowed values, for
+// each required key, and reading one configuration does not affect the next.
 #include "node/config.h"
 
 #include <gtest/gtest.h>
@@ -31,7 +31,7 @@
      "specifics":{"cpus":2,"memoryKb":1000.0,"runFactor":4.0}}})");
 }
 
-// What is said of a file, or nothing where it is good.
+// Returns the error message for a configuration, or an empty text if it is valid.
 std::string FaultOf(const Json& json) {
   try {
     ParseConfig(json.dump());
@@ -47,7 +47,7 @@
   return path;
 }
 
-TEST(ConfigTest, AGoodFileIsTaken) {
+TEST(ConfigTest, ParsesAValidFile) {
   EXPECT_EQ(FaultOf(Good()), "");
   const Config config = ParseConfig(Good().dump());
   ASSERT_EQ(config.settings.classes.size(), 2u);
@@ -55,8 +55,8 @@
   EXPECT_EQ(config.settings.classes[1].idempotency_window_ms, 2000);
 }
 
-// Each value that has no default: its key is named, with what is allowed there.
-TEST(ConfigTest, EachNeededValueThatIsMissingIsNamed) {
+// For each value without a default, the error names the key and the allowed values.
+TEST(ConfigTest, ErrorNamesEachMissingRequiredKey) {
   for (const char* pointer :
        {"/name", "/listen", "/pool", "/registry", "/seed", "/stop_ms", "/limits", "/limits/sockets",
         "/settings", "/settings/requestClasses", "/settings/requestClasses/0/name",
@@ -77,8 +77,8 @@
   }
 }
 
-// A value out of its bounds or of another kind: key, value and bounds are named.
-TEST(ConfigTest, EachValueThatCannotBeIsNamedWithWhatIsAllowed) {
+// For a value out of bounds or of the wrong type, the error names the key, the value and the bounds.
+TEST(ConfigTest, ErrorNamesEachInvalidValueAndTheAllowedValues) {
   const struct {
     const char* pointer;
     Json value;
@@ -131,7 +131,7 @@
   EXPECT_EQ(FaultOf(calls), "settings specifics.classCalls has 1 values for 2 classes");
 }
 
-TEST(ConfigTest, TheFileIsNamed) {
+TEST(ConfigTest, ErrorNamesTheFile) {
   const cli::TemporaryFolder folder;
   const std::string path = folder.path() + "/node.json";
   const auto fault_of_file = [&path] {
@@ -150,8 +150,8 @@
   EXPECT_EQ(fault_of_file(), "");
 }
 
-// At a reload a part that was left out is named, and so is one of another kind.
-TEST(ConfigTest, AReloadNamesWhatTheRunningFileHas) {
+// A reload rejects a configuration that lacks a key or has a value of another type, and names the key.
+TEST(ConfigTest, ReloadErrorNamesAKeyOfTheRunningConfigurationThatIsMissing) {
   const auto fault_against_running = [](const Json& fresh) {
     try {
       ParseConfig(fresh.dump()).CheckAgainst(ParseConfig(Good().dump()));
@@ -163,16 +163,17 @@
   EXPECT_EQ(fault_against_running(Good()), "");
   Json without = Good();
   without["settings"]["requestClasses"][0].erase("worth");
-  EXPECT_EQ(fault_against_running(without),
-            "settings.requestClasses.0.worth is missing; it must be a number, as in the running one");
+  EXPECT_EQ(
+      fault_against_running(without),
+      "settings.requestClasses.0.worth is missing; it must be a number, as in the running configuration");
   Json other = Good();
   other["limits"]["cores"] = "1";
   EXPECT_EQ(fault_against_running(other),
-            "limits.cores is \"1\"; it must be a number, as in the running one");
+            "limits.cores is \"1\"; it must be a number, as in the running configuration");
 }
 
-// Settings with one class, with many classes and tenants, and with other names: what is read is theirs alone.
-TEST(ConfigTest, NothingOfOtherSettingsIsLeft) {
+// Reads settings with one class, with many classes and tenants, and with other names, one after the other.
+TEST(ConfigTest, ParsedSettingsKeepNothingOfEarlierSettings) {
   Json one = Good();
   one["settings"]["requestClasses"] =
       Json::array({{{"name", "only"}, {"hardLimitMs", 250.0}, {"repeat", "unsafe"}}});
--- a/tests/node/connection_integration_test.cpp
+++ b/tests/node/connection_integration_test.cpp
@@ -1,4 +1,4 @@
-// Gateway connections of a whole node: framing errors, slow peers, the descriptor limit.
+// Tests of the gateway connections of a whole node: framing errors, slow peers, the descriptor limit.
 #include <gtest/gtest.h>
 
 #include <cstddef>
@@ -13,7 +13,7 @@
 
 using namespace node_tests;
 
-// Keeps `connection` in use for so long.
+// Sends health checks on `connection` for `duration_ms` and reads the responses.
 void SendHealthChecks(Gateway& connection, std::uint64_t duration_ms) {
   for (const std::uint64_t began = Gateway::UnixMs(); Gateway::UnixMs() < began + duration_ms;) {
     connection.Write(kHealthCheck);
@@ -25,8 +25,8 @@
 
 INSTANTIATE_TEST_SUITE_P(Threads, NodeConnectionTest, kThreadCounts, ThreadCountName);
 
-// It is reported on stream 0. Random bytes, the same in every run, do not end the node.
-TEST_P(NodeConnectionTest, AFramingErrorEndsItsConnectionAndNoOther) {
+// The error is reported on stream 0. Corrupted requests, the same in every run, do not end the node.
+TEST_P(NodeConnectionTest, FramingErrorClosesOnlyItsConnection) {
   RunningNode node(Options());
   PoolLink link(node.pool, 0);
   AcceptCommands(link);
@@ -44,7 +44,7 @@
     gateway.ReadAnswer(0, kFailed);
     ASSERT_TRUE(gateway.socket().ClosedOrReset());
   }
-  // Random bytes: whatever they are answered, the node serves on.
+  // Requests with random bytes: the answers are not checked, but the node must keep serving.
   std::mt19937_64 draw(7);
   for (int round = 0; round < 200; ++round) {
     Gateway gateway(node.port());
@@ -59,8 +59,8 @@
   ASSERT_EQ(good.ReadAnswer(1, kServed).body, "y");
 }
 
-// The open requests of the connection are answered as well.
-TEST_P(NodeConnectionTest, AFramingErrorIsReportedWhileThePeerIsStillSending) {
+// The open requests of the connection are also answered.
+TEST_P(NodeConnectionTest, FramingErrorIsReportedWhileThePeerIsStillSending) {
   ServingNode serving(Options());
   auto& [node, link, gateway] = serving;
   gateway.Write(Gateway::Request(1, kFirst, "x"));
@@ -71,8 +71,9 @@
   ASSERT_TRUE(gateway.socket().ClosedCleanly());
 }
 
-// Without an idle one the new connection is closed. Descriptors of the pool and the registry are reserved.
-TEST_P(NodeConnectionTest, AtTheDescriptorLimitAnIdleConnectionIsEvictedLeastUsefulFirst) {
+// A connection that was served is more useful than a connection with health checks, which is more useful than
+// a silent one.
+TEST_P(NodeConnectionTest, IdleConnectionsAreEvictedLeastUsefulFirstAtTheDescriptorLimit) {
   NodeOptions options = Options();
   options.max_descriptors = DescriptorLimit(64);
   RunningNode node(options);
@@ -89,7 +90,7 @@
   std::vector<Gateway> silent;
   silent.reserve(30);
   for (int i = 0; i < 30; ++i) silent.emplace_back(node.port());
-  // The new connections evict the silent ones in turn, then the one that was not served.
+  // The new connections evict the silent ones in order, then the connection that only sent a health check.
   std::vector<Gateway> more;
   for (int i = 0; i < 31; ++i) {
     more.emplace_back(node.port());
@@ -101,16 +102,16 @@
   ASSERT_EQ(served.Read().type, kHealthResponseFrame);
 }
 
-// A peer whose frames are complete may be idle.
-TEST_P(NodeConnectionTest, APeerWithoutACompleteFrameIsDisconnected) {
+// An idle peer that has sent only complete frames keeps its connection.
+TEST_P(NodeConnectionTest, PeerWithoutACompleteFrameIsDisconnected) {
   RunningNode node(Options());
   Gateway idle(node.port());
   Gateway silent(node.port());
-  Gateway half(node.port());
+  Gateway partial(node.port());
   Gateway endless(node.port());
   idle.Write(kHealthCheck);
   ASSERT_EQ(idle.Read().type, kHealthResponseFrame);
-  half.Write(kHealthCheck.substr(0, 7));
+  partial.Write(kHealthCheck.substr(0, 7));
   Gateway used(node.port());
   used.Write(kHealthCheck + kHealthCheck.substr(0, 7));
   ASSERT_EQ(used.Read().type, kHealthResponseFrame);
@@ -118,7 +119,7 @@
   endless.ReadAnswer(1, kRejected);
   const std::uint64_t began = Gateway::UnixMs();
   ASSERT_TRUE(silent.socket().ClosedOrReset());
-  ASSERT_TRUE(half.socket().ClosedOrReset());
+  ASSERT_TRUE(partial.socket().ClosedOrReset());
   ASSERT_TRUE(endless.socket().ClosedOrReset());
   ASSERT_LT(Gateway::UnixMs() - began, 3000u);
   ASSERT_TRUE(used.socket().ClosedOrReset());
@@ -126,8 +127,8 @@
   ASSERT_EQ(idle.Read().type, kHealthResponseFrame);
 }
 
-// A first frame that comes in pieces, and a pause within a later one.
-TEST_P(NodeConnectionTest, ASlowClientWithFramesInPiecesIsServed) {
+// The first frame arrives in pieces, or the peer pauses within a later frame.
+TEST_P(NodeConnectionTest, SlowClientWithFramesInPiecesIsServed) {
   RunningNode node(Options());
   Gateway clock(node.port());
   Gateway pieces(node.port());
@@ -143,16 +144,16 @@
   ASSERT_EQ(pause.Read().type, kHealthResponseFrame);
 }
 
-// A connection with complete frames keeps its place.
+// A connection with only complete frames is not evicted.
 TEST_P(NodeConnectionTest, IncompleteFramesThatFillTheDescriptorLimitAreEvictedOldestFirst) {
   NodeOptions options = Options();
   options.max_descriptors = DescriptorLimit(64);
   RunningNode node(options);
   Gateway clock(node.port());
-  std::vector<Gateway> half;
+  std::vector<Gateway> partial;
   for (int i = 0; i < 31; ++i) {
-    half.emplace_back(node.port());
-    half.back().Write(kHealthCheck.substr(0, 7));
+    partial.emplace_back(node.port());
+    partial.back().Write(kHealthCheck.substr(0, 7));
   }
   SendHealthChecks(clock, 1300);
   Gateway next(node.port());
@@ -162,15 +163,15 @@
   ASSERT_EQ(clock.Read().type, kHealthResponseFrame);
 }
 
-// Backpressure is per connection.
-TEST_P(NodeConnectionTest, AGatewayThatNeverReadsIsNoLongerReadAndDelaysNobody) {
+// Backpressure applies to each connection separately.
+TEST_P(NodeConnectionTest, GatewayThatNeverReadsIsNoLongerReadAndDelaysNoOther) {
   RunningNode node(Options());
   PoolLink link(node.pool, 0);
   AcceptCommands(link);
   Gateway slow(node.port());
   std::string checks;
   while (checks.size() < 100'000) checks += kHealthCheck;
-  // Until the sockets are full: the node has stopped reading.
+  // Sends until the socket buffers are full, which shows that the node has stopped reading.
   while (send(slow.socket().fd(), checks.data(), checks.size(), MSG_NOSIGNAL | MSG_DONTWAIT) > 0) {
   }
   Gateway good(node.port());
--- a/tests/node/deep_checks_test.cpp
+++ b/tests/node/deep_checks_test.cpp
@@ -1,5 +1,5 @@
-// Deep checks over real sockets: callers, the callers' side on one loop and on several, and the stand-in of
-// the worker pool, with faults between them.
+// Tests of deep health checks over real sockets: callers, a gateway front end with one event loop or several,
+// and a stand-in for the worker pool that causes faults.
 #include "node/checks/deep_checks.h"
 
 #include <gtest/gtest.h>
@@ -23,17 +23,17 @@
 using peers::Gateway;
 using standin::PoolFault;
 
-class Rig {
+class DeepCheckSetup {
  public:
-  explicit Rig(std::size_t loops) {
+  explicit DeepCheckSetup(std::size_t loops) {
     host_.Do([&] {
       pool_.emplace(host_.base(), standin::PoolOptions{});
-      net::PoolEvents below;
-      below.bound = [](bool) {};
-      below.finished = [](const proto::RunFinished&) {};
-      below.spawn_unknown = [](std::uint64_t) {};
-      below.verified = [this](std::uint64_t tag, bool good) { checks_->OnVerified(tag, good); };
-      below.ready = [this] { checks_->OnPoolLinkReady(); };
+      net::PoolEvents pool_events;
+      pool_events.bound = [](bool) {};
+      pool_events.finished = [](const proto::RunFinished&) {};
+      pool_events.spawn_unknown = [](std::uint64_t) {};
+      pool_events.verified = [this](std::uint64_t tag, bool good) { checks_->OnVerified(tag, good); };
+      pool_events.ready = [this] { checks_->OnPoolLinkReady(); };
       core::FrontEndEvents events;
       events.request = [](const core::IncomingRequest&) {};
       events.disconnected = [this](core::StreamAddress from) { checks_->OnCallerDisconnected(from); };
@@ -57,7 +57,7 @@
           DeepChecks::Callbacks{
               .verify = [this](std::uint64_t tag) { return link_->Verify(tag); },
               .answer = [this](core::StreamAddress to, bool good) { front_->AnswerHealthCheck(to, good); }});
-      link_.emplace(host_.base(), net::ParseAddress(pool_->address()), std::move(below));
+      link_.emplace(host_.base(), net::ParseAddress(pool_->address()), std::move(pool_events));
       sweep_ = std::make_unique<net::Timer>(host_.base(), [this] {
         front_->Sweep();
         sweep_->Start(500us);
@@ -66,7 +66,7 @@
       port = front_->port();
     });
   }
-  ~Rig() {
+  ~DeepCheckSetup() {
     host_.Do([this] {
       sweep_.reset();
       link_.reset();
@@ -122,78 +122,79 @@
   return frame.code;
 }
 
-// Wishes for checks by work. That reaches a loop in its own time: asked until one is done so.
-bool RequestDeepChecksUntilVerified(Rig& rig, Gateway& caller, std::uint32_t& stream) {
-  rig.SetHealth(true, false);
-  return rig.Await([&] {
+// Sets the health state so that deep checks are verified by the worker pool. The state reaches an event loop
+// asynchronously, so the caller repeats the check until one is verified.
+bool RequestDeepChecksUntilVerified(DeepCheckSetup& setup, Gateway& caller, std::uint32_t& stream) {
+  setup.SetHealth(true, false);
+  return setup.Await([&] {
     caller.Write(EncodeHealthCheck(++stream, true));
     (void)ReadHealthCode(caller);
-    return rig.verified() > 0;
+    return setup.verified() > 0;
   });
 }
 
 class DeepHealthCheckTest : public testing::TestWithParam<std::size_t> {};
 
-TEST_P(DeepHealthCheckTest, AreAnsweredByWorkWhereThatIsWishedAndFromTheStoreElse) {
-  Rig rig(GetParam());
-  Gateway caller(rig.port);
+TEST_P(DeepHealthCheckTest, DeepChecksAreVerifiedByThePoolOnlyWhenTheHealthStateIsNotShallow) {
+  DeepCheckSetup setup(GetParam());
+  Gateway caller(setup.port);
   caller.Write(EncodeHealthCheck(1, true));
   EXPECT_EQ(ReadHealthCode(caller), 0);
-  EXPECT_EQ(rig.verified(), 0u);
-  rig.SetHealth(true, false);
-  // The wish reaches a loop in its own time: asked until one is done by work.
+  EXPECT_EQ(setup.verified(), 0u);
+  setup.SetHealth(true, false);
+  // The state reaches an event loop asynchronously, so the caller repeats the check until one is verified.
   std::uint32_t stream = 1;
-  ASSERT_TRUE(rig.Await([&] {
+  ASSERT_TRUE(setup.Await([&] {
     caller.Write(EncodeHealthCheck(++stream, true));
     EXPECT_EQ(ReadHealthCode(caller), 0);
-    return rig.verified() > 0;
+    return setup.verified() > 0;
   }));
-  const std::uint64_t before = rig.verified();
+  const std::uint64_t before = setup.verified();
   caller.Write(EncodeHealthCheck(++stream, false));
   EXPECT_EQ(ReadHealthCode(caller), 0);
-  EXPECT_EQ(rig.verified(), before);
-  rig.Cause({.kind = PoolFault::Kind::kErrors, .lasts = standin::Millis(60'000)});
+  EXPECT_EQ(setup.verified(), before);
+  setup.Cause({.kind = PoolFault::Kind::kErrors, .lasts = standin::Millis(60'000)});
   caller.Write(EncodeHealthCheck(++stream, true));
   EXPECT_NE(ReadHealthCode(caller), 0);
 }
 
-TEST_P(DeepHealthCheckTest, ManyAskersHaveOneVerifyInHandAndItsOutcome) {
-  Rig rig(GetParam());
-  Gateway first(rig.port);
+TEST_P(DeepHealthCheckTest, ConcurrentDeepChecksShareOneVerifyCommand) {
+  DeepCheckSetup setup(GetParam());
+  Gateway first(setup.port);
   std::uint32_t stream = 0;
-  ASSERT_TRUE(RequestDeepChecksUntilVerified(rig, first, stream));
-  const std::uint64_t before = rig.verified();
+  ASSERT_TRUE(RequestDeepChecksUntilVerified(setup, first, stream));
+  const std::uint64_t before = setup.verified();
   std::vector<std::unique_ptr<Gateway>> callers;
   for (int i = 0; i < 20; ++i) {
-    callers.push_back(std::make_unique<Gateway>(rig.port));
+    callers.push_back(std::make_unique<Gateway>(setup.port));
     callers.back()->Write(EncodeHealthCheck(1, true));
   }
   for (const auto& caller : callers) EXPECT_EQ(ReadHealthCode(*caller), 0);
-  // Those that were read behind the end of the first share the second.
-  EXPECT_LE(rig.verified() - before, 4u);
+  // Checks that are read after the first verify command has completed share the next one.
+  EXPECT_LE(setup.verified() - before, 4u);
 }
 
-TEST_P(DeepHealthCheckTest, ABrokenLinkAsksAgainAndAHungPoolIsBadInItsTime) {
-  Rig rig(GetParam());
-  Gateway caller(rig.port);
+TEST_P(DeepHealthCheckTest, DeepCheckIsRetriedAfterALinkLossAndTimesOutWhenThePoolHangs) {
+  DeepCheckSetup setup(GetParam());
+  Gateway caller(setup.port);
   std::uint32_t stream = 0;
-  ASSERT_TRUE(RequestDeepChecksUntilVerified(rig, caller, stream));
-  // The pool stands still as the verify is sent: it is lost with the link, unread.
-  rig.Cause({.kind = PoolFault::Kind::kHang, .lasts = standin::Millis(200)});
+  ASSERT_TRUE(RequestDeepChecksUntilVerified(setup, caller, stream));
+  // The pool hangs when the verify command is sent, so the command is lost unread with the link.
+  setup.Cause({.kind = PoolFault::Kind::kHang, .lasts = standin::Millis(200)});
   caller.Write(EncodeHealthCheck(++stream, true));
-  ASSERT_TRUE(rig.Await([&] { return rig.waiting_callers() == 1; }));
-  rig.Cause({.kind = PoolFault::Kind::kBreakLinks});
+  ASSERT_TRUE(setup.Await([&] { return setup.waiting_callers() == 1; }));
+  setup.Cause({.kind = PoolFault::Kind::kBreakLinks});
   EXPECT_EQ(ReadHealthCode(caller), 0);
-  rig.Cause({.kind = PoolFault::Kind::kHang, .lasts = standin::Millis(60'000)});
+  setup.Cause({.kind = PoolFault::Kind::kHang, .lasts = standin::Millis(60'000)});
   const auto asked = net::Steady::now();
   caller.Write(EncodeHealthCheck(++stream, true));
   EXPECT_NE(ReadHealthCode(caller), 0);
   EXPECT_GE(net::Steady::now() - asked, decide::DeepHealthChecks<int>::kTimeout - 1ms);
-  // One whose caller leaves is forgotten.
+  // A check is dropped when its caller disconnects.
   caller.Write(EncodeHealthCheck(++stream, true));
-  ASSERT_TRUE(rig.Await([&] { return rig.waiting_callers() == 1; }));
+  ASSERT_TRUE(setup.Await([&] { return setup.waiting_callers() == 1; }));
   caller.socket().Close();
-  ASSERT_TRUE(rig.Await([&] { return rig.waiting_callers() == 0; }));
+  ASSERT_TRUE(setup.Await([&] { return setup.waiting_callers() == 0; }));
 }
 
 INSTANTIATE_TEST_SUITE_P(DeepChecks, DeepHealthCheckTest, testing::Values(0, 2));
--- a/tests/node/gate.h
+++ b/tests/node/gate.h
@@ -1,4 +1,5 @@
-// A gate at which a thread waits until the test opens it, for a bounded time.
+// A gate at which a thread waits until the test opens it. Each wait ends after kTimeout even if the gate is
+// closed.
 #ifndef HINGELINK_TESTS_NODE_GATE_H_
 #define HINGELINK_TESTS_NODE_GATE_H_
 
@@ -19,11 +20,12 @@
     std::unique_lock lock(mutex_);
     waiting_ = true;
     changed_.notify_all();
-    changed_.wait_for(lock, kPatience, [this] { return open_; });
+    changed_.wait_for(lock, kTimeout, [this] { return open_; });
   }
+  // Waits until a thread waits at the gate.
   void AwaitWaiter() {
     std::unique_lock lock(mutex_);
-    changed_.wait_for(lock, kPatience, [this] { return waiting_; });
+    changed_.wait_for(lock, kTimeout, [this] { return waiting_; });
   }
   bool waiting() {
     const std::lock_guard lock(mutex_);
@@ -31,7 +33,7 @@
   }
 
  private:
-  static constexpr std::chrono::seconds kPatience{40};
+  static constexpr std::chrono::seconds kTimeout{40};
   std::mutex mutex_;
   std::condition_variable changed_;
   bool open_ = false, waiting_ = false;
--- a/tests/node/integration_fixture.h
+++ b/tests/node/integration_fixture.h
@@ -1,4 +1,5 @@
-// What tests of a whole node share: its start with a number of threads, and its scripted peers.
+// Shared fixture of the tests of a whole node: starts a node with scripted peers and a given number of
+// threads.
 #ifndef HINGELINK_TESTS_NODE_INTEGRATION_FIXTURE_H_
 #define HINGELINK_TESTS_NODE_INTEGRATION_FIXTURE_H_
 
@@ -32,18 +33,18 @@
 
 inline const std::string kHealthCheck = Gateway::HealthCheck(1);
 
-// Accepts the bind command and answers the barrier poll that follows, so that the link carries commands.
+// Accepts the bind command and answers the barrier poll that follows. The link carries commands after that.
 inline void AcceptCommands(PoolLink& link) {
   link.SendBound();
   link.AnswerPoll(link.ReadLine());
 }
 
-// A link that carries commands.
+// A worker pool link that carries commands.
 struct ReadyPoolLink : PoolLink {
   explicit ReadyPoolLink(const peers::Listener& pool) : PoolLink(pool, 0) { AcceptCommands(*this); }
 };
 
-// A node in service: its worker pool is connected, and so is one gateway.
+// A node whose worker pool and one gateway are connected.
 struct ServingNode {
   explicit ServingNode(const NodeOptions& options) : node(options) {}
   RunningNode node;
@@ -51,17 +52,17 @@
   Gateway gateway{node.port()};
 };
 
-// Whether `text` has this line.
+// Whether `text` contains `line` as a whole line, other than the first.
 inline bool HasLine(const std::string& text, const std::string& line) {
   return text.find("\n" + line + "\n") != std::string::npos;
 }
 
-// The parameter is the number of threads of the node. With more than one, one decides and the others carry
-// the connections.
+// The parameter is the number of threads of the node. With more than one, one thread makes the decisions and
+// the others carry the connections.
 class NodeIntegrationTest : public testing::TestWithParam<std::size_t> {
  protected:
   [[nodiscard]] static NodeOptions Options() { return {.threads = GetParam()}; }
-  // The limit that leaves the gateways what `limit` leaves them with one thread.
+  // The descriptor limit that allows as many gateway connections as `limit` allows with one thread.
   [[nodiscard]] static int DescriptorLimit(int limit) { return peers::DescriptorLimit(limit, 1, GetParam()); }
 };
 
@@ -71,7 +72,7 @@
   return info.param == 1 ? "OneThread" : "ThreeLoops";
 }
 
-// Threads of the node that serves first, and of each that takes over from it.
+// The number of threads of the first process and of each successor.
 struct HandoverThreads {
   std::size_t first = 1;
   std::size_t successor = 1;
--- a/tests/node/node_extension_test.cpp
+++ b/tests/node/node_extension_test.cpp
@@ -1,4 +1,4 @@
-// Parts that join the node's loop: when they are asked, and for how much.
+// Tests of node extensions: when the loop calls them and which budget they get.
 #include "node/node_extension.h"
 
 #include <gtest/gtest.h>
@@ -13,49 +13,50 @@
 namespace hingelink::node {
 namespace {
 
-// What a batch with requests in it allows.
-constexpr std::size_t kBesideRequests = 8;
+// The event budget of a batch with requests.
+constexpr std::size_t kBudgetWithRequests = 8;
 
-// Has so many events for the module, from a request on or at once.
-class News : public NodeExtension {
+// Has `events` events for the policy, either at once or after the first request.
+class EventSource : public NodeExtension {
  public:
-  explicit News(std::size_t events, bool behind_a_request) : left_(events), waits_(behind_a_request) {}
+  explicit EventSource(std::size_t events, bool after_a_request)
+      : remaining_(events), waits_(after_a_request) {}
 
-  bool HasPendingEvents() const override { return !waits_ && left_ > 0; }
+  bool HasPendingEvents() const override { return !waits_ && remaining_ > 0; }
   void AddEvents(EventBatch& batch) override {
-    if (batch.budget().events == kBesideRequests) waits_ = false;
+    if (batch.budget().events == kBudgetWithRequests) waits_ = false;
     if (waits_) return;
-    std::size_t given = 0;
-    while (left_ > 0 && batch.Add(hingelink::SiblingLoad{})) {
-      --left_;
-      ++given;
+    std::size_t added = 0;
+    while (remaining_ > 0 && batch.Add(hingelink::SiblingLoad{})) {
+      --remaining_;
+      ++added;
     }
-    if (given > 0) given_.push_back(given);
+    if (added > 0) batch_sizes_.push_back(added);
   }
   void OnStepCompleted() override { ++steps_; }
   void OnLifecyclePhase(LifecyclePhase phase) override {
-    leavings_ += phase == LifecyclePhase::kDraining ? 1 : 0;
+    drains_ += phase == LifecyclePhase::kDraining ? 1 : 0;
   }
-  std::string MetricsText() const override { return "news_left " + std::to_string(left_) + "\n"; }
+  std::string MetricsText() const override { return "events_remaining " + std::to_string(remaining_) + "\n"; }
 
-  std::vector<std::size_t> given_;
-  std::size_t left_;
+  std::vector<std::size_t> batch_sizes_;
+  std::size_t remaining_;
   bool waits_;
-  int steps_ = 0, leavings_ = 0;
+  int steps_ = 0, drains_ = 0;
 };
 
-// A node with `news`, and a worker pool that is up.
-class Rig {
+// A node with the extension `source`.
+class NodeSetup {
  public:
-  explicit Rig(News& news, bool leaves = false)
+  explicit NodeSetup(EventSource& source, bool remove = false)
       : json_(peers::RunningNode::Json(pool_, registry_, 600, 1024)),
         node_(ParseConfig(json_), [this] { return ParseConfig(json_); }) {
-    node_.AddExtension(news);
-    if (leaves) node_.RemoveExtension(news);
+    node_.AddExtension(source);
+    if (remove) node_.RemoveExtension(source);
     thread_ = std::thread([this] { node_.Run(); });
   }
-  ~Rig() { End(); }
-  void End() {
+  ~NodeSetup() { Drain(); }
+  void Drain() {
     if (!thread_.joinable()) return;
     EXPECT_EQ(kill(getpid(), SIGTERM), 0);
     thread_.join();
@@ -65,9 +66,9 @@
     while (!peers::Get(node_.admin_port(), "/ops/readiness").starts_with("HTTP/1.1 200 ")) {
     }
   }
-  // The notice to leave would be one more event beside the news.
-  void AwaitAllTold() {
-    while (MetricsText().find("news_left 0") == std::string::npos) {
+  // The notice to leave would be one more event beside the source.
+  void AwaitAllEventsAdded() {
+    while (MetricsText().find("events_remaining 0") == std::string::npos) {
     }
   }
   Node& node() { return node_; }
@@ -80,43 +81,43 @@
   std::thread thread_;
 };
 
-TEST(NodeExtension, NewsIsToldByItselfInBatchesOfABound) {
-  News news(150, false);
-  Rig rig(news);
-  // Nothing is decided before the worker pool is up.
-  EXPECT_NE(rig.MetricsText().find("news_left 150"), std::string::npos);
-  peers::PoolLink link(rig.pool(), 0);
+TEST(NodeExtension, PendingEventsAreAddedInBoundedBatches) {
+  EventSource source(150, false);
+  NodeSetup setup(source);
+  // The policy does not exist before the worker pool has connected.
+  EXPECT_NE(setup.MetricsText().find("events_remaining 150"), std::string::npos);
+  peers::PoolLink link(setup.pool(), 0);
   link.SendBound();
-  rig.AwaitAllTold();
-  rig.End();
-  // The first batch also has the word on the other processes of this node, which extension before.
-  EXPECT_EQ(news.given_, (std::vector<std::size_t>{63, 64, 23}));
-  EXPECT_EQ(news.leavings_, 1);
+  setup.AwaitAllEventsAdded();
+  setup.Drain();
+  // The first batch also contains the SiblingLoad event of the built-in extension, which is called earlier.
+  EXPECT_EQ(source.batch_sizes_, (std::vector<std::size_t>{63, 64, 23}));
+  EXPECT_EQ(source.drains_, 1);
 }
 
-TEST(NodeExtension, BesideRequestsLessIsTold) {
-  News news(100, true);
-  Rig rig(news);
-  peers::PoolLink link(rig.pool(), 0);
+TEST(NodeExtension, BatchWithRequestsHasASmallerBudget) {
+  EventSource source(100, true);
+  NodeSetup setup(source);
+  peers::PoolLink link(setup.pool(), 0);
   link.SendBound();
-  rig.AwaitReady();
-  peers::Gateway gateway(rig.node().port());
+  setup.AwaitReady();
+  peers::Gateway gateway(setup.node().port());
   gateway.Write(peers::Gateway::Request(1, "00000000000000a1", "x", {}));
-  rig.AwaitAllTold();
-  rig.End();
-  EXPECT_EQ(news.given_, (std::vector<std::size_t>{8, 64, 28}));
+  setup.AwaitAllEventsAdded();
+  setup.Drain();
+  EXPECT_EQ(source.batch_sizes_, (std::vector<std::size_t>{8, 64, 28}));
 }
 
-TEST(NodeExtension, APartThatLeftIsAskedNoMore) {
-  News news(10, false);
+TEST(NodeExtension, RemovedExtensionIsNotCalled) {
+  EventSource source(10, false);
   {
-    Rig rig(news, true);
-    peers::PoolLink link(rig.pool(), 0);
+    NodeSetup setup(source, true);
+    peers::PoolLink link(setup.pool(), 0);
     link.SendBound();
-    rig.AwaitReady();
+    setup.AwaitReady();
   }
-  EXPECT_EQ(news.steps_ + news.leavings_, 0);
-  EXPECT_TRUE(news.given_.empty());
+  EXPECT_EQ(source.steps_ + source.drains_, 0);
+  EXPECT_TRUE(source.batch_sizes_.empty());
 }
 
 }  // namespace
--- a/tests/node/node_lifecycle_test.cpp
+++ b/tests/node/node_lifecycle_test.cpp
@@ -1,5 +1,5 @@
-// A whole node at its ends: drains, exits, reloads and floods while something is owed, against scripted peers
-// on real sockets; and on the settings of other customers.
+// Tests of a whole node with scripted peers on real sockets: drain, exit, reload and descriptor exhaustion
+// while requests or reports are pending, and settings with other classes and tenants.
 #include <gtest/gtest.h>
 
 #include <cstdio>
@@ -19,8 +19,8 @@
 using peers::PoolLink;
 using peers::RunningNode;
 
-const std::string kOne = "00000000000000a1", kTwo = "00000000000000a2", kThree = "00000000000000a3";
-const std::string kCheck = Gateway::Encode(6, 1, std::string(1, '\0'));
+const std::string kFirst = "00000000000000a1", kSecond = "00000000000000a2", kThird = "00000000000000a3";
+const std::string kHealthCheck = Gateway::Encode(peers::kHealthCheckFrame, 1, std::string(1, '\0'));
 
 class NodeLifecycle : public testing::Test {};
 
@@ -34,40 +34,40 @@
 
 // ---- Drain and exit ----
 
-// A notice to leave before the worker pool was ever up: what came is refused, and the node ends by itself in
-// good order.
-TEST_F(NodeLifecycle, ANoticeToLeaveBeforeThePoolIsUpIsCarriedOut) {
+// The drain starts before the worker pool has connected: requests are rejected, and the node exits and closes
+// its connections without a reset.
+TEST_F(NodeLifecycle, DrainBeforeThePoolConnectsCompletes) {
   RunningNode node({.drain_timeout_ms = 300});
   Gateway gateway(node.port());
-  gateway.Write(Gateway::Request(1, kOne, "early"));
+  gateway.Write(Gateway::Request(1, kFirst, "early"));
   gateway.ReadAnswer(1, 1);
   node.RequestDrain();
-  EXPECT_EQ(gateway.Read().type, 9);
-  gateway.Write(Gateway::Request(2, kTwo, "crossed"));
+  EXPECT_EQ(gateway.Read().type, peers::kStopNewRequestsFrame);
+  gateway.Write(Gateway::Request(2, kSecond, "crossed"));
   gateway.ReadAnswer(2, 1);
   EXPECT_TRUE(gateway.socket().ClosedCleanly());
   node.Join();
 }
 
-// The link to the pool breaks in the middle of a drain, and none comes any more: the execution in flight is
-// failed, not refused, and a request that was held is answered as well.
-TEST_F(NodeLifecycle, ADrainWithABrokenPoolLinkAnswersAllThatWasRead) {
+// The worker pool link breaks during a drain and is not restored: the request whose execution is in flight is
+// answered as failed, not rejected, and the queued request is answered, too.
+TEST_F(NodeLifecycle, DrainWithABrokenPoolLinkAnswersEveryRequestRead) {
   RunningNode node({.drain_timeout_ms = 500});
   Gateway gateway(node.port());
   {
     BoundLink link(node.pool);
     const std::string now = std::to_string(Gateway::UnixMs());
-    gateway.Write(Gateway::Request(1, kOne, "runs", {{"ts", now}}));
-    EXPECT_EQ(link.ReadCommand(), "spawn " + kOne + " order-lodge 4");
-    gateway.Write(Gateway::Request(2, kTwo, "held", {{"ts", now}}) + kCheck);
-    EXPECT_EQ(gateway.Read().type, 7);  // Both have been read.
+    gateway.Write(Gateway::Request(1, kFirst, "runs", {{"ts", now}}));
+    EXPECT_EQ(link.ReadCommand(), "spawn " + kFirst + " order-lodge 4");
+    gateway.Write(Gateway::Request(2, kSecond, "held", {{"ts", now}}) + kHealthCheck);
+    EXPECT_EQ(gateway.Read().type, peers::kHealthResponseFrame);  // Both have been read.
     node.RequestDrain();
-    EXPECT_EQ(gateway.Read().type, 9);
+    EXPECT_EQ(gateway.Read().type, peers::kStopNewRequestsFrame);
   }
   std::vector<int> codes(3, -1);
   for (int answers = 0; answers < 2; ++answers) {
     const Frame answer = gateway.Read();
-    ASSERT_EQ(answer.type, 1);
+    ASSERT_EQ(answer.type, peers::kAnswerFrame);
     codes.at(answer.stream) = answer.code;
   }
   EXPECT_EQ(codes[1], 2);
@@ -76,16 +76,16 @@
   node.Join();
 }
 
-// A gateway that goes on sending, against the wish, until the node is gone: each request that was read is
-// answered, none of them runs, and the end is no reset.
-TEST_F(NodeLifecycle, TheExitUnderRequestsThatStillComeIsNoReset) {
+// A gateway ignores the stop-new-requests frame and sends until the node exits: each request that is read is
+// answered once, none runs, and the connection ends without a reset.
+TEST_F(NodeLifecycle, ExitWhileRequestsArriveDoesNotResetTheConnection) {
   RunningNode node({.drain_timeout_ms = 400});
   BoundLink link(node.pool);
   Gateway gateway(node.port());
-  gateway.Write(kCheck);
-  EXPECT_EQ(gateway.Read().type, 7);
+  gateway.Write(kHealthCheck);
+  EXPECT_EQ(gateway.Read().type, peers::kHealthResponseFrame);
   node.RequestDrain();
-  EXPECT_EQ(gateway.Read().type, 9);
+  EXPECT_EQ(gateway.Read().type, peers::kStopNewRequestsFrame);
   std::uint32_t sent = 0;
   std::set<std::uint32_t> answered;
   for (bool open = true; open;) {
@@ -100,7 +100,7 @@
         break;
       }
       const Frame answer = gateway.Read();
-      ASSERT_EQ(answer.type, 1);
+      ASSERT_EQ(answer.type, peers::kAnswerFrame);
       ASSERT_EQ(answer.code, 1);
       ASSERT_TRUE(answered.insert(answer.stream).second);  // One answer each.
     }
@@ -108,13 +108,13 @@
   node.Join();
   EXPECT_FALSE(answered.empty());
   EXPECT_TRUE(gateway.socket().ClosedCleanly());
-  // The worker pool was told of none of them.
+  // The worker pool received no command for these requests.
   EXPECT_EQ(link.ReadPendingCommands(), std::vector<std::string>());
 }
 
-// A caller that breaks the connection under its keyed request: the key outlives it, and a later try gets the
-// result.
-TEST_F(NodeLifecycle, AKeyOutlivesTheConnectionThatBroughtIt) {
+// A caller resets its connection during a request with an idempotency key: the key stays valid, and later
+// attempts get the result of the first.
+TEST_F(NodeLifecycle, IdempotencyKeyOutlivesItsConnection) {
   const auto edit = [](const std::string& text) {
     json config = json::parse(text);
     config["settings"]["requestClasses"][1]["repeat"] = "keyed";
@@ -123,27 +123,27 @@
   };
   RunningNode node({.edit_config = edit});
   BoundLink link(node.pool);
-  const std::map<std::string, std::string> keyed = {{"opkey", kOne + kTwo}};
+  const std::map<std::string, std::string> keyed = {{"opkey", kFirst + kSecond}};
   {
     Gateway first(node.port());
-    first.Write(Gateway::Request(1, kOne, "body", keyed));
-    EXPECT_EQ(link.ReadCommand(), "spawn " + kOne + " order-lodge 4");
+    first.Write(Gateway::Request(1, kFirst, "body", keyed));
+    EXPECT_EQ(link.ReadCommand(), "spawn " + kFirst + " order-lodge 4");
     first.socket().Reset();
   }
   Gateway second(node.port());
-  second.Write(Gateway::Request(1, kTwo, "body", keyed) + kCheck);
-  EXPECT_EQ(second.Read().type, 7);
-  link.SendFinished(1, kOne, "complete", "once");
+  second.Write(Gateway::Request(1, kSecond, "body", keyed) + kHealthCheck);
+  EXPECT_EQ(second.Read().type, peers::kHealthResponseFrame);
+  link.SendFinished(1, kFirst, "complete", "once");
   EXPECT_EQ(second.ReadAnswer(1, 0).body, "once");
-  second.Write(Gateway::Request(2, kThree, "body", keyed));
+  second.Write(Gateway::Request(2, kThird, "body", keyed));
   EXPECT_EQ(second.ReadAnswer(2, 0).body, "once");
 }
 
 // ---- Reload ----
 
-// A new configuration between the two parts of a request, at each byte: it is decided by the settings that
-// hold when it is whole, and the connection goes on.
-TEST_F(NodeLifecycle, AReloadInTheMiddleOfARequestDisturbsNothing) {
+// A reload between two parts of a request, split at every seventh byte: the settings at the time when the
+// request is complete apply, and the connection stays open.
+TEST_F(NodeLifecycle, ReloadBetweenPartsOfARequestKeepsTheConnection) {
   RunningNode node;
   BoundLink link(node.pool);
   Gateway gateway(node.port());
@@ -158,7 +158,7 @@
     while (node.Get("/ops/stats").find(done) == std::string::npos) {
     }
   };
-  const std::string sample = Gateway::Request(1, kOne, "x");
+  const std::string sample = Gateway::Request(1, kFirst, "x");
   for (std::size_t split = 1; split < sample.size(); split += 7) {
     const auto stream = static_cast<std::uint32_t>(split);
     const std::string request = Gateway::Request(stream, hingelink::proto::FormatRequestId(split), "x");
@@ -166,28 +166,28 @@
     gateway.Write("");
     reload(without);
     gateway.Write(request.substr(split));
-    gateway.ReadAnswer(stream, 1);  // Its class is no more.
+    gateway.ReadAnswer(stream, 1);  // Its class was removed.
     reload(with);
   }
-  gateway.Write(Gateway::Request(5000, kTwo, "x"));
-  EXPECT_EQ(link.ReadCommand(), "spawn " + kTwo + " order-lodge 1");
+  gateway.Write(Gateway::Request(5000, kSecond, "x"));
+  EXPECT_EQ(link.ReadCommand(), "spawn " + kSecond + " order-lodge 1");
 }
 
 // ---- Descriptors ----
 
-// A registry that hangs, and idle clients that fill all descriptors meanwhile: once it answers, reports go
-// out again.
-TEST_F(NodeLifecycle, IdleClientsThatFillTheDescriptorsKeepNoReportFromTheRegistry) {
+// The registry does not reply while idle clients use all descriptors. Once the registry replies, the node
+// sends reports again.
+TEST_F(NodeLifecycle, RegistryReportsResumeWhileIdleClientsUseAllDescriptors) {
   RunningNode node({.max_descriptors = 64});
   BoundLink link(node.pool);
   peers::Socket hanging = node.registry.Accept();
   std::vector<Gateway> idle;
   for (int i = 0; i < 200; ++i) {
     idle.emplace_back(node.port());
-    idle.back().Write(kCheck);
-    EXPECT_EQ(idle.back().Read().type, 7);
+    idle.back().Write(kHealthCheck);
+    EXPECT_EQ(idle.back().Read().type, peers::kHealthResponseFrame);
   }
-  // Calls that were given up meanwhile stand in the queue before the one that lives.
+  // The accept queue holds report connections that the node has abandoned before the active one.
   for (;;) {
     peers::Socket registry = node.registry.Accept();
     registry.Write("HTTP/1.1 204 No Content\r\n\r\n");
@@ -202,11 +202,11 @@
   }
 }
 
-// ---- Settings of other customers ----
+// ---- Other settings ----
 
-// Serves one request of a class, and gives what the worker pool was told.
-std::string Serve(Gateway& gateway, PoolLink& link, std::uint32_t stream, int notice, const std::string& kind,
-                  const std::map<std::string, std::string>& with = {}) {
+// Serves one request of the class `kind` and returns the command that the worker pool received.
+std::string ServeRequest(Gateway& gateway, PoolLink& link, std::uint32_t stream, int notice,
+                         const std::string& kind, const std::map<std::string, std::string>& with = {}) {
   std::map<std::string, std::string> fields = with;
   fields["kind"] = kind;
   const std::string req = hingelink::proto::FormatRequestId(stream);
@@ -217,11 +217,11 @@
   return command;
 }
 
-std::string ReqOf(std::uint32_t stream) { return hingelink::proto::FormatRequestId(stream); }
+std::string RequestIdOf(std::uint32_t stream) { return hingelink::proto::FormatRequestId(stream); }
 
-// One class of another name, and then, by a reload, many classes and tenants: each request runs under its own
-// class, and the names of the settings before mean nothing.
-TEST_F(NodeLifecycle, ServesOtherCustomersSettingsAndKeepsNothingOfThem) {
+// Starts with one class of another name and reloads many classes and tenants: each request runs under its
+// class, and the names of earlier settings are rejected.
+TEST_F(NodeLifecycle, ServesReloadedClassesAndForgetsTheEarlierOnes) {
   constexpr int kClasses = 150;
   const auto edit = [](const std::string& text) {
     json config = json::parse(text);
@@ -235,8 +235,8 @@
   RunningNode node({.edit_config = edit});
   BoundLink link(node.pool);
   Gateway gateway(node.port());
-  EXPECT_EQ(Serve(gateway, link, 1, 1, "zeta"), "spawn " + ReqOf(1) + " zeta 4");
-  gateway.Write(Gateway::Request(2, ReqOf(2), "body", {{"kind", "order-lodge"}}));
+  EXPECT_EQ(ServeRequest(gateway, link, 1, 1, "zeta"), "spawn " + RequestIdOf(1) + " zeta 4");
+  gateway.Write(Gateway::Request(2, RequestIdOf(2), "body", {{"kind", "order-lodge"}}));
   gateway.ReadAnswer(2, 1);
 
   json many = json::parse(node.config());
@@ -256,12 +256,12 @@
   for (std::uint32_t i = 0; i < kClasses; ++i) {
     const std::string kind = "class-" + std::to_string(i);
     const std::string owner = "tenant " + std::to_string(kClasses - 1 - static_cast<int>(i));
-    EXPECT_EQ(Serve(gateway, link, 10 + i, 2 + static_cast<int>(i), kind, {{"owner", owner}}),
-              "spawn " + ReqOf(10 + i) + ' ' + kind + " 4");
+    EXPECT_EQ(ServeRequest(gateway, link, 10 + i, 2 + static_cast<int>(i), kind, {{"owner", owner}}),
+              "spawn " + RequestIdOf(10 + i) + ' ' + kind + " 4");
   }
-  gateway.Write(Gateway::Request(1000, ReqOf(1000), "body", {{"kind", "zeta"}, {"owner", "tenant 1"}}));
+  gateway.Write(Gateway::Request(1000, RequestIdOf(1000), "body", {{"kind", "zeta"}, {"owner", "tenant 1"}}));
   gateway.ReadAnswer(1000, 1);
-  gateway.Write(Gateway::Request(1001, ReqOf(1001), "body", {{"kind", "class-1"}, {"owner", "north"}}));
+  gateway.Write(Gateway::Request(1001, RequestIdOf(1001), "body", {{"kind", "class-1"}, {"owner", "north"}}));
   gateway.ReadAnswer(1001, 1);
 }
 
--- a/tests/node/peer_link_integration_test.cpp
+++ b/tests/node/peer_link_integration_test.cpp
@@ -1,4 +1,4 @@
-// Links of a whole node to the worker pool and to the registry: lost links, failed reports.
+// Tests of the links of a whole node to the worker pool and the registry: lost links, failed reports.
 #include <gtest/gtest.h>
 
 #include <string>
@@ -13,8 +13,8 @@
 
 INSTANTIATE_TEST_SUITE_P(Threads, NodePeerLinkTest, kThreadCounts, ThreadCountName);
 
-// Notices of the time without a link are replayed before a command is sent again.
-TEST_P(NodePeerLinkTest, AfterALostPoolLinkNoExecutionIsLostAndNoneRunsTwice) {
+// The pool replays the notices from the time without a link before the node sends a command again.
+TEST_P(NodePeerLinkTest, NoExecutionIsLostOrRunsTwiceAfterThePoolLinkIsLost) {
   RunningNode node(Options());
   Gateway gateway(node.port());
   {
@@ -25,12 +25,13 @@
     link.Write("chatter 1 nothing 4\r\nfinished 2 " + kFirst + " comp");  // Cut off within a line.
   }
   {
-    // It ran while there was no link: its notice is replayed, and it is not sent again.
+    // The execution finished while there was no link: the pool replays its notice, and the node does not send
+    // the command again.
     PoolLink link(node.pool, 1);
     link.SendBound();
     const std::string barrier = link.ReadLine();
     ASSERT_TRUE(barrier.starts_with("poll "));
-    link.SendFinished(1, kFirst, "error", "");  // Not above the last notice read: ignored.
+    link.SendFinished(1, kFirst, "error", "");  // Notice already read: ignored.
     link.SendFinished(2, kFirst, "complete", "once");
     link.AnswerPoll(barrier);
     ASSERT_EQ(gateway.ReadAnswer(1, kServed).body, "once");
@@ -38,7 +39,7 @@
     ASSERT_TRUE(link.ReadCommand().starts_with("spawn " + kSecond));
   }
   {
-    // The pool never read that one: it is sent again, after the barrier.
+    // The pool has not read the second command: the node sends it again after the barrier poll.
     PoolLink link(node.pool, 2);
     link.SendBound();
     const std::string barrier = link.ReadLine();
@@ -52,7 +53,7 @@
     gateway.Write(Gateway::Request(3, kThird, "third"));
     ASSERT_TRUE(link.ReadCommand().starts_with("spawn " + kThird));
   }
-  // That one finishes right after the barrier: it is not sent again.
+  // The third execution finishes right after the barrier poll: the node does not send its command again.
   PoolLink link(node.pool, 3);
   link.SendBound();
   const std::string tag = link.ReadLine().substr(5);
@@ -60,13 +61,13 @@
   ASSERT_EQ(gateway.ReadAnswer(3, kServed).body, "third");
   gateway.Write(Gateway::Request(4, kFourth, "fourth"));
   ASSERT_TRUE(link.ReadCommand().starts_with("spawn " + kFourth));
-  // A command that the pool does not know of never ran.
+  // A command that the pool reports as unknown never ran, so the request is rejected.
   link.Write("unknown spawn " + kFourth + "\r\n");
   gateway.ReadAnswer(4, kRejected);
 }
 
-// Whole or in pieces; the link goes on.
-TEST_P(NodePeerLinkTest, ARemarkOfThePoolBeyondTheLineLimitIsSkipped) {
+// The link stays up, whether the long line is much longer than the limit or just exceeds it.
+TEST_P(NodePeerLinkTest, ChatterNoticeLongerThanTheLineLimitIsSkipped) {
   ServingNode serving(Options());
   auto& [node, link, gateway] = serving;
   gateway.Write(Gateway::Request(1, kFirst, "x"));
@@ -78,8 +79,8 @@
   ASSERT_TRUE(link.ReadCommand().starts_with("spawn " + kSecond));  // On the same link.
 }
 
-// However it failed.
-TEST_P(NodePeerLinkTest, AFailedReportToTheRegistryIsRetried) {
+// The report fails by a closed connection, an error status, a malformed response, or a closing connection.
+TEST_P(NodePeerLinkTest, FailedRegistryReportIsRetried) {
   RunningNode node(Options());
   for (const char* answer : {"", "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n", "nonsense\r\n\r\n",
                              "HTTP/1.1 204 No Content\r\nConnection: close\r\n\r\n"}) {
--- a/tests/node/reconfiguration_integration_test.cpp
+++ b/tests/node/reconfiguration_integration_test.cpp
@@ -1,4 +1,4 @@
-// A whole node that drains or reloads its configuration while requests are in flight.
+// Tests of the drain and the configuration reload of a whole node while requests are in flight.
 #include <gtest/gtest.h>
 
 #include <cstddef>
@@ -11,10 +11,10 @@
 
 using namespace node_tests;
 
-// `text` with the first `from` behind `behind` replaced.
-std::string With(std::string text, const std::string& behind, const std::string& from,
-                 const std::string& to) {
-  const std::size_t at = text.find(from, text.find(behind));
+// Replaces the first `from` after the first `anchor` in `text`.
+std::string Replace(std::string text, const std::string& anchor, const std::string& from,
+                    const std::string& to) {
+  const std::size_t at = text.find(from, text.find(anchor));
   EXPECT_NE(at, std::string::npos) << from;
   return text.replace(at, from.size(), to);
 }
@@ -23,8 +23,9 @@
 
 INSTANTIATE_TEST_SUITE_P(Threads, NodeReconfigurationTest, kThreadCounts, ThreadCountName);
 
-// To gateways and the registry. What arrived after the notice is rejected.
-TEST_P(NodeReconfigurationTest, ADrainIsAnnouncedAndEveryRequestThatWasReadIsAnswered) {
+// The drain is announced to the gateways and the registry. A request that arrives after the notice is
+// rejected.
+TEST_P(NodeReconfigurationTest, DrainIsAnnouncedAndEveryRequestReadIsAnswered) {
   NodeOptions options = Options();
   options.drain_timeout_ms = 2000;
   RunningNode node(options);
@@ -45,34 +46,34 @@
   while (registry.ReadLine() != "") {
   }
   ASSERT_EQ(registry.ReadBytes(20), R"({"state":"draining"})");
-  // Arrived after the grace period of the notice, which is 0 here.
+  // Arrives after the drain grace period, which is 0 here.
   gateway.Write(Gateway::Request(2, kSecond, "late", {{"ts", std::to_string(Gateway::UnixMs() + 1)}}));
   gateway.ReadAnswer(2, kRejected);
-  gateway.ReadAnswer(1, kFailed);  // Its execution never finishes: failed before the kill.
+  gateway.ReadAnswer(1, kFailed);  // Its execution never finishes, so the request fails before the kill.
   node.Join();
   ASSERT_TRUE(gateway.socket().ClosedOrReset());
 }
 
-// An invalid configuration changes nothing.
-TEST_P(NodeReconfigurationTest, AReloadMovesToNewAddressesAndKeepsRequestsInFlight) {
+// An invalid configuration is ignored.
+TEST_P(NodeReconfigurationTest, ReloadConnectsToNewAddressesAndKeepsRequestsInFlight) {
   RunningNode node(Options());
   peers::Listener pool;
   peers::Listener registry;
   peers::Listener second_pool;
   peers::Listener second_registry;
-  PoolLink old(node.pool, 0);
-  AcceptCommands(old);
+  PoolLink old_link(node.pool, 0);
+  AcceptCommands(old_link);
   Gateway gateway(node.port());
   gateway.Write(Gateway::Request(1, kFirst, "first"));
-  old.ReadCommand();
+  old_link.ReadCommand();
   const std::string moved = node.ConfigWithPeers(pool, registry);
   const std::string moved_again = node.ConfigWithPeers(second_pool, second_registry);
   node.Reload("{\"pool\":");
   // The old link still carries commands.
-  old.SendFinished(1, kFirst, "complete", "old");
+  old_link.SendFinished(1, kFirst, "complete", "old");
   ASSERT_EQ(gateway.ReadAnswer(1, kServed).body, "old");
   gateway.Write(Gateway::Request(2, kSecond, "second"));
-  ASSERT_TRUE(old.ReadCommand().starts_with("spawn " + kSecond));
+  ASSERT_TRUE(old_link.ReadCommand().starts_with("spawn " + kSecond));
   node.Reload(moved);
   peers::Socket reports = registry.Accept();
   ASSERT_TRUE(reports.ReadLine().starts_with("PUT "));
@@ -84,7 +85,8 @@
   link.SendBound();
   const std::string barrier = link.ReadLine();
   ASSERT_TRUE(barrier.starts_with("poll "));
-  // The execution went on meanwhile: its notice is replayed, and it is not sent again.
+  // The execution finished during the reloads: the pool replays its notice, and the node does not send the
+  // command again.
   link.SendFinished(2, kSecond, "complete", "moved");
   link.AnswerPoll(barrier);
   ASSERT_EQ(gateway.ReadAnswer(2, kServed).body, "moved");
@@ -92,8 +94,8 @@
   ASSERT_TRUE(link.ReadCommand().starts_with("spawn " + kThird));
 }
 
-// Requests are open in a class that is removed.
-TEST_P(NodeReconfigurationTest, AReloadOfClassesIsAppliedWholeOrNotAtAll) {
+// Requests of a class that the reload removes are in flight.
+TEST_P(NodeReconfigurationTest, ReloadOfClassesIsAppliedCompletelyOrNotAtAll) {
   ServingNode serving(Options());
   RunningNode& node = serving.node;
   PoolLink& link = serving.link;
@@ -106,27 +108,28 @@
   };
   const std::string order_class = "order-lodge";
   for (const std::string& invalid :
-       {std::string(), first.substr(0, first.size() - 1), With(first, order_class, ",\"worth\":5.0", ""),
-        With(first, "rules", "\"fallMs\":1500.0,", ""), With(first, "{", "\"ops\":\"127.0.0.1:0\",", ""),
-        With(first, order_class, "\"repeat\":\"unsafe\",", ""),
-        With(first, order_class, "4900.0", "\"4900.0\""), With(first, order_class, "4900.0", "null"),
-        With(first, order_class, "4900.0", "0"), With(first, order_class, "4900.0", "-1"),
-        With(first, order_class, "4900.0", "1e999"), With(first, "", order_class, "usage-view"),
-        With(first, "specifics", "\"cpus\":1", "\"cpus\":\"1\""),
-        With(With(first, "", order_class, "order-new"), "order-new", "\"goalTimeMs\":2000.0,", "")}) {
+       {std::string(), first.substr(0, first.size() - 1), Replace(first, order_class, ",\"worth\":5.0", ""),
+        Replace(first, "rules", "\"fallMs\":1500.0,", ""),
+        Replace(first, "{", "\"ops\":\"127.0.0.1:0\",", ""),
+        Replace(first, order_class, "\"repeat\":\"unsafe\",", ""),
+        Replace(first, order_class, "4900.0", "\"4900.0\""), Replace(first, order_class, "4900.0", "null"),
+        Replace(first, order_class, "4900.0", "0"), Replace(first, order_class, "4900.0", "-1"),
+        Replace(first, order_class, "4900.0", "1e999"), Replace(first, "", order_class, "usage-view"),
+        Replace(first, "specifics", "\"cpus\":1", "\"cpus\":\"1\""),
+        Replace(Replace(first, "", order_class, "order-new"), "order-new", "\"goalTimeMs\":2000.0,", "")}) {
     node.Reload(invalid);
     await_metric("edge_node_reconfig_failed", ++failed);
   }
   gateway.Write(Gateway::Request(1, kFirst, "x"));
   link.ReadCommand();
-  // Of two requests with one arrival time either may start first.
+  // A distinct arrival time: with equal times, either request may start first.
   gateway.Write(Gateway::Request(2, kSecond, "held", {{"ts", std::to_string(Gateway::UnixMs() - 100)}}));
   gateway.Write(Gateway::HealthCheck(9));
   ASSERT_EQ(gateway.Read().type, kHealthResponseFrame);  // Both have been read.
-  node.Reload(With(With(first, "", order_class, "order-new"), "", "usage-view", "usage-new"));
+  node.Reload(Replace(Replace(first, "", order_class, "order-new"), "", "usage-view", "usage-new"));
   await_metric("edge_node_reconfig_ok", 1);
   gateway.Write(Gateway::Request(3, kThird, "x"));
-  gateway.ReadAnswer(3, kRejected);  // Of a class that was removed.
+  gateway.ReadAnswer(3, kRejected);  // Its class was removed.
   gateway.Write(Gateway::Request(4, kFourth, "x", {{"kind", "order-new"}}));
   link.SendFinished(1, kFirst, "complete", "y");
   ASSERT_EQ(gateway.ReadAnswer(1, kServed).body, "y");
--- a/tests/node/scripted_peers.h
+++ b/tests/node/scripted_peers.h
@@ -1,9 +1,9 @@
-// Scripted peers of the node on loopback sockets: blocking, on ports that the system picks. A read that
-// nothing answers fails after a long while; nothing else depends on time.
+// Scripted peers of the node: blocking loopback sockets on ports chosen by the system. A read without input
+// fails after 20 s; nothing else depends on time.
 #ifndef HINGELINK_TESTS_NODE_SCRIPTED_PEERS_H_
 #define HINGELINK_TESTS_NODE_SCRIPTED_PEERS_H_
 
-#undef NDEBUG  // The asserts are the tests: they stay live in every build.
+#undef NDEBUG  // These helpers check with assert(), which must be active in every build.
 #include <arpa/inet.h>
 #include <netinet/in.h>
 #include <poll.h>
@@ -32,8 +32,8 @@
 class Socket {
  public:
   explicit Socket(int fd = -1) : fd_(fd) {
-    const timeval patience{20, 0};
-    if (fd >= 0) setsockopt(fd, SOL_SOCKET, SO_RCVTIMEO, &patience, sizeof patience);
+    const timeval read_timeout{20, 0};
+    if (fd >= 0) setsockopt(fd, SOL_SOCKET, SO_RCVTIMEO, &read_timeout, sizeof read_timeout);
   }
   Socket(Socket&& other) noexcept : fd_(std::exchange(other.fd_, -1)), read_(std::move(other.read_)) {}
   Socket& operator=(Socket&& other) noexcept {
@@ -49,25 +49,25 @@
     shutdown(fd_, SHUT_RDWR);  // A forked node may hold the socket, too.
     close(std::exchange(fd_, -1));
   }
-  // Closes at once: the peer is told by a reset, and the port is free again.
+  // Closes with a reset, which also frees the port at once.
   void Reset() {
-    const linger hard{1, 0};
-    setsockopt(fd_, SOL_SOCKET, SO_LINGER, &hard, sizeof hard);
+    const linger reset_on_close{1, 0};
+    setsockopt(fd_, SOL_SOCKET, SO_LINGER, &reset_on_close, sizeof reset_on_close);
     close(std::exchange(fd_, -1));
   }
-  // Whether something comes within so many ms.
+  // Whether input arrives within `ms` milliseconds, or is already buffered.
   bool HasInput(int ms) const {
-    pollfd one{fd_, POLLIN, 0};
-    return !read_.empty() || poll(&one, 1, ms) > 0;
+    pollfd descriptor{fd_, POLLIN, 0};
+    return !read_.empty() || poll(&descriptor, 1, ms) > 0;
   }
   void Write(std::string_view bytes) const {
     assert(send(fd_, bytes.data(), bytes.size(), MSG_NOSIGNAL) == static_cast<ssize_t>(bytes.size()));
   }
   std::string ReadBytes(std::size_t count) {
     while (read_.size() < count) assert(ReceiveMore());
-    std::string taken = read_.substr(0, count);
+    std::string bytes = read_.substr(0, count);
     read_.erase(0, count);
-    return taken;
+    return bytes;
   }
   std::string ReadLine() {
     std::size_t end;
@@ -75,26 +75,26 @@
     const std::string line = ReadBytes(end + 2);
     return line.substr(0, end);
   }
-  // Whether nothing but the end of the stream is left to read, where Ready() is true.
+  // Whether the end of the stream is the only input. Call it only if HasInput() returned true.
   bool AtEndOfStream() const {
     char byte;
     return read_.empty() && recv(fd_, &byte, 1, MSG_PEEK) == 0;
   }
-  // A line, or nothing where the peer ends the stream or resets first.
+  // Reads a line. Returns an empty text if the peer closes or resets the connection first.
   std::string ReadLineOrEnd() {
     while (read_.find("\r\n") == std::string::npos) {
       if (!ReceiveMore()) return {};
     }
     return ReadLine();
   }
-  // Whether the peer closes in good order, without a further byte.
+  // Waits for input; whether the peer closes without a reset and sends no further byte.
   bool ClosedCleanly() {
     char byte;
     return read_.empty() && recv(fd_, &byte, 1, 0) == 0;
   }
-  // Whether the peer closes or resets without a further byte.
+  // Waits for input; whether the peer closes or resets the connection and sends no further byte.
   bool ClosedOrReset() { return read_.empty() && !ReceiveMore(); }
-  // All that comes until the peer closes.
+  // Reads until the peer closes or resets the connection.
   std::string ReadToEnd() {
     while (ReceiveMore()) {
     }
@@ -140,19 +140,19 @@
   Socket socket_;
 };
 
-// Types of frames.
+// Frame types.
 inline constexpr int kRequestFrame = 0;
 inline constexpr int kAnswerFrame = 1;
 inline constexpr int kHealthCheckFrame = 6;
 inline constexpr int kHealthResponseFrame = 7;
 inline constexpr int kStopNewRequestsFrame = 9;
 
-// Codes of answers.
+// Answer codes.
 inline constexpr int kServed = 0;
 inline constexpr int kRejected = 1;
 inline constexpr int kFailed = 2;
 
-// `value` in so many bytes, most significant first.
+// Encodes `value` in `bytes` bytes, big-endian.
 inline std::string EncodeNumber(std::uint64_t value, int bytes) {
   std::string out;
   while (bytes-- > 0) out.push_back(static_cast<char>(value >> (8 * bytes)));
@@ -172,10 +172,10 @@
   std::string body;
 };
 
-// A gateway's connection.
+// A connection of a gateway to the node.
 class Gateway {
  public:
-  // The value of a field that is left out.
+  // As the value of a field of Request(): leaves the field out.
   static constexpr std::string_view kOmitted = "(none)";
   explicit Gateway(std::uint16_t port) : socket_(::socket(AF_INET, SOCK_STREAM, 0)) {
     sockaddr_in at{};
@@ -185,7 +185,7 @@
     assert(connect(socket_.fd(), reinterpret_cast<sockaddr*>(&at), sizeof at) == 0);
   }
 
-  // At an address of the form 127.0.0.1:80.
+  // Connects to an address of the form 127.0.0.1:80.
   explicit Gateway(const std::string& address) : socket_(::socket(AF_INET, SOCK_STREAM, 0)) {
     sockaddr_in at{};
     at.sin_family = AF_INET;
@@ -199,7 +199,7 @@
     std::string frame = EncodeNumber(5 + payload.size(), 4) + EncodeNumber(type, 1) + EncodeNumber(stream, 4);
     return frame.append(payload);
   }
-  // A health check that does not ask whether work gets done.
+  // A shallow health check, without a verification by the worker pool.
   static std::string HealthCheck(std::uint32_t stream) {
     return Encode(kHealthCheckFrame, stream, std::string(1, '\0'));
   }
@@ -207,7 +207,7 @@
     const auto now = std::chrono::system_clock::now().time_since_epoch();
     return std::chrono::duration_cast<std::chrono::milliseconds>(now).count();
   }
-  // A good request, but for the fields given.
+  // A valid request frame in which the fields `with` replace the defaults.
   static std::string Request(std::uint32_t stream, const std::string& req, std::string_view body,
                              const std::map<std::string, std::string>& with = {}) {
     std::map<std::string, std::string> fields = {
@@ -262,7 +262,7 @@
   Socket socket_;
 };
 
-// A link as the worker pool sees it. Polls are answered on the way with idle gauges.
+// The worker pool's end of a link. The read methods answer polls with the gauges of an idle pool where noted.
 class PoolLink {
  public:
   PoolLink(const Listener& pool, std::uint64_t last_notice) : socket_(pool.Accept()) {
@@ -270,7 +270,8 @@
   }
   void Write(std::string_view bytes) const { socket_.Write(bytes); }
   void SendBound() const { Write("bound hot 1.0\r\n"); }
-  // Answers polls until another command comes, which it returns; a spawn's body goes to `body`.
+  // Answers polls until another command arrives and returns its line. The command must have a body, which is
+  // stored in `body`.
   std::string ReadCommand(std::string* body = nullptr) {
     for (;;) {
       const std::string line = socket_.ReadLine();
@@ -284,7 +285,7 @@
     }
   }
   std::string ReadLine() { return socket_.ReadLine(); }
-  // The next command but polls, of those without a body.
+  // Answers polls until another command arrives and returns its line. The command must have no body.
   std::string ReadLineCommand() {
     for (;;) {
       const std::string line = socket_.ReadLine();
@@ -292,7 +293,7 @@
       AnswerPoll(line);
     }
   }
-  // All commands but polls that have come by now, of a node that sends no more.
+  // Returns the received lines other than polls, without waiting. The node must have stopped sending.
   std::vector<std::string> ReadPendingCommands() {
     std::vector<std::string> commands;
     while (socket_.HasInput(0)) {
@@ -312,18 +313,18 @@
   Socket socket_;
 };
 
-// The whole response to one call on a node's second address.
-inline std::string SendAdminRequest(std::uint16_t port, const std::string& call) {
+// Sends a request to the admin server at `port` and returns the whole response.
+inline std::string SendAdminRequest(std::uint16_t port, const std::string& request) {
   Gateway caller(port);
-  caller.Write(call);
+  caller.Write(request);
   return caller.socket().ReadToEnd();
 }
 inline std::string Get(std::uint16_t port, const std::string& path) {
   return SendAdminRequest(port, "GET " + path + " HTTP/1.1\r\nHost: n3\r\n\r\n");
 }
 
-// The descriptor limit that leaves the gateways of `processes` nodes what `limit` leaves them with one thread
-// each. `threads`: the most that one of the nodes has.
+// The descriptor limit that allows `processes` processes of a node as many gateway connections as `limit`
+// allows them with one thread each. `threads`: the largest number of threads of a process.
 inline int DescriptorLimit(int limit, int processes, std::size_t threads) {
   constexpr int kDescriptorsPerLoop = 3;
   return limit + kDescriptorsPerLoop * processes * static_cast<int>(threads - 1);
@@ -332,13 +333,13 @@
 struct NodeOptions {
   int drain_timeout_ms = 600;
   int max_descriptors = 1024;
-  // One decides; the others carry the connections.
+  // With more than one, one thread makes the decisions and the others carry the connections.
   std::size_t threads = 1;
   // Changes the configuration before the node reads it.
   std::function<std::string(std::string json)> edit_config = [](std::string json) { return json; };
 };
 
-// A node in a thread of its own, told to leave at the end.
+// A node that runs in its own thread. The destructor drains it and waits for its end.
 class RunningNode {
  public:
   explicit RunningNode(const NodeOptions& options = {})
@@ -353,12 +354,12 @@
   }
   void RequestDrain() { assert(kill(getpid(), SIGTERM) == 0); }
   void Join() { thread_.join(); }
-  // Puts another configuration in place and tells the node of it. Not again before it has been read.
+  // Replaces the configuration and sends SIGHUP. Must not be called again before the node has read it.
   void Reload(const std::string& config) {
     config_ = config;
     assert(kill(getpid(), SIGHUP) == 0);
   }
-  // The configuration with other peers.
+  // Returns the configuration with the addresses of another worker pool and registry.
   std::string ConfigWithPeers(const Listener& to_pool, const Listener& to_registry) const {
     std::string config = config_;
     config.replace(config.find(pool.Address()), pool.Address().size(), to_pool.Address());
@@ -373,7 +374,8 @@
   }
   std::string Get(const std::string& path) const { return peers::Get(admin_port(), path); }
 
-  static std::string Json(const Listener& pool, const Listener& registry, int stop_ms, int sockets) {
+  static std::string Json(const Listener& pool, const Listener& registry, int drain_timeout_ms,
+                          int max_descriptors) {
     const std::string settings = R"({"requestClasses":[
       {"name":"usage-view","goalTimeMs":1500.0,"hardLimitMs":3500.0,"repeat":"safe","worth":1.0},
       {"name":"order-lodge","goalTimeMs":2000.0,"hardLimitMs":4900.0,"repeat":"unsafe","worth":5.0}],
@@ -385,8 +387,8 @@
       "freshMs":60000.0,"keyKb":1.0,"gauges":["cpu_busy","runnable","mem_used","sockets"]}})";
     return R"({"name":"n3","listen":"127.0.0.1:0","ops":"127.0.0.1:0","pool":")" + pool.Address() +
            R"(","registry":")" + registry.Address() + R"(","seed":"8c1f30d27a5be964","stop_ms":)" +
-           std::to_string(stop_ms) + R"(,"limits":{"cores":1.0,"memory_mb":192,"sockets":)" +
-           std::to_string(sockets) + R"(},"settings":)" + settings + "}";
+           std::to_string(drain_timeout_ms) + R"(,"limits":{"cores":1.0,"memory_mb":192,"sockets":)" +
+           std::to_string(max_descriptors) + R"(},"settings":)" + settings + "}";
   }
 
   Listener pool, registry;
@@ -402,30 +404,30 @@
   std::size_t threads = 1;
 };
 
-// A node in a process of its own, which takes over from those that share the directory.
+// A node that runs in its own process and takes over from a process that shares the directory.
 class ForkedNode {
  public:
   ForkedNode(const std::string& directory, const ProcessOptions& options) {
-    int ends[2];
-    assert(pipe(ends) == 0);
+    int pipe_fds[2];
+    assert(pipe(pipe_fds) == 0);
     pid_ = fork();
     assert(pid_ >= 0);
     if (pid_ == 0) {
-      prctl(PR_SET_PDEATHSIG, SIGKILL);  // The node must not outlive a test that failed.
+      prctl(PR_SET_PDEATHSIG, SIGKILL);  // The node must not outlive a failed test.
       {
         const std::string json = RunningNode::Json(pool, registry, 600, options.max_descriptors);
         const auto config = [&json] { return hingelink::node::ParseConfig(json); };
         hingelink::node::Node node(config(), config, directory, options.threads);
         const std::uint16_t ports[] = {node.port(), node.admin_port()};
-        assert(write(ends[1], ports, sizeof ports) == sizeof ports);
+        assert(write(pipe_fds[1], ports, sizeof ports) == sizeof ports);
         node.Run();
       }
       _exit(0);
     }
     std::uint16_t ports[2];
-    assert(read(ends[0], ports, sizeof ports) == sizeof ports);
-    close(ends[0]);
-    close(ends[1]);
+    assert(read(pipe_fds[0], ports, sizeof ports) == sizeof ports);
+    close(pipe_fds[0]);
+    close(pipe_fds[1]);
     port = ports[0];
     admin_port = ports[1];
   }
@@ -433,7 +435,7 @@
     if (pid_ > 0) SignalAndWait(SIGKILL);
   }
   void Signal(int number) const { assert(kill(pid_, number) == 0); }
-  // The exit status, once it has ended by itself.
+  // Waits for the process to exit. Returns the exit status, or -1 if a signal killed it.
   int Wait() {
     int status = 0;
     assert(waitpid(std::exchange(pid_, -1), &status, 0) > 0);
