--- a/src/node/config.cpp
+++ b/src/node/config.cpp
@@ -180,20 +180,20 @@
   return std::string(value.is_number() ? "a number" : value.type_name());
 }
 
-// Checks that `fresh` has every key that `running` has, with a value of the same JSON type. Otherwise a key
-// left out of the file would silently get its default. Objects in a list are matched by name; an object with
-// a new name needs the keys that all running objects of the list have.
-void CheckKeys(const Json& running, const Json& fresh, const std::string& path) {
-  if (!SameType(running, fresh)) {
-    Reject(path, fresh, TypeName(running) + ", as in the running configuration");
+// Checks that `reloaded` has every key that `running` has, with a value of the same JSON type. Otherwise a
+// key left out of the file would silently get its default. Objects in a list are matched by name; an object
+// with a new name needs the keys that all running objects of the list have.
+void CheckKeys(const Json& running, const Json& reloaded, const std::string& path) {
+  if (!SameType(running, reloaded)) {
+    Reject(path, reloaded, TypeName(running) + ", as in the running configuration");
   }
   if (running.is_object()) {
     for (const auto& [name, member] : running.items()) {
       const std::string at = JoinPath(path, name);
-      if (!fresh.contains(name)) {
+      if (!reloaded.contains(name)) {
         RejectMissing(at, TypeName(member) + ", as in the running configuration");
       }
-      CheckKeys(member, fresh[name], at);
+      CheckKeys(member, reloaded[name], at);
     }
   }
   if (!running.is_array() || running.empty() || !running.front().is_object()) return;
@@ -205,11 +205,11 @@
     for (auto it = common.begin(); it != common.end();)
       it = item.contains(it.key()) ? std::next(it) : common.erase(it);
   }
-  for (std::size_t i = 0; i < fresh.size(); ++i) {
+  for (std::size_t i = 0; i < reloaded.size(); ++i) {
     const auto same = std::find_if(running.begin(), running.end(), [&](const Json& item) {
-      return !name_of(item).is_null() && name_of(item) == name_of(fresh[i]);
+      return !name_of(item).is_null() && name_of(item) == name_of(reloaded[i]);
     });
-    CheckKeys(same != running.end() ? *same : common, fresh[i], path + '.' + std::to_string(i));
+    CheckKeys(same != running.end() ? *same : common, reloaded[i], path + '.' + std::to_string(i));
   }
 }
 
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -94,7 +94,7 @@
       timer_(
           base_.get(),
           [this] {
-            step_due_ = true;
+            step_requested_ = true;
             // Interrupts the loop: a flood of input would otherwise keep it reading and delay the decisions.
             event_base_loopbreak(base_.get());
           },
@@ -244,7 +244,8 @@
     // extensions may not have fit into the last batch.
     const bool events_pending = table_.has_events() || (policy_ && AnyExtensionHasEvents());
     event_base_loop(base_.get(), events_pending ? EVLOOP_NONBLOCK : EVLOOP_ONCE);
-    if (step_due_ || table_.has_events() || (draining_ && !drain_notice_sent_) || AnyExtensionHasEvents())
+    if (step_requested_ || table_.has_events() || (draining_ && !drain_notice_sent_) ||
+        AnyExtensionHasEvents())
       Step();
     front_->Sweep();
     for (NodeExtension* extension : extensions_) extension->OnRoundCompleted();
@@ -296,7 +297,7 @@
   settings.warming_up = warming_up;
   policy_.emplace(settings, config_.seed);
   policy_->ImportLearned(imported_);
-  step_due_ = true;
+  step_requested_ = true;
   if (listening_ || draining_) return;
   listening_ = true;
   front_->ResumeListening();
@@ -306,7 +307,7 @@
 
 // Passes all pending events to the policy in one call and executes the resulting actions in order.
 void Node::Step() {
-  step_due_ = false;
+  step_requested_ = false;
   if (!policy_) return;
   std::vector<hingelink::Event> events = table_.TakeEvents(std::chrono::system_clock::now());
   if (draining_ && !drain_notice_sent_) {
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -28,18 +28,19 @@
 
 namespace hingelink::node {
 
-// One portal node process. All methods but the constructor and ImportLearned() must be called on the thread
-// that calls Run().
+// One portal node process. The methods must be called on the thread that calls Run().
 class Node {
  public:
   using WorkerPoolFactory = std::function<std::unique_ptr<net::WorkerPool>(
       event_base* base, const std::string& name, net::PoolEvents events, net::PoolGroupCallbacks callbacks)>;
   // Opens the listening sockets and starts to connect to the peers. Throws if an address is invalid or a
-  // socket cannot be opened. `load_config` reads the configuration again for a reload and throws if the
-  // configuration is invalid. `handover_folder`: the processes of one node that share this directory hand
-  // over the clients to each other; empty: no handover. `threads`: with more than one, the thread that calls
-  // Run() makes all decisions, and each other thread runs an event loop that carries gateway connections.
-  // `create_pool` creates the worker pool; without it, the node connects to the pool in its configuration.
+  // socket cannot be opened.
+  // - `load_config` reads the configuration again for a reload; throws if the configuration is invalid.
+  // - `handover_folder`: the processes of one node that share this directory hand over the clients to each
+  //   other. Empty: no handover.
+  // - `threads`: with more than one, the thread that calls Run() makes all decisions, and each other thread
+  //   runs an event loop that carries gateway connections.
+  // - `create_pool` creates the worker pool. Without it, the node connects to the pool in its configuration.
   Node(Config config, std::function<Config()> load_config, const std::string& handover_folder = {},
        std::size_t threads = 1, const WorkerPoolFactory& create_pool = {});
   ~Node();
@@ -178,7 +179,7 @@
   std::priority_queue<PolicyTimer, std::vector<PolicyTimer>, std::greater<>> timers_;
   net::Timer timer_;
   net::Timer gauge_timer_;
-  bool step_due_ = false;
+  bool step_requested_ = false;
   net::EventPtr sigterm_;
   net::EventPtr sigint_;
   net::EventPtr sighup_;
--- a/src/node/node_drain.cpp
+++ b/src/node/node_drain.cpp
@@ -70,33 +70,33 @@
 // addresses need a restart and are not applied.
 std::string Node::Reload() {
   try {
-    Config fresh = load_config_();
-    fresh.CheckAgainst(config_);
-    const sockaddr_in pool = net::ParseAddress(fresh.pool_address),
-                      registry = net::ParseAddress(fresh.registry_address);
-    if (!fresh.store_address.empty()) net::ParseAddress(fresh.store_address);
+    Config reloaded = load_config_();
+    reloaded.CheckAgainst(config_);
+    const sockaddr_in pool = net::ParseAddress(reloaded.pool_address),
+                      registry = net::ParseAddress(reloaded.registry_address);
+    if (!reloaded.store_address.empty()) net::ParseAddress(reloaded.store_address);
     // Pending events refer to classes by their index in the current settings, so they are processed first.
     Step();
-    if (policy_) policy_->Reconfigure(fresh.settings);
-    log::Info("reload", {{"pool", fresh.pool_address},
-                         {"registry", fresh.registry_address},
-                         {"classes", fresh.settings.classes.size()},
-                         {"needs_restart", fresh.NeedsRestart(config_)}});
-    config_.settings = std::move(fresh.settings);
-    config_.source_text = std::move(fresh.source_text);
-    config_.drain_timeout = fresh.drain_timeout;
-    config_.max_descriptors = fresh.max_descriptors;
+    if (policy_) policy_->Reconfigure(reloaded.settings);
+    log::Info("reload", {{"pool", reloaded.pool_address},
+                         {"registry", reloaded.registry_address},
+                         {"classes", reloaded.settings.classes.size()},
+                         {"needs_restart", reloaded.NeedsRestart(config_)}});
+    config_.settings = std::move(reloaded.settings);
+    config_.source_text = std::move(reloaded.source_text);
+    config_.drain_timeout = reloaded.drain_timeout;
+    config_.max_descriptors = reloaded.max_descriptors;
     table_.Reconfigure();
     metrics_.SetClasses(config_.settings.classes);
     front_->ClassesChanged();
     metrics_.CountReload(true);
     OnSiblingLoadChanged();
-    if (std::exchange(config_.pool_address, fresh.pool_address) != fresh.pool_address)
+    if (std::exchange(config_.pool_address, reloaded.pool_address) != reloaded.pool_address)
       pool_->ChangeAddress(pool);
-    if (std::exchange(config_.store_address, fresh.store_address) != fresh.store_address)
-      ConnectStore(fresh.store_address);
-    if (std::exchange(config_.registry_address, fresh.registry_address) != fresh.registry_address) {
-      registry_.Move(registry, fresh.registry_address);
+    if (std::exchange(config_.store_address, reloaded.store_address) != reloaded.store_address)
+      ConnectStore(reloaded.store_address);
+    if (std::exchange(config_.registry_address, reloaded.registry_address) != reloaded.registry_address) {
+      registry_.Move(registry, reloaded.registry_address);
     }
     NotifyLifecyclePhase(NodeExtension::LifecyclePhase::kReloaded);
     return {};
--- a/tests/node/config_test.cpp
+++ b/tests/node/config_test.cpp
@@ -152,7 +152,7 @@
 
 // A reload rejects a configuration that lacks a key or has a value of another type, and names the key.
 TEST(ConfigTest, ReloadErrorNamesAKeyOfTheRunningConfigurationThatIsMissing) {
-  const auto fault_against_running = [](const Json& fresh) {
+  const auto reload_error = [](const Json& fresh) {
     try {
       ParseConfig(fresh.dump()).CheckAgainst(ParseConfig(Good().dump()));
       return std::string();
@@ -160,15 +160,15 @@
       return std::string(fault.what());
     }
   };
-  EXPECT_EQ(fault_against_running(Good()), "");
+  EXPECT_EQ(reload_error(Good()), "");
   Json without = Good();
   without["settings"]["requestClasses"][0].erase("worth");
   EXPECT_EQ(
-      fault_against_running(without),
+      reload_error(without),
       "settings.requestClasses.0.worth is missing; it must be a number, as in the running configuration");
   Json other = Good();
   other["limits"]["cores"] = "1";
-  EXPECT_EQ(fault_against_running(other),
+  EXPECT_EQ(reload_error(other),
             "limits.cores is \"1\"; it must be a number, as in the running configuration");
 }
 
--- a/tests/node/connection_integration_test.cpp
+++ b/tests/node/connection_integration_test.cpp
@@ -71,8 +71,9 @@
   ASSERT_TRUE(gateway.socket().ClosedCleanly());
 }
 
-// A connection that was served is more useful than a connection with health checks, which is more useful than
-// a silent one.
+// The least useful idle connection is evicted first: silent ones, then those with health checks only, then
+// those with served requests. If no connection is idle, the new connection is closed. The limit leaves
+// descriptors for the worker pool and the registry.
 TEST_P(NodeConnectionTest, IdleConnectionsAreEvictedLeastUsefulFirstAtTheDescriptorLimit) {
   NodeOptions options = Options();
   options.max_descriptors = DescriptorLimit(64);
--- a/tests/node/deep_checks_test.cpp
+++ b/tests/node/deep_checks_test.cpp
@@ -109,7 +109,7 @@
 };
 
 std::string EncodeHealthCheck(std::uint32_t stream, bool deep) {
-  return Gateway::Encode(6, stream,
+  return Gateway::Encode(peers::kHealthCheckFrame, stream,
                          deep ? std::string("\x01\x04real\x00\x01"
                                             "1",
                                             9)
@@ -118,7 +118,7 @@
 
 int ReadHealthCode(Gateway& gateway) {
   const Frame frame = gateway.Read();
-  EXPECT_EQ(frame.type, 7);
+  EXPECT_EQ(frame.type, peers::kHealthResponseFrame);
   return frame.code;
 }
 
--- a/tests/node/node_extension_test.cpp
+++ b/tests/node/node_extension_test.cpp
@@ -66,7 +66,7 @@
     while (!peers::Get(node_.admin_port(), "/ops/readiness").starts_with("HTTP/1.1 200 ")) {
     }
   }
-  // The notice to leave would be one more event beside the source.
+  // Called before Drain(), since the drain notice would be another event in the batch.
   void AwaitAllEventsAdded() {
     while (MetricsText().find("events_remaining 0") == std::string::npos) {
     }
--- a/tests/node/node_lifecycle_test.cpp
+++ b/tests/node/node_lifecycle_test.cpp
@@ -40,11 +40,11 @@
   RunningNode node({.drain_timeout_ms = 300});
   Gateway gateway(node.port());
   gateway.Write(Gateway::Request(1, kFirst, "early"));
-  gateway.ReadAnswer(1, 1);
+  gateway.ReadAnswer(1, peers::kRejected);
   node.RequestDrain();
   EXPECT_EQ(gateway.Read().type, peers::kStopNewRequestsFrame);
   gateway.Write(Gateway::Request(2, kSecond, "crossed"));
-  gateway.ReadAnswer(2, 1);
+  gateway.ReadAnswer(2, peers::kRejected);
   EXPECT_TRUE(gateway.socket().ClosedCleanly());
   node.Join();
 }
@@ -70,8 +70,8 @@
     ASSERT_EQ(answer.type, peers::kAnswerFrame);
     codes.at(answer.stream) = answer.code;
   }
-  EXPECT_EQ(codes[1], 2);
-  EXPECT_NE(codes[2], 0);
+  EXPECT_EQ(codes[1], peers::kFailed);
+  EXPECT_NE(codes[2], peers::kServed);
   EXPECT_TRUE(gateway.socket().ClosedCleanly());
   node.Join();
 }
@@ -101,7 +101,7 @@
       }
       const Frame answer = gateway.Read();
       ASSERT_EQ(answer.type, peers::kAnswerFrame);
-      ASSERT_EQ(answer.code, 1);
+      ASSERT_EQ(answer.code, peers::kRejected);
       ASSERT_TRUE(answered.insert(answer.stream).second);  // One answer each.
     }
   }
@@ -134,9 +134,9 @@
   second.Write(Gateway::Request(1, kSecond, "body", keyed) + kHealthCheck);
   EXPECT_EQ(second.Read().type, peers::kHealthResponseFrame);
   link.SendFinished(1, kFirst, "complete", "once");
-  EXPECT_EQ(second.ReadAnswer(1, 0).body, "once");
+  EXPECT_EQ(second.ReadAnswer(1, peers::kServed).body, "once");
   second.Write(Gateway::Request(2, kThird, "body", keyed));
-  EXPECT_EQ(second.ReadAnswer(2, 0).body, "once");
+  EXPECT_EQ(second.ReadAnswer(2, peers::kServed).body, "once");
 }
 
 // ---- Reload ----
@@ -166,7 +166,7 @@
     gateway.Write("");
     reload(without);
     gateway.Write(request.substr(split));
-    gateway.ReadAnswer(stream, 1);  // Its class was removed.
+    gateway.ReadAnswer(stream, peers::kRejected);  // Its class was removed.
     reload(with);
   }
   gateway.Write(Gateway::Request(5000, kSecond, "x"));
@@ -213,7 +213,7 @@
   gateway.Write(Gateway::Request(stream, req, "body", fields));
   std::string command = link.ReadCommand();
   link.SendFinished(notice, req, "complete", "result of " + kind);
-  EXPECT_EQ(gateway.ReadAnswer(stream, 0).body, "result of " + kind);
+  EXPECT_EQ(gateway.ReadAnswer(stream, peers::kServed).body, "result of " + kind);
   return command;
 }
 
@@ -237,7 +237,7 @@
   Gateway gateway(node.port());
   EXPECT_EQ(ServeRequest(gateway, link, 1, 1, "zeta"), "spawn " + RequestIdOf(1) + " zeta 4");
   gateway.Write(Gateway::Request(2, RequestIdOf(2), "body", {{"kind", "order-lodge"}}));
-  gateway.ReadAnswer(2, 1);
+  gateway.ReadAnswer(2, peers::kRejected);
 
   json many = json::parse(node.config());
   many["settings"]["requestClasses"] = json::array();
@@ -260,9 +260,9 @@
               "spawn " + RequestIdOf(10 + i) + ' ' + kind + " 4");
   }
   gateway.Write(Gateway::Request(1000, RequestIdOf(1000), "body", {{"kind", "zeta"}, {"owner", "tenant 1"}}));
-  gateway.ReadAnswer(1000, 1);
+  gateway.ReadAnswer(1000, peers::kRejected);
   gateway.Write(Gateway::Request(1001, RequestIdOf(1001), "body", {{"kind", "class-1"}, {"owner", "north"}}));
-  gateway.ReadAnswer(1001, 1);
+  gateway.ReadAnswer(1001, peers::kRejected);
 }
 
 }  // namespace
--- a/tests/node/scripted_peers.h
+++ b/tests/node/scripted_peers.h
@@ -262,7 +262,7 @@
   Socket socket_;
 };
 
-// The worker pool's end of a link. The read methods answer polls with the gauges of an idle pool where noted.
+// The worker pool's end of a link. Some methods answer polls, with the gauges of an idle pool.
 class PoolLink {
  public:
   PoolLink(const Listener& pool, std::uint64_t last_notice) : socket_(pool.Accept()) {
