--- a/tests/node/deep_checks_test.cpp
+++ b/tests/node/deep_checks_test.cpp
@@ -1,5 +1,5 @@
-// Deep checks over real sockets: callers, the callers' side on one loop and on several, and the stand-in of
-// the worker pool, with faults between them.
+// Tests of deep health checks over real sockets: callers, a gateway front end with one event loop or several,
+// and a stand-in for the worker pool that causes faults.
 #include "node/checks/deep_checks.h"
 
 #include <gtest/gtest.h>
@@ -23,21 +23,21 @@
 using peers::Gateway;
 using standin::PoolFault;
 
-class Rig {
+class DeepCheckSetup {
  public:
-  explicit Rig(std::size_t loops) {
+  explicit DeepCheckSetup(std::size_t loops) {
     host_.Do([&] {
       pool_.emplace(host_.base(), standin::PoolOptions{});
-      net::PoolEvents below;
-      below.bound = [](bool) {};
-      below.finished = [](const proto::RunFinished&) {};
-      below.spawn_unknown = [](std::uint64_t) {};
-      below.verified = [this](std::uint64_t tag, bool good) { checks_->Verified(tag, good); };
-      below.ready = [this] { checks_->Rebound(); };
+      net::PoolEvents pool_events;
+      pool_events.bound = [](bool) {};
+      pool_events.finished = [](const proto::RunFinished&) {};
+      pool_events.spawn_unknown = [](std::uint64_t) {};
+      pool_events.verified = [this](std::uint64_t tag, bool good) { checks_->OnVerified(tag, good); };
+      pool_events.ready = [this] { checks_->OnPoolLinkReady(); };
       core::FrontEndEvents events;
       events.request = [](const core::IncomingRequest&) {};
-      events.disconnected = [this](core::StreamAddress from) { checks_->Left(from); };
-      events.deep_check = [this](core::StreamAddress from) { checks_->Ask(from); };
+      events.disconnected = [this](core::StreamAddress from) { checks_->OnCallerDisconnected(from); };
+      events.deep_check = [this](core::StreamAddress from) { checks_->OnDeepCheck(from); };
       events.class_counts = [](std::string_view) { return nullptr; };
       const auto any = net::ParseAddress("127.0.0.1:0");
       if (loops == 0) {
@@ -52,11 +52,12 @@
         front_ = std::make_unique<net::LoopGroup>(host_.base(), any, net::Descriptor(), std::move(group),
                                                   std::move(events));
       }
-      checks_.emplace(host_.base(),
-                      DeepChecks::Ends{.verify = [this](std::uint64_t tag) { return link_->Verify(tag); },
-                                       .answer = [this](core::StreamAddress to,
-                                                        bool good) { front_->AnswerHealthCheck(to, good); }});
-      link_.emplace(host_.base(), net::ParseAddress(pool_->address()), std::move(below));
+      checks_.emplace(
+          host_.base(),
+          DeepChecks::Callbacks{
+              .verify = [this](std::uint64_t tag) { return link_->Verify(tag); },
+              .answer = [this](core::StreamAddress to, bool good) { front_->AnswerHealthCheck(to, good); }});
+      link_.emplace(host_.base(), net::ParseAddress(pool_->address()), std::move(pool_events));
       sweep_ = std::make_unique<net::Timer>(host_.base(), [this] {
         front_->Sweep();
         sweep_->Start(500us);
@@ -65,7 +66,7 @@
       port = front_->port();
     });
   }
-  ~Rig() {
+  ~DeepCheckSetup() {
     host_.Do([this] {
       sweep_.reset();
       link_.reset();
@@ -85,9 +86,9 @@
     host_.Do([&] { count = pool_->counts().verified; });
     return count;
   }
-  std::size_t asking() {
+  std::size_t waiting_callers() {
     std::size_t count = 0;
-    host_.Do([&] { count = checks_->asking(); });
+    host_.Do([&] { count = checks_->waiting_callers(); });
     return count;
   }
   bool Await(const std::function<bool()>& done) {
@@ -107,95 +108,96 @@
   std::unique_ptr<net::Timer> sweep_;
 };
 
-std::string Check(std::uint32_t stream, bool real) {
-  return Gateway::Encode(6, stream,
-                         real ? std::string("\x01\x04real\x00\x01"
+std::string EncodeHealthCheck(std::uint32_t stream, bool deep) {
+  return Gateway::Encode(peers::kHealthCheckFrame, stream,
+                         deep ? std::string("\x01\x04real\x00\x01"
                                             "1",
                                             9)
                               : std::string(1, '\0'));
 }
 
-int CodeOf(Gateway& gateway) {
+int ReadHealthCode(Gateway& gateway) {
   const Frame frame = gateway.Read();
-  EXPECT_EQ(frame.type, 7);
+  EXPECT_EQ(frame.type, peers::kHealthResponseFrame);
   return frame.code;
 }
 
-// Wishes for checks by work. That reaches a loop in its own time: asked until one is done so.
-bool AsksByWork(Rig& rig, Gateway& caller, std::uint32_t& stream) {
-  rig.SetHealth(true, false);
-  return rig.Await([&] {
-    caller.Write(Check(++stream, true));
-    (void)CodeOf(caller);
-    return rig.verified() > 0;
+// Sets the health state so that deep checks are verified by the worker pool. The state reaches an event loop
+// asynchronously, so the caller repeats the check until one is verified.
+bool RequestDeepChecksUntilVerified(DeepCheckSetup& setup, Gateway& caller, std::uint32_t& stream) {
+  setup.SetHealth(true, false);
+  return setup.Await([&] {
+    caller.Write(EncodeHealthCheck(++stream, true));
+    (void)ReadHealthCode(caller);
+    return setup.verified() > 0;
   });
 }
 
-class OnLoops : public testing::TestWithParam<std::size_t> {};
+class DeepHealthCheckTest : public testing::TestWithParam<std::size_t> {};
 
-TEST_P(OnLoops, AreAnsweredByWorkWhereThatIsWishedAndFromTheStoreElse) {
-  Rig rig(GetParam());
-  Gateway caller(rig.port);
-  caller.Write(Check(1, true));
-  EXPECT_EQ(CodeOf(caller), 0);
-  EXPECT_EQ(rig.verified(), 0u);
-  rig.SetHealth(true, false);
-  // The wish reaches a loop in its own time: asked until one is done by work.
+TEST_P(DeepHealthCheckTest, DeepChecksAreVerifiedByThePoolOnlyWhenTheHealthStateIsNotShallow) {
+  DeepCheckSetup setup(GetParam());
+  Gateway caller(setup.port);
+  caller.Write(EncodeHealthCheck(1, true));
+  EXPECT_EQ(ReadHealthCode(caller), 0);
+  EXPECT_EQ(setup.verified(), 0u);
+  setup.SetHealth(true, false);
+  // The state reaches an event loop asynchronously, so the caller repeats the check until one is verified.
   std::uint32_t stream = 1;
-  ASSERT_TRUE(rig.Await([&] {
-    caller.Write(Check(++stream, true));
-    EXPECT_EQ(CodeOf(caller), 0);
-    return rig.verified() > 0;
+  ASSERT_TRUE(setup.Await([&] {
+    caller.Write(EncodeHealthCheck(++stream, true));
+    EXPECT_EQ(ReadHealthCode(caller), 0);
+    return setup.verified() > 0;
   }));
-  const std::uint64_t before = rig.verified();
-  caller.Write(Check(++stream, false));
-  EXPECT_EQ(CodeOf(caller), 0);
-  EXPECT_EQ(rig.verified(), before);
-  rig.Cause({.kind = PoolFault::Kind::kErrors, .lasts = standin::Millis(60'000)});
-  caller.Write(Check(++stream, true));
-  EXPECT_NE(CodeOf(caller), 0);
+  const std::uint64_t before = setup.verified();
+  caller.Write(EncodeHealthCheck(++stream, false));
+  EXPECT_EQ(ReadHealthCode(caller), 0);
+  EXPECT_EQ(setup.verified(), before);
+  setup.Cause({.kind = PoolFault::Kind::kErrors, .lasts = standin::Millis(60'000)});
+  caller.Write(EncodeHealthCheck(++stream, true));
+  EXPECT_NE(ReadHealthCode(caller), 0);
 }
 
-TEST_P(OnLoops, ManyAskersHaveOneVerifyInHandAndItsOutcome) {
-  Rig rig(GetParam());
-  Gateway first(rig.port);
+TEST_P(DeepHealthCheckTest, ConcurrentDeepChecksShareOneVerifyCommand) {
+  DeepCheckSetup setup(GetParam());
+  Gateway first(setup.port);
   std::uint32_t stream = 0;
-  ASSERT_TRUE(AsksByWork(rig, first, stream));
-  const std::uint64_t before = rig.verified();
+  ASSERT_TRUE(RequestDeepChecksUntilVerified(setup, first, stream));
+  const std::uint64_t before = setup.verified();
   std::vector<std::unique_ptr<Gateway>> callers;
   for (int i = 0; i < 20; ++i) {
-    callers.push_back(std::make_unique<Gateway>(rig.port));
-    callers.back()->Write(Check(1, true));
+    callers.push_back(std::make_unique<Gateway>(setup.port));
+    callers.back()->Write(EncodeHealthCheck(1, true));
   }
-  for (const auto& caller : callers) EXPECT_EQ(CodeOf(*caller), 0);
-  // Those that were read behind the end of the first share the second.
-  EXPECT_LE(rig.verified() - before, 4u);
+  for (const auto& caller : callers) EXPECT_EQ(ReadHealthCode(*caller), 0);
+  // Checks that are read after the first verify command has completed share the next one.
+  EXPECT_LE(setup.verified() - before, 4u);
 }
 
-TEST_P(OnLoops, ABrokenLinkAsksAgainAndAHungPoolIsBadInItsTime) {
-  Rig rig(GetParam());
-  Gateway caller(rig.port);
+TEST_P(DeepHealthCheckTest, DeepCheckIsRetriedAfterALinkLossAndTimesOutWhenThePoolHangs) {
+  DeepCheckSetup setup(GetParam());
+  Gateway caller(setup.port);
   std::uint32_t stream = 0;
-  ASSERT_TRUE(AsksByWork(rig, caller, stream));
-  // The pool stands still as the verify is sent: it is lost with the link, unread.
-  rig.Cause({.kind = PoolFault::Kind::kHang, .lasts = standin::Millis(200)});
-  caller.Write(Check(++stream, true));
-  ASSERT_TRUE(rig.Await([&] { return rig.asking() == 1; }));
-  rig.Cause({.kind = PoolFault::Kind::kBreakLinks});
-  EXPECT_EQ(CodeOf(caller), 0);
-  rig.Cause({.kind = PoolFault::Kind::kHang, .lasts = standin::Millis(60'000)});
+  ASSERT_TRUE(RequestDeepChecksUntilVerified(setup, caller, stream));
+  // The pool hangs when the verify command is sent, so the command is lost unread with the link.
+  setup.Cause({.kind = PoolFault::Kind::kHang, .lasts = standin::Millis(200)});
+  caller.Write(EncodeHealthCheck(++stream, true));
+  ASSERT_TRUE(setup.Await([&] { return setup.waiting_callers() == 1; }));
+  setup.Cause({.kind = PoolFault::Kind::kBreakLinks});
+  EXPECT_EQ(ReadHealthCode(caller), 0);
+  setup.Cause({.kind = PoolFault::Kind::kHang, .lasts = standin::Millis(60'000)});
   const auto asked = net::Steady::now();
-  caller.Write(Check(++stream, true));
-  EXPECT_NE(CodeOf(caller), 0);
+  caller.Write(EncodeHealthCheck(++stream, true));
+  EXPECT_NE(ReadHealthCode(caller), 0);
   EXPECT_GE(net::Steady::now() - asked, decide::DeepHealthChecks<int>::kTimeout - 1ms);
-  // One whose caller leaves is forgotten.
-  caller.Write(Check(++stream, true));
-  ASSERT_TRUE(rig.Await([&] { return rig.asking() == 1; }));
+  // A check is dropped when its caller disconnects.
+  caller.Write(EncodeHealthCheck(++stream, true));
+  ASSERT_TRUE(setup.Await([&] { return setup.waiting_callers() == 1; }));
   caller.socket().Close();
-  ASSERT_TRUE(rig.Await([&] { return rig.asking() == 0; }));
+  ASSERT_TRUE(setup.Await([&] { return setup.waiting_callers() == 0; }));
 }
 
-INSTANTIATE_TEST_SUITE_P(DeepChecks, OnLoops, testing::Values(0, 2));
+INSTANTIATE_TEST_SUITE_P(DeepChecks, DeepHealthCheckTest, testing::Values(0, 2));
 
 }  // namespace
 }  // namespace hingelink::node
--- a/tests/node/request_integration_test.cpp
+++ b/tests/node/request_integration_test.cpp
@@ -59,12 +59,12 @@
   gateway.Write(Gateway::Request(1, kFirst, body, now) + Gateway::Request(2, kSecond, "", now));
   // The pool has one core, so the second request waits for the first.
   std::string spawned_body;
-  ASSERT_EQ(link.Command(&spawned_body), "spawn " + kFirst + " order-lodge 5");
+  ASSERT_EQ(link.ReadCommand(&spawned_body), "spawn " + kFirst + " order-lodge 5");
   ASSERT_EQ(spawned_body, body);
-  link.Finish(1, kFirst, "complete", result);
+  link.SendFinished(1, kFirst, "complete", result);
   ASSERT_EQ(gateway.ReadAnswer(1, kServed).body, result);
-  ASSERT_EQ(link.Command(), "spawn " + kSecond + " order-lodge 0");
-  link.Finish(2, kSecond, "error", "");
+  ASSERT_EQ(link.ReadCommand(), "spawn " + kSecond + " order-lodge 0");
+  link.SendFinished(2, kSecond, "error", "");
   gateway.ReadAnswer(2, kFailed);
 }
 
@@ -91,8 +91,8 @@
   gateway.Write(Gateway::Encode(0, ++stream, "\5"));  // A field length beyond the end of the frame.
   gateway.ReadAnswer(stream, kRejected);
   gateway.Write(Gateway::Request(++stream, kFirst, "good"));
-  link.Command();
-  link.Finish(1, kFirst, "complete", "done");
+  link.ReadCommand();
+  link.SendFinished(1, kFirst, "complete", "done");
   gateway.ReadAnswer(stream, kServed);
 }
 
@@ -104,7 +104,7 @@
     invalid_sender.ReadAnswer(stream, kRejected);
   }
   invalid_sender.ReadAnswer(0, kFailed);
-  ASSERT_TRUE(invalid_sender.socket().Finished());
+  ASSERT_TRUE(invalid_sender.socket().ClosedCleanly());
 }
 
 // The answer is a failure, because a rejection guarantees that no attempt with this id ran.
@@ -113,10 +113,10 @@
   auto& [node, link, gateway] = serving;
   constexpr std::uint32_t stream = 1;
   gateway.Write(Gateway::Request(stream, kFirst, "good"));
-  link.Command();
+  link.ReadCommand();
   gateway.Write(Gateway::Request(50, kFirst, "again"));
   gateway.ReadAnswer(50, kFailed);
-  link.Finish(1, kFirst, "complete", "done");
+  link.SendFinished(1, kFirst, "complete", "done");
   gateway.ReadAnswer(stream, kServed);
   gateway.Write(Gateway::Request(51, kFirst, "again"));
   gateway.ReadAnswer(51, kFailed);
@@ -127,8 +127,8 @@
   auto& [node, link, gateway] = serving;
   // The node rejects all requests until the pool is connected, so first wait for a served request.
   gateway.Write(Gateway::Request(1, kFirst, "x"));
-  link.Command();
-  link.Finish(1, kFirst, "complete", "done");
+  link.ReadCommand();
+  link.SendFinished(1, kFirst, "complete", "done");
   gateway.ReadAnswer(1, kServed);
   for (std::uint32_t stream = 100; stream <= 132; ++stream) {
     gateway.Write(
@@ -143,19 +143,19 @@
   auto& [node, link, gateway] = serving;
   const std::map<std::string, std::string> read = {{"kind", "usage-view"}, {"subject", "7f3a9c21e0b4d655"}};
   gateway.Write(Gateway::Request(1, kFirst, "x", read));
-  link.Command();
+  link.ReadCommand();
   gateway.Write(Gateway::Request(2, kSecond, "x", read));
-  link.Finish(1, kFirst, "error", "");
+  link.SendFinished(1, kFirst, "error", "");
   gateway.ReadAnswer(1, kFailed);
-  ASSERT_EQ(link.Command(),
+  ASSERT_EQ(link.ReadCommand(),
             "spawn " + kSecond + " usage-view 1");  // The first execution failed, so the next read runs.
-  link.Finish(2, kSecond, "complete", "usage");
+  link.SendFinished(2, kSecond, "complete", "usage");
   ASSERT_EQ(gateway.ReadAnswer(2, kServed).body, "usage");
   gateway.Write(Gateway::Request(3, kThird, "x", read));
   ASSERT_EQ(gateway.ReadAnswer(3, kServed).body, "usage");
   // A read of another subject runs separately.
   gateway.Write(Gateway::Request(4, kFourth, "x", {{"kind", "usage-view"}, {"subject", kFirst}}));
-  ASSERT_NE(link.Command().find("a4"), std::string::npos);
+  ASSERT_NE(link.ReadCommand().find("a4"), std::string::npos);
 }
 
 TEST_P(NodeRequestTest, KeyedRequestRunsOnceAcrossItsRetriesAndUpstreamCalls) {
@@ -179,20 +179,20 @@
     ASSERT_EQ(gateway.ReadAnswer(stream, kRejected).fields.at("nomore"), "1");
   }
   gateway.Write(Gateway::Request(1, kFirst, "body", claim()));
-  ASSERT_EQ(link.Command(), "spawn " + kFirst + " claim 4");
+  ASSERT_EQ(link.ReadCommand(), "spawn " + kFirst + " claim 4");
   link.Write("blocked 1 " + kFirst + " 4\r\nc\r\nd\r\n");
   peers::Socket calls = store.Accept();
-  const std::string call = calls.Line();
+  const std::string call = calls.ReadLine();
   ASSERT_TRUE(call.starts_with("CALL " + kFirst + ' '));
   ASSERT_TRUE(call.ends_with(" 4"));
-  ASSERT_EQ(calls.Bytes(6), "c\r\nd\r\n");
+  ASSERT_EQ(calls.ReadBytes(6), "c\r\nd\r\n");
   // A retry arrives while the first attempt waits for its upstream call. The retry waits and does not run.
   gateway.Write(Gateway::Request(2, kSecond, "body", claim({{"resent", "1"}})));
   calls.Write(kFirst + " OK 5\r\nr\r\n+1\r\n");
   std::string reply;
-  ASSERT_EQ(link.Command(&reply), "supply " + kFirst + " 5");
+  ASSERT_EQ(link.ReadCommand(&reply), "supply " + kFirst + " 5");
   ASSERT_EQ(reply, "r\r\n+1");
-  link.Finish(2, kFirst, "complete", "claimed");
+  link.SendFinished(2, kFirst, "complete", "claimed");
   ASSERT_EQ(gateway.ReadAnswer(1, kServed).body, "claimed");
   ASSERT_EQ(gateway.ReadAnswer(2, kServed).body, "claimed");
   // A retry over another connection after the execution gets the same result. A request with the same key and
@@ -205,13 +205,13 @@
   // A read whose upstream call fails uses its fallback.
   gateway.Write(
       Gateway::Request(3, kFourth, "x", {{"kind", "usage-view"}, {"timeout", "(none)"}, {"owner", "north"}}));
-  link.Command();
+  link.ReadCommand();
   link.Write("blocked 3 " + kFourth + " 1\r\nc\r\n");
-  ASSERT_TRUE(calls.Line().starts_with("CALL " + kFourth));
-  calls.Bytes(3);
+  ASSERT_TRUE(calls.ReadLine().starts_with("CALL " + kFourth));
+  calls.ReadBytes(3);
   calls.Write(kFourth + " LATE\r\n");
-  ASSERT_EQ(link.PassedOn(), "pass " + kFourth + " 3");
-  link.Finish(4, kFourth, "complete", "fallback");
+  ASSERT_EQ(link.ReadLineCommand(), "pass " + kFourth + " 3");
+  link.SendFinished(4, kFourth, "complete", "fallback");
   ASSERT_EQ(gateway.ReadAnswer(3, kServed).body, "fallback");
   const std::string metrics = node.Get("/ops/stats");
   ASSERT_NE(metrics.find("edge_node_key_replays 2"), std::string::npos);
@@ -225,19 +225,19 @@
   auto& [node, link, gateway] = serving;
   const std::uint64_t sent = Gateway::UnixMs();
   gateway.Write(Gateway::Request(1, kFirst, "x", {{"timeout", "900"}, {"ms", "1"}}));
-  link.Command();
+  link.ReadCommand();
   gateway.ReadAnswer(1, kFailed);  // The test answers no poll of the node meanwhile.
   ASSERT_LE(Gateway::UnixMs(), sent + 1000);
-  link.Finish(1, kFirst, "complete", "late");
+  link.SendFinished(1, kFirst, "complete", "late");
   // A request that has expired on arrival is rejected at once.
   gateway.Write(Gateway::Request(2, kSecond, "x", {{"ts", std::to_string(sent - 5000)}}));
   gateway.ReadAnswer(2, kRejected);
   // A disconnected caller gets no answer: the next answer belongs to the next request.
   gateway.Write(Gateway::Request(3, kThird, "x"));
-  link.Command();
+  link.ReadCommand();
   gateway.Write(Gateway::Encode(2, 3, "") + Gateway::HealthCheck(9));
   ASSERT_EQ(gateway.Read().type, kHealthResponseFrame);  // The node has read the cancellation.
-  link.Finish(2, kThird, "complete", "unheard");
+  link.SendFinished(2, kThird, "complete", "unheard");
   gateway.Write(Gateway::Request(4, kFourth, "x", {{"ts", std::to_string(sent - 5000)}}));
   gateway.ReadAnswer(4, kRejected);
 }
@@ -250,7 +250,7 @@
   Gateway gateway(node.port());
   Gateway other(node.port());
   gateway.Write(Gateway::Request(1, kFirst, "x"));
-  link.Command();
+  link.ReadCommand();
   gateway.Write(Gateway::Request(2, kSecond, "held", {{"kind", "usage-view"}, {"subject", kSecond}}));
   gateway.Write(Gateway::HealthCheck(1));
   ASSERT_EQ(gateway.Read().type, kHealthResponseFrame);
@@ -262,9 +262,9 @@
   }
   other.Write(requests + cancellations + Gateway::HealthCheck(17));
   ASSERT_EQ(other.Read().type, kHealthResponseFrame);
-  link.Finish(1, kFirst, "complete", "y");
+  link.SendFinished(1, kFirst, "complete", "y");
   ASSERT_EQ(gateway.ReadAnswer(1, kServed).body, "y");
-  ASSERT_EQ(link.Command(), "spawn " + kSecond + " usage-view 4");
+  ASSERT_EQ(link.ReadCommand(), "spawn " + kSecond + " usage-view 4");
 }
 
 // The last gauges report idle cores. Without an answer to a poll, the node must not rely on them for long.
@@ -278,7 +278,7 @@
   };
   for (std::uint32_t stream = 1; stream <= 3; ++stream) {
     send_read(stream);
-    link.Command();  // Answers polls with idle cores, so that the next request may run.
+    link.ReadCommand();  // Answers polls with idle cores, so that the next request may run.
   }
   for (std::uint32_t stream = 4; stream <= 7; ++stream) send_read(stream);
   int rejected = 0;
