--- a/src/appliance/processes.cpp
+++ b/src/appliance/processes.cpp
@@ -46,7 +46,7 @@
 
 void Process::Signal(int number) const { syscall(SYS_pidfd_send_signal, fd_.get(), number, nullptr, 0); }
 
-WaitingProcess::WaitingProcess(const std::string& program, const std::vector<std::string>& args,
+PendingProcess::PendingProcess(const std::string& program, const std::vector<std::string>& args,
                                const std::map<std::string, std::string>& environment,
                                const std::string& output) {
   std::vector<std::string> texts = {program};
@@ -101,7 +101,7 @@
   id_.start_ticks = *ticks;
 }
 
-void WaitingProcess::Release() {
+void PendingProcess::Release() {
   if (go_.get() < 0) return;
   const char word = 'g';
   // One byte into an empty pipe: it is taken, or the other end has gone.
--- a/src/appliance/processes.h
+++ b/src/appliance/processes.h
@@ -35,10 +35,10 @@
 };
 
 // A process that waits to be let go. If this one ends before, or drops it, the process ends too.
-class WaitingProcess {
+class PendingProcess {
  public:
   // In a session of its own; what it writes is appended to `output`. Throws std::runtime_error.
-  WaitingProcess(const std::string& program, const std::vector<std::string>& args,
+  PendingProcess(const std::string& program, const std::vector<std::string>& args,
                  const std::map<std::string, std::string>& environment, const std::string& output);
   const decide::ProcessId& id() const { return id_; }
   // It becomes the program now. At most once.
--- a/src/appliance/supervisor.cpp
+++ b/src/appliance/supervisor.cpp
@@ -34,7 +34,7 @@
 
 state::DirectoryLock TakeLock(const std::string& folder) {
   auto lock = state::DirectoryLock::TryAcquire(folder + "/lock");
-  if (!lock) throw AlreadyRuns("another supervisor holds " + folder);
+  if (!lock) throw AlreadyRunningError("another supervisor holds " + folder);
   return std::move(*lock);
 }
 
@@ -104,7 +104,7 @@
     const std::string_view all = net::ReceivedBytes(link.get());
     const std::size_t eol = all.find('\n');
     if (eol == std::string_view::npos) {
-      if (all.size() > control::kMostResponse) Lose();
+      if (all.size() > control::kMaxResponseBytes) Lose();
       return;
     }
     const auto response = nlohmann::json::parse(all.substr(0, eol), nullptr, false);
@@ -262,14 +262,14 @@
     }
   }
   // Who asks for the node to be up does not mean a supervisor that ends with the node before.
-  if (options_.asked_up && plan.desired == decide::DesiredState::kStopped)
+  if (options_.start_requested && plan.desired == decide::DesiredState::kStopped)
     plan.desired = decide::DesiredState::kDrained;
   events_.push_back(decide::SupervisorStarted{plan});
   for (const std::uint64_t generation : gone) {
     log::Info("found-ended", {{"generation", generation}});
     events_.push_back(decide::ProcessExited{generation, EndedWell(generation)});
   }
-  if (options_.asked_up) events_.push_back(decide::StartRequested{});
+  if (options_.start_requested) events_.push_back(decide::StartRequested{});
   Work();
   answer_.reset();
 }
@@ -308,7 +308,8 @@
 }
 
 void Supervisor::Carry(const decide::SupervisorAction& action) {
-  if (const char* name = NameOf(action); options_.before && *name != '\0') options_.before(name, ++actions_);
+  if (const char* name = NameOf(action); options_.before_action && *name != '\0')
+    options_.before_action(name, ++actions_);
   std::visit(
       [this](const auto& a) {
         using A = std::decay_t<decltype(a)>;
@@ -393,7 +394,7 @@
     if (config_.pin) args.push_back("--pin");
     if (config_.peers.is_object()) args.insert(args.end(), {"--peers", Path("peers-" + number + ".json")});
     if (config_.learned) args.insert(args.end(), {"--learned", Path("learned")});
-    waiting_ = std::make_unique<WaitingProcess>(options_.program, std::move(args),
+    waiting_ = std::make_unique<PendingProcess>(options_.program, std::move(args),
                                                 std::map<std::string, std::string>{{"TMPDIR", Path("run")}},
                                                 Path("node.err"));
     waiting_generation_ = generation;
@@ -465,7 +466,8 @@
   answer_.reset();
   Take(event);
   const decide::OperatorReply answer = answer_.value_or(decide::OperatorReply{false, "ends"});
-  if (!answer.ok) throw control::Fault(answer.code, std::string("the supervisor says no: ") + answer.code);
+  if (!answer.ok)
+    throw control::RequestError(answer.code, std::string("the supervisor says no: ") + answer.code);
   return {{"already", std::strcmp(answer.code, "already") == 0},
           {"generation", decide_.state().last_generation},
           {"phase", decide::SupervisorPhaseName(decide_.phase())}};
@@ -473,7 +475,8 @@
 
 Json Supervisor::Reload() {
   const decide::SupervisorState& plan = decide_.state();
-  if (!plan.current) throw control::Fault("not-serving", "no node serves; the next start reads the file");
+  if (!plan.current)
+    throw control::RequestError("not-serving", "no node serves; the next start reads the file");
   try {
     Config fresh = ReadConfig(options_.config);
     std::swap(config_, fresh);
@@ -484,14 +487,14 @@
       throw;
     }
   } catch (const std::exception& fault) {
-    throw control::Fault("reload-failed", fault.what());
+    throw control::RequestError("reload-failed", fault.what());
   }
   // The node says itself whether it takes the file.
   try {
     return control::Client(SocketOf(plan.current->generation))
         .Call("reload", nlohmann::json::object(), kLookWithin);
-  } catch (const control::Unreachable& fault) {
-    throw control::Fault("node-unreachable", fault.what());
+  } catch (const control::UnreachableError& fault) {
+    throw control::RequestError("node-unreachable", fault.what());
   }
 }
 
--- a/src/appliance/supervisor.h
+++ b/src/appliance/supervisor.h
@@ -38,20 +38,20 @@
   std::string program;  // What a node is started from.
   std::uint64_t seed = 0;
   // Whether it was asked for (`up`) or goes on with what was planned (`resume`).
-  bool asked_up = true;
+  bool start_requested = true;
   // For tests: called before each action, with its name and a count of them.
-  std::function<void(const char* action, std::uint64_t count)> before;
+  std::function<void(const char* action, std::uint64_t count)> before_action;
 };
 
 // Another supervisor holds the folder.
-class AlreadyRuns : public std::runtime_error {
+class AlreadyRunningError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
 
 class Supervisor {
  public:
-  // Throws AlreadyRuns, ConfigError, FileError or std::runtime_error.
+  // Throws AlreadyRunningError, ConfigError, FileError or std::runtime_error.
   explicit Supervisor(SupervisorOptions options);
   ~Supervisor();
 
@@ -90,7 +90,7 @@
   decide::Supervisor decide_;
   std::map<std::uint64_t, std::unique_ptr<Held>> held_;
   std::vector<std::unique_ptr<Held>> ended_;  // Freed outside their own callbacks.
-  std::unique_ptr<WaitingProcess> waiting_;
+  std::unique_ptr<PendingProcess> waiting_;
   std::uint64_t waiting_generation_ = 0;
   net::Timer tick_;
   net::Timer look_;
--- a/src/cli/appliance.cpp
+++ b/src/cli/appliance.cpp
@@ -99,7 +99,7 @@
     run.config = ConfigPath(options);
     run.program = OwnProgram();
     run.seed = std::random_device{}();
-    run.asked_up = !options.resume;
+    run.start_requested = !options.resume;
     log::Info("supervisor-begins", {{"pid", getpid()}});
     appliance::Supervisor(std::move(run)).Run();
     log::Close();
@@ -173,9 +173,9 @@
   try {
     result = control::Client(SupervisorSocket(options)).Call(op);
     return true;
-  } catch (const control::Fault& fault) {
+  } catch (const control::RequestError& fault) {
     std::fprintf(stderr, "hingelink: %s (%s)\n", fault.what(), fault.code().c_str());
-  } catch (const control::Unreachable&) {
+  } catch (const control::UnreachableError&) {
     std::fprintf(stderr, "hingelink: no appliance runs in %s\n", options.state.c_str());
   }
   return false;
--- a/src/cli/control_of_node.cpp
+++ b/src/cli/control_of_node.cpp
@@ -31,7 +31,7 @@
                  {"reload",
                   [&node](const nlohmann::json&) {
                     const std::string wrong = node.Reload();
-                    if (!wrong.empty()) throw control::Fault("reload-failed", wrong);
+                    if (!wrong.empty()) throw control::RequestError("reload-failed", wrong);
                     return Json{{"reloaded", true}};
                   }},
                  {"connections",
@@ -62,17 +62,18 @@
                  {"members",
                   [fleet](const nlohmann::json& args) {
                     if (fleet == nullptr)
-                      throw control::Fault("no-fleet",
-                                           "this node was started without peers; name them in the "
-                                           "appliance's file, or with serve --peers");
+                      throw control::RequestError("no-fleet",
+                                                  "this node was started without peers; name them in the "
+                                                  "appliance's file, or with serve --peers");
                     return Json::parse(fleet->Members(args.value("brief", false)));
                   }},
                  {"spread",
                   [services](const nlohmann::json&) {
                     if (services == nullptr)
-                      throw control::Fault("no-services",
-                                           "this node has one worker pool of its own; name services in the "
-                                           "appliance's file, or with serve --services");
+                      throw control::RequestError(
+                          "no-services",
+                          "this node has one worker pool of its own; name services in the "
+                          "appliance's file, or with serve --services");
                     return Json::parse(services->Spread());
                   }},
                  {"version", [](const nlohmann::json&) {
--- a/src/cli/demo.cpp
+++ b/src/cli/demo.cpp
@@ -104,7 +104,7 @@
     for (const auto until = Steady::now() + 15s;;) {
       try {
         if (control::Client(socket_).Call("status").value("ready", false)) return;
-      } catch (const control::Unreachable&) {
+      } catch (const control::UnreachableError&) {
       }
       if (ended()) throw std::runtime_error("the node ended at once: see its log");
       if (Steady::now() > until) throw std::runtime_error("the node did not get ready within 15 s");
--- a/src/cli/lab_rig.cpp
+++ b/src/cli/lab_rig.cpp
@@ -42,7 +42,7 @@
         view.others[m.at("name")] = {m.at("life"), m.at("state") == "gone", m.at("state") == "suspect"};
       }
       return view;
-    } catch (const control::Fault& fault) {
+    } catch (const control::RequestError& fault) {
       // It answers, and was started without peers. Guards against a question that is refused for its form, as
       // a fleet in which nobody is ever gone.
       if (fault.code() != "no-fleet") throw;
--- a/src/cli/process.cpp
+++ b/src/cli/process.cpp
@@ -22,7 +22,7 @@
 
 pid_t StartDetached(const std::string& program, const std::vector<std::string>& args,
                     const std::map<std::string, std::string>& environment, const std::string& output) {
-  appliance::WaitingProcess process(program, args, environment, output.empty() ? "/dev/null" : output);
+  appliance::PendingProcess process(program, args, environment, output.empty() ? "/dev/null" : output);
   process.Release();
   return static_cast<pid_t>(process.id().pid);
 }
--- a/src/console/console.cpp
+++ b/src/console/console.cpp
@@ -51,10 +51,10 @@
         if (Clock::now() < again_) return false;
         again_ = Clock::now() + kConnectAgain;
         client_.emplace(options_.socket);
-        client_->Ask("watch", {{"every_ms", options_.every.count()}});
+        client_->SendRequest("watch", {{"every_ms", options_.every.count()}});
       }
       bool taken = false;
-      while (auto snapshot = client_->Next(0ms)) {
+      while (auto snapshot = client_->ReadResult(0ms)) {
         taken = true;
         handed_over_ = snapshot->value("state", "") == "handed-over";
         model.Take(*snapshot, Ms(Clock::now()));
@@ -63,11 +63,11 @@
       // The successor answers at the same place by now, or soon.
       if (taken && handed_over_) Leave();
       return taken;
-    } catch (const control::Fault& fault) {
+    } catch (const control::RequestError& fault) {
       why = fault.what();
       Leave();
       return true;
-    } catch (const control::Unreachable& gone) {
+    } catch (const control::UnreachableError& gone) {
       why = gone.what();
       Leave();
       return true;
@@ -94,9 +94,9 @@
     try {
       const nlohmann::json result = control::Client(path).Call("drain");
       return result.value("already", false) ? "already draining" : "drain begins";
-    } catch (const control::Fault& fault) {
+    } catch (const control::RequestError& fault) {
       return std::string("not drained: ") + fault.what();
-    } catch (const control::Unreachable&) {
+    } catch (const control::UnreachableError&) {
       continue;
     }
   }
--- a/src/control/client.h
+++ b/src/control/client.h
@@ -12,23 +12,23 @@
 namespace hingelink::control {
 
 // Nobody answers: no socket, no process behind it, or none in time.
-class Unreachable : public std::runtime_error {
+class UnreachableError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
 
 class Client {
  public:
-  // Throws Unreachable.
+  // Throws UnreachableError.
   explicit Client(const std::string& path);
 
-  // The result. Throws Fault where the other side says no, Unreachable where it does not answer in time.
+  // The result. Throws Fault where the other side says no, UnreachableError where it does not answer in time.
   nlohmann::json Call(const std::string& op, const nlohmann::json& args = nlohmann::json::object(),
                       std::chrono::milliseconds patience = std::chrono::seconds(5));
-  // Asks without waiting; the results come to Next().
-  void Ask(const std::string& op, const nlohmann::json& args = nlohmann::json::object());
+  // Asks without waiting; the results come to ReadResult().
+  void SendRequest(const std::string& op, const nlohmann::json& args = nlohmann::json::object());
   // The next result that is here within the time; nothing where none is. Throws as Call() does.
-  std::optional<nlohmann::json> Next(std::chrono::milliseconds patience);
+  std::optional<nlohmann::json> ReadResult(std::chrono::milliseconds patience);
   int fd() const { return fd_.get(); }
 
  private:
--- a/src/control/protocol.cpp
+++ b/src/control/protocol.cpp
@@ -21,10 +21,10 @@
 
 Request ReadRequest(std::string_view line) {
   const nlohmann::json json = nlohmann::json::parse(line, nullptr, false);
-  if (json.is_discarded()) throw Fault("bad-json", "the line is no JSON");
+  if (json.is_discarded()) throw RequestError("bad-json", "the line is no JSON");
   static const schema::Schema form(schema::ControlRequestSchema());
   if (const auto faults = form.Check(json); !faults.empty()) {
-    throw Fault("bad-request", faults.front().Text());
+    throw RequestError("bad-request", faults.front().Text());
   }
   Request request;
   request.id = json["id"].get<std::uint64_t>();
@@ -37,21 +37,21 @@
   return Line({{"v", kVersion}, {"id", id}, {"ok", true}, {"result", result}});
 }
 
-std::string FaultLine(std::uint64_t id, const Fault& fault) {
+std::string ErrorLine(std::uint64_t id, const RequestError& error) {
   return Line({{"v", kVersion},
                {"id", id},
                {"ok", false},
-               {"error", {{"code", fault.code()}, {"message", fault.what()}}}});
+               {"error", {{"code", error.code()}, {"message", error.what()}}}});
 }
 
-Json SnapshotJson(const node::Snapshot& seen, const Around& around) {
+Json SnapshotJson(const node::Snapshot& seen, const ProcessInfo& process) {
   const auto unix_ms = std::chrono::floor<std::chrono::milliseconds>(std::chrono::system_clock::now());
   Json json = {{"schema", 1},
                {"at_ms", unix_ms.time_since_epoch().count()},
                {"name", seen.name},
-               {"version", around.version},
-               {"pid", around.pid},
-               {"generation", around.generation},
+               {"version", process.version},
+               {"pid", process.pid},
+               {"generation", process.generation},
                {"state", node::NodeStateName(seen.state)},
                {"ready", seen.ready},
                {"uptime_ms", seen.uptime.count()}};
--- a/src/control/protocol.h
+++ b/src/control/protocol.h
@@ -22,13 +22,14 @@
 using Json = nlohmann::ordered_json;
 
 inline constexpr int kVersion = 1;
-inline constexpr std::size_t kMostRequest = 4096;  // Bytes of a line, its end included.
-inline constexpr std::size_t kMostResponse = 262'144;
+inline constexpr std::size_t kMaxRequestBytes = 4096;  // Bytes of a line, its end included.
+inline constexpr std::size_t kMaxResponseBytes = 262'144;
 
 // A request that is turned down. The codes are listed in docs/operators/appliance.md.
-class Fault : public std::runtime_error {
+class RequestError : public std::runtime_error {
  public:
-  Fault(std::string code, const std::string& message) : std::runtime_error(message), code_(std::move(code)) {}
+  RequestError(std::string code, const std::string& message)
+      : std::runtime_error(message), code_(std::move(code)) {}
   const std::string& code() const { return code_; }
 
  private:
@@ -44,15 +45,15 @@
 // Throws Fault where the line is no request.
 Request ReadRequest(std::string_view line);
 std::string ResultLine(std::uint64_t id, const Json& result);
-std::string FaultLine(std::uint64_t id, const Fault& fault);
+std::string ErrorLine(std::uint64_t id, const RequestError& error);
 
 // What the process around the node adds to its snapshot.
-struct Around {
+struct ProcessInfo {
   std::string version;
   int pid = 0;
   std::uint64_t generation = 0;
 };
-Json SnapshotJson(const node::Snapshot& seen, const Around& around);
+Json SnapshotJson(const node::Snapshot& seen, const ProcessInfo& process);
 
 }  // namespace hingelink::control
 
--- a/src/control/server.cpp
+++ b/src/control/server.cpp
@@ -50,7 +50,7 @@
         },
         this);
     // Guards the memory against a line without end.
-    bufferevent_setwatermark(bev_.get(), EV_READ, 0, kMostRequest);
+    bufferevent_setwatermark(bev_.get(), EV_READ, 0, kMaxRequestBytes);
     bufferevent_enable(bev_.get(), EV_READ | EV_WRITE);
   }
 
@@ -59,13 +59,13 @@
       const std::string_view all = net::ReceivedBytes(bev_.get());
       const std::size_t end = all.find('\n');
       if (end == std::string_view::npos) {
-        if (all.size() >= kMostRequest) {
-          Send(FaultLine(0, Fault("line-too-long", "a request is one line of at most 4096 bytes")));
+        if (all.size() >= kMaxRequestBytes) {
+          Send(ErrorLine(0, RequestError("line-too-long", "a request is one line of at most 4096 bytes")));
           server_.End(*this, "line-too-long");
         } else if (all.empty()) {
           if (net::UnsentBytes(bev_.get()) == 0) patience_.Stop();
         } else if (!std::exchange(in_line_, true)) {
-          patience_.Start(kPatience);
+          patience_.Start(kClientTimeout);
         }
         return;
       }
@@ -86,15 +86,15 @@
         const Request request = ReadRequest(all.substr(0, end));
         id = request.id;
         server_.Serve(*this, request);
-      } catch (const Fault& fault) {
-        Send(FaultLine(id, fault));
+      } catch (const RequestError& error) {
+        Send(ErrorLine(id, error));
       }
       if (!stopped_) net::Consume(bev_.get(), end + 1);
     }
   }
   void Send(const std::string& line) {
     net::Send(bev_.get(), line);
-    patience_.Start(kPatience);
+    patience_.Start(kClientTimeout);
   }
   void Written() {
     if (!in_line_) patience_.Stop();
@@ -194,7 +194,7 @@
     log::PeerEvent("control-turned-away", {{"uid", peer.uid}, {"pid", peer.pid}});
     return;
   }
-  if (clients_.size() >= kMostClients) {
+  if (clients_.size() >= kMaxClients) {
     Client* quiet = nullptr;
     for (const auto& [id, client] : clients_) {
       if (!client->watch_ && (quiet == nullptr || client->used_ < quiet->used_)) quiet = client.get();
@@ -219,16 +219,16 @@
 
 bool Server::TakeTurn() {
   if (turns_ == 0) {
-    tick_.Start(kTick);
+    tick_.Start(kRateLimitInterval);
     return false;
   }
   // The first of a tick starts it.
-  if (turns_-- == kRequestsEachTick) tick_.Start(kTick);
+  if (turns_-- == kRequestsPerTick) tick_.Start(kRateLimitInterval);
   return true;
 }
 
 void Server::Tick() {
-  turns_ = kRequestsEachTick;
+  turns_ = kRequestsPerTick;
   std::vector<std::uint64_t> waiting;
   for (const auto& [id, client] : clients_) {
     if (client->waits_) waiting.push_back(id);
@@ -243,7 +243,7 @@
 
 const std::string& Server::SnapshotText() {
   const Steady::time_point now = Steady::now();
-  if (!snapshot_at_ || now - *snapshot_at_ >= kSnapshotGood) {
+  if (!snapshot_at_ || now - *snapshot_at_ >= kSnapshotMaxAge) {
     snapshot_text_ = snapshot_().dump(-1, ' ', false, Json::error_handler_t::replace);
     snapshot_at_ = now;
   }
@@ -261,8 +261,9 @@
     return;
   }
   if (request.op == "watch") {
-    if (!client.watch_ && watchers() >= kMostWatchers) {
-      throw Fault("too-many-watchers", std::to_string(kMostWatchers) + " watch already; end one of them");
+    if (!client.watch_ && watchers() >= kMaxWatchers) {
+      throw RequestError("too-many-watchers",
+                         std::to_string(kMaxWatchers) + " watch already; end one of them");
     }
     client.watch_ = request.id;
     client.every_ = std::chrono::milliseconds(request.args.value("every_ms", kUsualEvery.count()));
@@ -273,7 +274,7 @@
   }
   const auto handler = handlers_.find(request.op);
   if (handler == handlers_.end())
-    throw Fault("not-here", "'" + request.op + "' is not served on this socket");
+    throw RequestError("not-here", "'" + request.op + "' is not served on this socket");
   // What is changed shows in the next snapshot.
   snapshot_at_.reset();
   client.Send(ResultLine(request.id, handler->second(request.args)));
@@ -289,7 +290,7 @@
     client->next_ = std::max(client->next_ + client->every_, now);
     // Guards against a backlog: one that has not read the last gets the newest once it has.
     if (!client->HasReadAll()) {
-      ++skipped_;
+      ++skipped_snapshots_;
       continue;
     }
     net::Send(client->bev_.get(), ResultText(*client->watch_, SnapshotText()));
--- a/src/control/server.h
+++ b/src/control/server.h
@@ -24,14 +24,14 @@
 namespace hingelink::control {
 
 // Bounds. docs/limits.md lists them for operators.
-inline constexpr std::size_t kMostClients = 16;  // The one that was quiet longest makes room, no watcher.
-inline constexpr std::size_t kMostWatchers = 8;
-inline constexpr std::size_t kRequestsEachTick = 8;  // Over all clients.
-inline constexpr std::chrono::milliseconds kTick{10};
+inline constexpr std::size_t kMaxClients = 16;  // The one that was quiet longest makes room, no watcher.
+inline constexpr std::size_t kMaxWatchers = 8;
+inline constexpr std::size_t kRequestsPerTick = 8;  // Over all clients.
+inline constexpr std::chrono::milliseconds kRateLimitInterval{10};
 // A newer one is not made before: each counts every request in hand, 0.2% of a core at saturation.
-inline constexpr std::chrono::milliseconds kSnapshotGood{200};
+inline constexpr std::chrono::milliseconds kSnapshotMaxAge{200};
 // For a line to be whole from its first byte on, and for a response to be taken.
-inline constexpr std::chrono::milliseconds kPatience{5000};
+inline constexpr std::chrono::milliseconds kClientTimeout{5000};
 
 class Server {
  public:
@@ -53,7 +53,7 @@
   std::size_t clients() const { return clients_.size(); }
   std::size_t watchers() const;
   // Snapshots that a watcher was not sent, as it had not read the one before.
-  std::uint64_t skipped() const { return skipped_; }
+  std::uint64_t skipped_snapshots() const { return skipped_snapshots_; }
 
  private:
   class Client;
@@ -76,13 +76,13 @@
   net::Timer watch_;  // While there are watchers.
   net::Timer sweep_;  // Frees what has ended, outside its callbacks.
   net::Timer listen_again_;
-  std::size_t turns_ = kRequestsEachTick;
+  std::size_t turns_ = kRequestsPerTick;
   std::uint64_t last_id_ = 0;
   std::map<std::uint64_t, std::unique_ptr<Client>> clients_;
   std::vector<std::unique_ptr<Client>> ended_;
   std::string snapshot_text_;
   std::optional<net::Steady::time_point> snapshot_at_;
-  std::uint64_t skipped_ = 0;
+  std::uint64_t skipped_snapshots_ = 0;
 };
 
 }  // namespace hingelink::control
--- a/tests/appliance/rig.h
+++ b/tests/appliance/rig.h
@@ -130,7 +130,7 @@
     try {
       const json result = hingelink::control::Client(folder() + "/supervisor.sock").Call(op);
       return result.value("already", false) ? "already" : "done";
-    } catch (const hingelink::control::Fault& fault) {
+    } catch (const hingelink::control::RequestError& fault) {
       return fault.code();
     } catch (const std::exception&) {
       return {};
--- a/tests/appliance/test_supervisor.cpp
+++ b/tests/appliance/test_supervisor.cpp
@@ -22,9 +22,9 @@
     options.config = argv[2];
     options.program = argv[3];
     options.seed = 1;
-    options.asked_up = std::string(argv[4]) == "up";
+    options.start_requested = std::string(argv[4]) == "up";
     if (const std::uint64_t step = std::strtoull(argv[5], nullptr, 10); step > 0) {
-      options.before = [step](const char*, std::uint64_t count) {
+      options.before_action = [step](const char*, std::uint64_t count) {
         if (count == step) kill(getpid(), SIGKILL);
       };
     }
--- a/tests/control/control_test.cpp
+++ b/tests/control/control_test.cpp
@@ -22,10 +22,10 @@
 
 using namespace std::chrono_literals;
 using hingelink::control::Client;
-using hingelink::control::Fault;
 using hingelink::control::Json;
+using hingelink::control::RequestError;
 using hingelink::control::Server;
-using hingelink::control::Unreachable;
+using hingelink::control::UnreachableError;
 using nlohmann::json;
 
 // A server on a loop of its own, whose snapshots are numbered.
@@ -44,7 +44,7 @@
                [](const json&) {
                  return Json{{"version", "t"}};
                }},
-              {"drain", [](const json&) -> Json { throw Fault("no", "not now"); }}});
+              {"drain", [](const json&) -> Json { throw RequestError("no", "not now"); }}});
     });
   }
   ~Served() {
@@ -55,9 +55,9 @@
     host.Do([&] { count = server->clients(); });
     return count;
   }
-  std::uint64_t skipped() {
+  std::uint64_t skipped_snapshots() {
     std::uint64_t count = 0;
-    host.Do([&] { count = server->skipped(); });
+    host.Do([&] { count = server->skipped_snapshots(); });
     return count;
   }
 
@@ -105,14 +105,14 @@
   try {
     client.Call("drain");
     FAIL();
-  } catch (const Fault& fault) {
-    EXPECT_EQ(fault.code(), "no");
+  } catch (const RequestError& error) {
+    EXPECT_EQ(error.code(), "no");
   }
   try {
     client.Call("reload");
     FAIL();
-  } catch (const Fault& fault) {
-    EXPECT_EQ(fault.code(), "not-here");
+  } catch (const RequestError& error) {
+    EXPECT_EQ(error.code(), "not-here");
   }
   // The connection has borne it all.
   EXPECT_EQ(client.Call("version")["version"], "t");
@@ -155,7 +155,7 @@
   Served served;
   Raw raw(served.path);
   raw.Write("{\"v\":1,");
-  EXPECT_EQ(raw.Rest(), "");  // Within kPatience, by the server.
+  EXPECT_EQ(raw.Rest(), "");  // Within kClientTimeout, by the server.
   EXPECT_EQ(served.clients(), 0u);
 }
 
@@ -192,16 +192,16 @@
 TEST(Control, AWatcherThatStandsStillGetsTheNewestAndNoBacklog) {
   Served served(geteuid(), 10'000);
   Client client(served.path);
-  client.Ask("watch", {{"every_ms", 100}});
-  while (served.skipped() < 5) std::this_thread::sleep_for(10ms);
+  client.SendRequest("watch", {{"every_ms", 100}});
+  while (served.skipped_snapshots() < 5) std::this_thread::sleep_for(10ms);
   // At most what lay in the socket when it stood still, and then the newest.
   const int made = served.snapshots;
-  auto first = client.Next(5s);
+  auto first = client.ReadResult(5s);
   ASSERT_TRUE(first);
   EXPECT_EQ((*first)["number"], 1);
   int last = 1, read = 1;
   while (last < made) {
-    const auto next = client.Next(5s);
+    const auto next = client.ReadResult(5s);
     ASSERT_TRUE(next);
     last = (*next)["number"];
     ++read;
@@ -212,18 +212,18 @@
 TEST(Control, WatchersAreBoundedAndClientsMakeRoom) {
   Served served;
   std::vector<Client> watchers;
-  for (std::size_t i = 0; i < hingelink::control::kMostWatchers; ++i) {
+  for (std::size_t i = 0; i < hingelink::control::kMaxWatchers; ++i) {
     watchers.emplace_back(served.path);
     watchers.back().Call("watch");
   }
   Client ninth(served.path);
-  EXPECT_THROW(ninth.Call("watch"), Fault);
+  EXPECT_THROW(ninth.Call("watch"), RequestError);
   std::vector<std::unique_ptr<Raw>> raws;
   for (int i = 0; i < 30; ++i) raws.push_back(std::make_unique<Raw>(served.path));
   EXPECT_EQ(Client(served.path).Call("version")["version"], "t");
-  EXPECT_LE(served.clients(), hingelink::control::kMostClients);
+  EXPECT_LE(served.clients(), hingelink::control::kMaxClients);
   // No watcher had to go.
-  for (Client& watcher : watchers) EXPECT_TRUE(watcher.Next(5s));
+  for (Client& watcher : watchers) EXPECT_TRUE(watcher.ReadResult(5s));
 }
 
 // However many ask however often: so many a second over all, and the loop's own work goes on.
@@ -239,7 +239,7 @@
   }
   for (auto& t : threads) t.join();
   // 160 requests at 8 for each 10 ms: the first 8 at once, the last not before the 20th turn.
-  EXPECT_GE(std::chrono::steady_clock::now() - began, 19 * hingelink::control::kTick);
+  EXPECT_GE(std::chrono::steady_clock::now() - began, 19 * hingelink::control::kRateLimitInterval);
 }
 
 TEST(Control, ASocketLeftBehindIsReplacedAndOneThatAnswersIsNot) {
@@ -265,7 +265,7 @@
   EXPECT_TRUE(Client(path).Call("status").is_null());
   host.Do([&] { server.reset(); });
   EXPECT_FALSE(std::filesystem::exists(path));
-  EXPECT_THROW(Client{path}, Unreachable);
+  EXPECT_THROW(Client{path}, UnreachableError);
   host.Do([&] {
     EXPECT_THROW(Server(host.base(), {.path = "/tmp/" + std::string(200, 'x')}, [] { return Json{}; }, {}),
                  std::runtime_error);
