--- a/src/appliance/config.cpp
+++ b/src/appliance/config.cpp
@@ -16,39 +16,40 @@
 
 using Json = nlohmann::ordered_json;
 
-std::string Joined(const std::vector<std::string>& lines) {
+std::string JoinLines(const std::vector<std::string>& lines) {
   std::string all;
   for (const std::string& line : lines) all += (all.empty() ? "" : "\n") + line;
   return all;
 }
 
-std::vector<std::string> List(const Json& json) {
+std::vector<std::string> ReadStringList(const Json& json) {
   if (json.is_string()) return {json.get<std::string>()};
   return json.is_array() ? json.get<std::vector<std::string>>() : std::vector<std::string>();
 }
 
-// Addresses that cannot be read, or that two processes would have to share.
-void CheckAddresses(const std::vector<std::string>& list, const std::string& pointer, bool turns,
+// Appends an error for each address that cannot be parsed and each that occurs twice, as two processes cannot
+// share an address. `is_list` tells whether the setting is a list, whose index goes into the JSON pointer.
+void CheckAddresses(const std::vector<std::string>& list, const std::string& pointer, bool is_list,
                     std::vector<std::string>& faults) {
-  std::set<std::string> seen;
+  std::set<std::string> addresses;
   for (std::size_t i = 0; i < list.size(); ++i) {
-    const std::string at = pointer + (turns ? "/" + std::to_string(i) : "");
+    const std::string at = pointer + (is_list ? "/" + std::to_string(i) : "");
     try {
       net::ParseAddress(list[i]);
     } catch (const std::exception&) {
       faults.push_back(at + ": found \"" + list[i] + "\"; wanted an address such as 127.0.0.1:9300");
     }
-    if (!seen.insert(list[i]).second)
+    if (!addresses.insert(list[i]).second)
       faults.push_back(at + ": found \"" + list[i] + "\" twice; name each once");
   }
 }
 
-// A successor takes up to this long to take over; a drain must not end before.
+// Maximum time that a successor needs to take over. A drain must not be cut off earlier.
 constexpr double kHandoverMs = 3700;
-// The node's own deadlines end this long before the kill.
+// The node's own drain deadline must expire this long before the supervisor kills the node.
 constexpr double kKillMarginMs = 500;
 
-// Maps the words of the file to the fields of SupervisorOptions.
+// Reads the `supervisor` object of the file, whose keys differ from the names of the options.
 void ReadSupervisorOptions(const Json& json, Config& config, std::vector<std::string>& faults) {
   decide::SupervisorOptions& options = config.supervisor;
   decide::CrashBackoffOptions& backoff = options.crash_backoff;
@@ -83,7 +84,7 @@
 }  // namespace
 
 ConfigError::ConfigError(std::vector<std::string> faults)
-    : std::runtime_error(Joined(faults)), faults_(std::move(faults)) {}
+    : std::runtime_error(JoinLines(faults)), faults_(std::move(faults)) {}
 
 std::string Config::NodeJson(std::uint64_t generation, std::uint64_t seed) const {
   Json json = node;
@@ -102,18 +103,18 @@
   } catch (const Json::parse_error& fault) {
     const std::size_t byte = std::min(fault.byte, text.size());
     const auto line = 1 + std::count(text.begin(), text.begin() + static_cast<std::ptrdiff_t>(byte), '\n');
-    throw ConfigError({"line " + std::to_string(line) + ": no JSON (" + fault.what() + ")"});
+    throw ConfigError({"line " + std::to_string(line) + ": invalid JSON (" + fault.what() + ")"});
   }
-  static const schema::Schema form(schema::ApplianceSchema());
+  static const schema::Schema appliance_schema(schema::ApplianceSchema());
   std::vector<std::string> faults;
-  for (const schema::ValidationError& fault : form.Check(nlohmann::json::parse(json.dump()))) {
+  for (const schema::ValidationError& fault : appliance_schema.Check(nlohmann::json::parse(json.dump()))) {
     faults.push_back(fault.Text());
   }
   if (!faults.empty()) throw ConfigError(std::move(faults));
   Config config;
   config.node = json["node"];
-  config.pool = List(config.node["pool"]);
-  if (config.node.contains("ops")) config.ops = List(config.node["ops"]);
+  config.pool = ReadStringList(config.node["pool"]);
+  if (config.node.contains("ops")) config.ops = ReadStringList(config.node["ops"]);
   config.node.erase("pool");
   config.node.erase("ops");
   config.threads = json.value("threads", config.threads);
@@ -134,7 +135,7 @@
     CheckAddresses({config.peers["listen"].get<std::string>()}, "/peers/listen", false, faults);
     if (config.peers.contains("advertise"))
       CheckAddresses({config.peers["advertise"].get<std::string>()}, "/peers/advertise", false, faults);
-    CheckAddresses(List(config.peers.value("seeds", Json::array())), "/peers/seeds", true, faults);
+    CheckAddresses(ReadStringList(config.peers.value("seeds", Json::array())), "/peers/seeds", true, faults);
   }
   try {
     if (faults.empty()) node::ParseConfig(config.NodeJson(0, 1));
@@ -147,10 +148,11 @@
 
 Config ReadConfig(const std::string& path) {
   const auto text = state::SystemFileSystem().Read(path);
-  if (!text) throw ConfigError({path + ": there is no such file"});
+  if (!text) throw ConfigError({path + ": file not found"});
   Config config = ParseConfig(*text);
   if (config.peers.is_object()) {
-    // As other files that it names: from where it lies.
+    // A relative path is resolved against the directory of the configuration file, as for the other files
+    // that it names.
     const std::filesystem::path keys =
         std::filesystem::absolute(path).parent_path() / config.peers["keys"].get<std::string>();
     config.peers["keys"] = keys.string();
--- a/src/appliance/config.h
+++ b/src/appliance/config.h
@@ -1,4 +1,5 @@
-// The appliance's configuration: deploy/appliance.json, by the schema deploy/schema/appliance.json.
+// The configuration of an appliance, such as deploy/appliance.json. Its schema is
+// deploy/schema/appliance.json.
 #ifndef HINGELINK_APPLIANCE_CONFIG_H_
 #define HINGELINK_APPLIANCE_CONFIG_H_
 
@@ -12,7 +13,7 @@
 
 namespace hingelink::appliance {
 
-// Every fault of the file at once, a line each.
+// Holds all errors of the file, one line each.
 class ConfigError : public std::runtime_error {
  public:
   explicit ConfigError(std::vector<std::string> faults);
@@ -23,23 +24,26 @@
 };
 
 struct Config {
-  nlohmann::ordered_json node;    // But for `pool`, `ops` and `seed`, which change from start to start.
-  std::vector<std::string> pool;  // Starts take them in turn: two processes at an upgrade need one each.
-  std::vector<std::string> ops;   // Likewise; empty where there is no second address.
-  std::size_t threads = 1;        // Of each node, in all.
-  bool pin = false;               // Each thread to a core of its own.
-  bool learned = true;            // What a node learns is kept for the next one.
-  nlohmann::ordered_json peers;   // By deploy/schema/peers.json; null where the node joins nobody.
+  nlohmann::ordered_json node;  // Without `pool`, `ops` and `seed`, which differ between starts of the node.
+  std::vector<std::string> pool;  // Worker pool addresses. Generations alternate between them, since the two
+                                  // processes of an upgrade need one each.
+  std::vector<std::string>
+      ops;                  // Addresses of the ops endpoint, used likewise; empty if the file has no `ops`.
+  std::size_t threads = 1;  // Number of threads of a node process.
+  bool pin = false;         // Whether each thread is pinned to its own core.
+  bool learned = true;      // Whether learned state is stored and loaded by the next node process.
+  nlohmann::ordered_json peers;  // Schema: deploy/schema/peers.json. Null if the node does not join a fleet.
   std::string log_format = "text", log_level = "info";
   std::size_t log_bytes = 1 << 20, log_keep = 5;
   decide::SupervisorOptions supervisor;
 
-  // The configuration of one start, in the platform's form.
+  // Returns the node's configuration file for one generation, as JSON text.
   std::string NodeJson(std::uint64_t generation, std::uint64_t seed) const;
 };
 
-// Throws ConfigError.
+// Parses and validates the text of a configuration file. Throws ConfigError with all errors found.
 Config ParseConfig(const std::string& text);
+// Reads the file at `path` and the gossip keys file that it names. Throws ConfigError.
 Config ReadConfig(const std::string& path);
 
 }  // namespace hingelink::appliance
--- a/src/appliance/processes.h
+++ b/src/appliance/processes.h
@@ -1,5 +1,6 @@
-// Processes of the node: made so that none is ever unknown, held by pidfd so that no signal ever reaches
-// another program.
+// Starts and signals processes of the node. A process does not run its program before the supervisor has
+// recorded it, so that no node process is unknown to the supervisor. Signals go through a pidfd, so that they
+// never reach another program that reuses the pid.
 #ifndef HINGELINK_APPLIANCE_PROCESSES_H_
 #define HINGELINK_APPLIANCE_PROCESSES_H_
 
@@ -13,19 +14,21 @@
 
 namespace hingelink::appliance {
 
-// The process's start in ticks since the boot; nothing where there is none (or it has ended).
+// Returns the start time of the process in clock ticks since boot, or nothing if it does not exist or is a
+// zombie.
 std::optional<std::uint64_t> StartTicks(std::int64_t pid);
 
-// A process that is known for good: by a pidfd, checked against its start.
+// Refers to one process by a pidfd. The start time is checked once, so the reference stays valid when the pid
+// is reused.
 class Process {
  public:
-  // Nothing where the process has ended, or the number belongs to another by now.
+  // Returns nothing if the process has exited or if its pid belongs to another process.
   static std::optional<Process> Find(const decide::ProcessId& id);
 
-  // Readable once it has ended.
+  // The pidfd, which becomes readable when the process exits.
   int fd() const { return fd_.get(); }
   const decide::ProcessId& id() const { return id_; }
-  // Does nothing where it has ended.
+  // Has no effect if the process has exited.
   void Signal(int number) const;
 
  private:
@@ -34,19 +37,22 @@
   net::Descriptor fd_;
 };
 
-// A process that waits to be let go. If this one ends before, or drops it, the process ends too.
+// A forked child process that waits for Release() before it executes its program. The child exits if this
+// object is destroyed, or the parent process exits, before Release().
 class PendingProcess {
  public:
-  // In a session of its own; what it writes is appended to `output`. Throws std::runtime_error.
+  // Forks the child in a session of its own. `environment` is added to the environment of this process.
+  // Standard output and standard error of the program are appended to the file `output`. Throws
+  // std::runtime_error.
   PendingProcess(const std::string& program, const std::vector<std::string>& args,
                  const std::map<std::string, std::string>& environment, const std::string& output);
   const decide::ProcessId& id() const { return id_; }
-  // It becomes the program now. At most once.
+  // Lets the child execute the program. Further calls have no effect.
   void Release();
 
  private:
   decide::ProcessId id_;
-  net::Descriptor go_;
+  net::Descriptor release_pipe_;
 };
 
 }  // namespace hingelink::appliance
--- a/src/control/client.h
+++ b/src/control/client.h
@@ -1,4 +1,4 @@
-// The other end of a control socket: blocking, for commands and the console.
+// A blocking client of control sockets, for the command-line tools and the console.
 #ifndef HINGELINK_CONTROL_CLIENT_H_
 #define HINGELINK_CONTROL_CLIENT_H_
 
@@ -11,30 +11,34 @@
 
 namespace hingelink::control {
 
-// Nobody answers: no socket, no process behind it, or none in time.
+// Thrown when there is no socket at the path, no process listens on it, the connection breaks, or no response
+// arrives in time.
 class UnreachableError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
 
+// One connection. Not thread-safe.
 class Client {
  public:
-  // Throws UnreachableError.
+  // Connects to the socket at `path`. Throws UnreachableError.
   explicit Client(const std::string& path);
 
-  // The result. Throws Fault where the other side says no, UnreachableError where it does not answer in time.
+  // Sends a request and returns its result. Throws RequestError if the server rejects the request, and
+  // UnreachableError if no response arrives within `timeout`.
   nlohmann::json Call(const std::string& op, const nlohmann::json& args = nlohmann::json::object(),
-                      std::chrono::milliseconds patience = std::chrono::seconds(5));
-  // Asks without waiting; the results come to ReadResult().
+                      std::chrono::milliseconds timeout = std::chrono::seconds(5));
+  // Sends a request without waiting for the response, which ReadResult() returns.
   void SendRequest(const std::string& op, const nlohmann::json& args = nlohmann::json::object());
-  // The next result that is here within the time; nothing where none is. Throws as Call() does.
-  std::optional<nlohmann::json> ReadResult(std::chrono::milliseconds patience);
+  // Returns the next result, or nothing if none arrives within `timeout` or a signal interrupts the wait.
+  // Throws RequestError if the server rejected the request, and UnreachableError if the connection is closed.
+  std::optional<nlohmann::json> ReadResult(std::chrono::milliseconds timeout);
   int fd() const { return fd_.get(); }
 
  private:
   net::Descriptor fd_;
-  std::string read_;
-  std::uint64_t last_id_ = 0;
+  std::string received_;
+  std::uint64_t last_request_id_ = 0;
 };
 
 }  // namespace hingelink::control
--- a/src/control/server.cpp
+++ b/src/control/server.cpp
@@ -21,11 +21,12 @@
 using net::Steady;
 
 constexpr int kBacklog = 16;
-constexpr auto kListenAgain = 100ms;
-constexpr auto kWatchLook = 50ms;
-constexpr auto kUsualEvery = 250ms;
+constexpr auto kAcceptRetryDelay = 100ms;
+constexpr auto kWatchCheckInterval = 50ms;
+constexpr auto kDefaultWatchInterval = 250ms;
 
-// The JSON of a snapshot goes into each line as text: it is made once for all watchers.
+// Builds a response from a result that is already JSON text, so that a snapshot is serialized once for all
+// watchers.
 std::string ResultText(std::uint64_t id, const std::string& result) {
   return "{\"v\":" + std::to_string(kVersion) + ",\"id\":" + std::to_string(id) +
          ",\"ok\":true,\"result\":" + result + "}\n";
@@ -39,53 +40,53 @@
       : server_(server),
         id_(id),
         bev_(bufferevent_socket_new(server.base_, fd.release(), BEV_OPT_CLOSE_ON_FREE)),
-        patience_(server.base_, [this] { server_.End(*this, "slow"); }) {
+        timeout_(server.base_, [this] { server_.CloseClient(*this, "timeout"); }) {
     if (!bev_) throw std::runtime_error("libevent: no bufferevent");
     bufferevent_setcb(
-        bev_.get(), [](bufferevent*, void* self) { static_cast<Client*>(self)->Read(); },
-        [](bufferevent*, void* self) { static_cast<Client*>(self)->Written(); },
+        bev_.get(), [](bufferevent*, void* self) { static_cast<Client*>(self)->OnReadable(); },
+        [](bufferevent*, void* self) { static_cast<Client*>(self)->OnWritten(); },
         [](bufferevent*, short what, void* self) {
           auto* it = static_cast<Client*>(self);
-          it->server_.End(*it, (what & BEV_EVENT_EOF) != 0 ? "peer-closed" : "reset");
+          it->server_.CloseClient(*it, (what & BEV_EVENT_EOF) != 0 ? "peer-closed" : "reset");
         },
         this);
-    // Guards the memory against a line without end.
+    // Bounds the memory that a line without a newline takes.
     bufferevent_setwatermark(bev_.get(), EV_READ, 0, kMaxRequestBytes);
     bufferevent_enable(bev_.get(), EV_READ | EV_WRITE);
   }
 
-  void Read() {
+  void OnReadable() {
     while (!stopped_) {
       const std::string_view all = net::ReceivedBytes(bev_.get());
       const std::size_t end = all.find('\n');
       if (end == std::string_view::npos) {
         if (all.size() >= kMaxRequestBytes) {
           Send(ErrorLine(0, RequestError("line-too-long", "a request is one line of at most 4096 bytes")));
-          server_.End(*this, "line-too-long");
+          server_.CloseClient(*this, "line-too-long");
         } else if (all.empty()) {
-          if (net::UnsentBytes(bev_.get()) == 0) patience_.Stop();
-        } else if (!std::exchange(in_line_, true)) {
-          patience_.Start(kClientTimeout);
+          if (net::UnsentBytes(bev_.get()) == 0) timeout_.Stop();
+        } else if (!std::exchange(line_incomplete_, true)) {
+          timeout_.Start(kClientTimeout);
         }
         return;
       }
-      // Who does not read its answers is not asked for more questions; and no client, nor all together, may
-      // ask more than so often.
-      if (net::UnsentBytes(bev_.get()) > 0 || !server_.TakeTurn()) {
-        waits_ = true;
-        // Guards against a loop that spins: libevent calls again and again for a buffer that stays full.
+      // The next request waits until the client has read its last response and the request budget allows it.
+      if (net::UnsentBytes(bev_.get()) > 0 || !server_.TryConsumeRequestBudget()) {
+        request_waiting_ = true;
+        // Without this, libevent calls back continuously while the input buffer stays full, and the loop
+        // spins.
         bufferevent_disable(bev_.get(), EV_READ);
         return;
       }
-      if (std::exchange(waits_, false)) bufferevent_enable(bev_.get(), EV_READ);
-      in_line_ = false;
-      used_ = Steady::now();
-      patience_.Stop();
+      if (std::exchange(request_waiting_, false)) bufferevent_enable(bev_.get(), EV_READ);
+      line_incomplete_ = false;
+      last_request_at_ = Steady::now();
+      timeout_.Stop();
       std::uint64_t id = 0;
       try {
         const Request request = ReadRequest(all.substr(0, end));
         id = request.id;
-        server_.Serve(*this, request);
+        server_.HandleRequest(*this, request);
       } catch (const RequestError& error) {
         Send(ErrorLine(id, error));
       }
@@ -94,13 +95,13 @@
   }
   void Send(const std::string& line) {
     net::Send(bev_.get(), line);
-    patience_.Start(kClientTimeout);
+    timeout_.Start(kClientTimeout);
   }
-  void Written() {
-    if (!in_line_) patience_.Stop();
-    if (waits_) Read();
+  void OnWritten() {
+    if (!line_incomplete_) timeout_.Stop();
+    if (request_waiting_) OnReadable();
   }
-  // Whether it has read all that it was sent, also what the kernel keeps.
+  // Whether the client has read everything, including the bytes in the kernel's send buffer.
   bool HasReadAll() const {
     int unread = 0;
     return net::UnsentBytes(bev_.get()) == 0 &&
@@ -108,10 +109,10 @@
   }
   void Stop() {
     stopped_ = true;
-    patience_.Stop();
+    timeout_.Stop();
     bufferevent_setcb(bev_.get(), nullptr, nullptr, nullptr, nullptr);
     bufferevent_disable(bev_.get(), EV_READ | EV_WRITE);
-    // What it was told last goes out as far as the socket takes it.
+    // Sends as much of the last response as the socket accepts without blocking.
     evbuffer* unsent = bufferevent_get_output(bev_.get());
     evbuffer_unfreeze(unsent, 1);
     if (evbuffer_get_length(unsent) > 0) evbuffer_write(unsent, bufferevent_getfd(bev_.get()));
@@ -120,28 +121,29 @@
   Server& server_;
   const std::uint64_t id_;
   net::BufferPtr bev_;
-  net::Timer patience_;
-  Steady::time_point used_ = Steady::now();
-  std::optional<std::uint64_t> watch_;  // The request to watch.
-  std::chrono::milliseconds every_{0};
-  Steady::time_point next_{};
-  bool waits_ = false;  // For its turn.
+  net::Timer timeout_;
+  Steady::time_point last_request_at_ = Steady::now();
+  std::optional<std::uint64_t> watch_request_id_;  // Empty if the client does not watch.
+  std::chrono::milliseconds watch_interval_{0};
+  Steady::time_point next_snapshot_at_{};
+  // Whether a complete request waits in the input buffer for the budget or for the last response to be read.
+  bool request_waiting_ = false;
 
  private:
-  bool in_line_ = false;
+  bool line_incomplete_ = false;
   bool stopped_ = false;
 };
 
-Server::Server(event_base* base, Options options, std::function<Json()> snapshot,
+Server::Server(event_base* base, Options options, std::function<Json()> make_snapshot,
                std::map<std::string, Handler> handlers)
     : base_(base),
       options_(std::move(options)),
-      snapshot_(std::move(snapshot)),
+      make_snapshot_(std::move(make_snapshot)),
       handlers_(std::move(handlers)),
-      tick_(base, [this] { Tick(); }),
-      watch_(base, [this] { Watch(); }),
-      sweep_(base, [this] { ended_.clear(); }),
-      listen_again_(base, [this] { event_add(accept_.get(), nullptr); }) {
+      rate_limit_timer_(base, [this] { StartRateLimitInterval(); }),
+      watch_timer_(base, [this] { SendSnapshotsToWatchers(); }),
+      cleanup_timer_(base, [this] { closed_clients_.clear(); }),
+      accept_retry_timer_(base, [this] { event_add(accept_.get(), nullptr); }) {
   sockaddr_un address{};
   address.sun_family = AF_UNIX;
   if (options_.path.size() >= sizeof address.sun_path) {
@@ -150,19 +152,20 @@
                              "): " + options_.path);
   }
   std::memcpy(address.sun_path, options_.path.data(), options_.path.size());
-  const auto* at = reinterpret_cast<const sockaddr*>(&address);
+  const auto* generic_address = reinterpret_cast<const sockaddr*>(&address);
   {
-    // Guards against two processes at one path, of which the first would never be found again.
+    // Without this check, a second process would replace the socket of a running one, which would then be
+    // unreachable.
     net::Descriptor other(socket(AF_UNIX, SOCK_STREAM | SOCK_CLOEXEC | SOCK_NONBLOCK, 0));
-    if (connect(other.get(), at, sizeof address) == 0 || errno == EAGAIN) {
-      throw std::runtime_error("control socket: another process answers at " + options_.path);
+    if (connect(other.get(), generic_address, sizeof address) == 0 || errno == EAGAIN) {
+      throw std::runtime_error("control socket: another process accepts connections at " + options_.path);
     }
   }
   unlink(options_.path.c_str());
   listener_ = net::Descriptor(socket(AF_UNIX, SOCK_STREAM | SOCK_CLOEXEC | SOCK_NONBLOCK, 0));
-  const mode_t before = umask(0177);
-  const bool bound = listener_.get() >= 0 && bind(listener_.get(), at, sizeof address) == 0;
-  umask(before);
+  const mode_t old_umask = umask(0177);
+  const bool bound = listener_.get() >= 0 && bind(listener_.get(), generic_address, sizeof address) == 0;
+  umask(old_umask);
   if (!bound || listen(listener_.get(), kBacklog) != 0) {
     throw std::runtime_error("control socket: cannot listen at " + options_.path + ": " +
                              std::strerror(errno));
@@ -185,117 +188,124 @@
     if (errno == EAGAIN || errno == EINTR || errno == ECONNABORTED) return;
     log::Warn("control-accept-failed", {{"error", std::strerror(errno)}});
     event_del(accept_.get());
-    listen_again_.Start(kListenAgain);
+    accept_retry_timer_.Start(kAcceptRetryDelay);
     return;
   }
   ucred peer{};
   socklen_t size = sizeof peer;
   if (getsockopt(fd.get(), SOL_SOCKET, SO_PEERCRED, &peer, &size) != 0 || peer.uid != options_.owner) {
-    log::PeerEvent("control-turned-away", {{"uid", peer.uid}, {"pid", peer.pid}});
+    log::PeerEvent("control-client-rejected", {{"uid", peer.uid}, {"pid", peer.pid}});
     return;
   }
   if (clients_.size() >= kMaxClients) {
-    Client* quiet = nullptr;
+    Client* idle_client = nullptr;
     for (const auto& [id, client] : clients_) {
-      if (!client->watch_ && (quiet == nullptr || client->used_ < quiet->used_)) quiet = client.get();
+      if (!client->watch_request_id_ &&
+          (idle_client == nullptr || client->last_request_at_ < idle_client->last_request_at_))
+        idle_client = client.get();
     }
-    if (quiet == nullptr) return;
-    End(*quiet, "made-room");
+    if (idle_client == nullptr) return;
+    CloseClient(*idle_client, "evicted-idle");
   }
-  const std::uint64_t id = ++last_id_;
+  const std::uint64_t id = ++last_client_id_;
   clients_.emplace(id, std::make_unique<Client>(*this, id, std::move(fd)));
 }
 
-void Server::End(Client& client, const char* reason) {
+void Server::CloseClient(Client& client, const char* reason) {
   auto node = clients_.extract(client.id_);
   if (node.empty()) return;
   if (std::strcmp(reason, "peer-closed") != 0) {
     log::PeerEvent("control-client-end", {{"id", client.id_}, {"reason", reason}});
   }
   client.Stop();
-  ended_.push_back(std::move(node.mapped()));
-  sweep_.Start(0ms);
+  closed_clients_.push_back(std::move(node.mapped()));
+  cleanup_timer_.Start(0ms);
 }
 
-bool Server::TakeTurn() {
-  if (turns_ == 0) {
-    tick_.Start(kRateLimitInterval);
+bool Server::TryConsumeRequestBudget() {
+  if (requests_left_ == 0) {
+    rate_limit_timer_.Start(kRateLimitInterval);
     return false;
   }
-  // The first of a tick starts it.
-  if (turns_-- == kRequestsPerTick) tick_.Start(kRateLimitInterval);
+  // The first request after a renewal starts the interval.
+  if (requests_left_-- == kRequestsPerInterval) rate_limit_timer_.Start(kRateLimitInterval);
   return true;
 }
 
-void Server::Tick() {
-  turns_ = kRequestsPerTick;
+void Server::StartRateLimitInterval() {
+  requests_left_ = kRequestsPerInterval;
   std::vector<std::uint64_t> waiting;
   for (const auto& [id, client] : clients_) {
-    if (client->waits_) waiting.push_back(id);
+    if (client->request_waiting_) waiting.push_back(id);
   }
-  // The one that was served longest ago first: guards against one that asks without end.
-  std::sort(waiting.begin(), waiting.end(),
-            [this](std::uint64_t a, std::uint64_t b) { return clients_[a]->used_ < clients_[b]->used_; });
+  // The client with the oldest request comes first, so that a client that sends requests continuously cannot
+  // starve the others.
+  std::sort(waiting.begin(), waiting.end(), [this](std::uint64_t a, std::uint64_t b) {
+    return clients_[a]->last_request_at_ < clients_[b]->last_request_at_;
+  });
   for (const std::uint64_t id : waiting) {
-    if (const auto it = clients_.find(id); it != clients_.end()) it->second->Read();
+    if (const auto it = clients_.find(id); it != clients_.end()) it->second->OnReadable();
   }
 }
 
-const std::string& Server::SnapshotText() {
+const std::string& Server::CachedSnapshot() {
   const Steady::time_point now = Steady::now();
-  if (!snapshot_at_ || now - *snapshot_at_ >= kSnapshotMaxAge) {
-    snapshot_text_ = snapshot_().dump(-1, ' ', false, Json::error_handler_t::replace);
-    snapshot_at_ = now;
+  if (!snapshot_time_ || now - *snapshot_time_ >= kSnapshotMaxAge) {
+    cached_snapshot_ = make_snapshot_().dump(-1, ' ', false, Json::error_handler_t::replace);
+    snapshot_time_ = now;
   }
-  return snapshot_text_;
+  return cached_snapshot_;
 }
 
 std::size_t Server::watchers() const {
-  return static_cast<std::size_t>(std::count_if(clients_.begin(), clients_.end(),
-                                                [](const auto& c) { return c.second->watch_.has_value(); }));
+  return static_cast<std::size_t>(std::count_if(clients_.begin(), clients_.end(), [](const auto& c) {
+    return c.second->watch_request_id_.has_value();
+  }));
 }
 
-void Server::Serve(Client& client, const Request& request) {
+void Server::HandleRequest(Client& client, const Request& request) {
   if (request.op == "status") {
-    client.Send(ResultText(request.id, SnapshotText()));
+    client.Send(ResultText(request.id, CachedSnapshot()));
     return;
   }
   if (request.op == "watch") {
-    if (!client.watch_ && watchers() >= kMaxWatchers) {
+    if (!client.watch_request_id_ && watchers() >= kMaxWatchers) {
       throw RequestError("too-many-watchers",
                          std::to_string(kMaxWatchers) + " watch already; end one of them");
     }
-    client.watch_ = request.id;
-    client.every_ = std::chrono::milliseconds(request.args.value("every_ms", kUsualEvery.count()));
-    client.next_ = Steady::now() + client.every_;
-    client.Send(ResultText(request.id, SnapshotText()));
-    watch_.Start(kWatchLook);
+    client.watch_request_id_ = request.id;
+    client.watch_interval_ =
+        std::chrono::milliseconds(request.args.value("every_ms", kDefaultWatchInterval.count()));
+    client.next_snapshot_at_ = Steady::now() + client.watch_interval_;
+    client.Send(ResultText(request.id, CachedSnapshot()));
+    watch_timer_.Start(kWatchCheckInterval);
     return;
   }
   const auto handler = handlers_.find(request.op);
   if (handler == handlers_.end())
     throw RequestError("not-here", "'" + request.op + "' is not served on this socket");
-  // What is changed shows in the next snapshot.
-  snapshot_at_.reset();
+  // The request may change the node's state, which the next snapshot must show.
+  snapshot_time_.reset();
   client.Send(ResultLine(request.id, handler->second(request.args)));
 }
 
-void Server::Watch() {
+void Server::SendSnapshotsToWatchers() {
   const Steady::time_point now = Steady::now();
-  bool any = false;
+  bool has_watchers = false;
   for (const auto& [id, client] : clients_) {
-    if (!client->watch_) continue;
-    any = true;
-    if (client->next_ > now) continue;
-    client->next_ = std::max(client->next_ + client->every_, now);
-    // Guards against a backlog: one that has not read the last gets the newest once it has.
+    if (!client->watch_request_id_) continue;
+    has_watchers = true;
+    if (client->next_snapshot_at_ > now) continue;
+    client->next_snapshot_at_ = std::max(client->next_snapshot_at_ + client->watch_interval_, now);
+    // A watcher that has not read the previous snapshot is skipped, so that no backlog builds up. It gets the
+    // newest snapshot once it has read the previous one.
     if (!client->HasReadAll()) {
       ++skipped_snapshots_;
       continue;
     }
-    net::Send(client->bev_.get(), ResultText(*client->watch_, SnapshotText()));
+    net::Send(client->bev_.get(), ResultText(*client->watch_request_id_, CachedSnapshot()));
   }
-  if (any) watch_.Start(kWatchLook);
+  if (has_watchers) watch_timer_.Start(kWatchCheckInterval);
 }
 
 }  // namespace hingelink::control
--- a/tests/appliance/config_test.cpp
+++ b/tests/appliance/config_test.cpp
@@ -111,7 +111,7 @@
   text.insert(text.find("\"listen\""), "oops ");
   const auto faults = Faults(text);
   ASSERT_EQ(faults.size(), 1u);
-  EXPECT_TRUE(faults[0].starts_with("line 5: no JSON")) << faults[0];
+  EXPECT_TRUE(faults[0].starts_with("line 5: invalid JSON")) << faults[0];
   EXPECT_EQ(Faults("").size(), 1u);
   EXPECT_EQ(Faults("[]").size(), 1u);
   EXPECT_TRUE(Faults("// a remark\n" + Shipped()).empty());
