--- a/src/appliance/config.h
+++ b/src/appliance/config.h
@@ -24,14 +24,16 @@
 };
 
 struct Config {
-  nlohmann::ordered_json node;  // Without `pool`, `ops` and `seed`, which differ between starts of the node.
-  std::vector<std::string> pool;  // Worker pool addresses. Generations alternate between them, since the two
-                                  // processes of an upgrade need one each.
-  std::vector<std::string>
-      ops;                  // Addresses of the ops endpoint, used likewise; empty if the file has no `ops`.
-  std::size_t threads = 1;  // Number of threads of a node process.
-  bool pin = false;         // Whether each thread is pinned to its own core.
-  bool learned = true;      // Whether learned state is stored and loaded by the next node process.
+  // The node's settings without `pool`, `ops` and `seed`, which differ between starts of the node.
+  nlohmann::ordered_json node;
+  // Worker pool addresses. Generations alternate between them, since each of the two processes of an upgrade
+  // needs its own.
+  std::vector<std::string> pool;
+  // Addresses of the ops endpoint, used in the same way. Empty if the file has no `ops`.
+  std::vector<std::string> ops;
+  std::size_t threads = 1;       // Total number of threads of a node process.
+  bool pin = false;              // Whether each thread is pinned to its own core.
+  bool learned = true;           // Whether learned state is kept for the next node process.
   nlohmann::ordered_json peers;  // Schema: deploy/schema/peers.json. Null if the node does not join a fleet.
   std::string log_format = "text", log_level = "info";
   std::size_t log_bytes = 1 << 20, log_keep = 5;
--- a/src/appliance/supervisor.cpp
+++ b/src/appliance/supervisor.cpp
@@ -27,27 +27,30 @@
 using namespace std::chrono_literals;
 using control::Json;
 
-constexpr auto kLookEach = 200ms;
-// For a node to answer one look.
-constexpr auto kLookWithin = 2000ms;
-constexpr auto kSearchWithin = 1000ms;
+constexpr auto kStatusPollInterval = 200ms;
+// Time limit for a node to respond to a request of the supervisor.
+constexpr auto kStatusTimeout = 2000ms;
+// Time limit for a node to respond while the supervisor looks for running nodes at its start.
+constexpr auto kDiscoveryTimeout = 1000ms;
 
-state::DirectoryLock TakeLock(const std::string& folder) {
+state::DirectoryLock AcquireLock(const std::string& folder) {
   auto lock = state::DirectoryLock::TryAcquire(folder + "/lock");
-  if (!lock) throw AlreadyRunningError("another supervisor holds " + folder);
+  if (!lock) throw AlreadyRunningError("another supervisor holds the lock of " + folder);
   return std::move(*lock);
 }
 
-const char* NameOf(const decide::SupervisorAction& action) {
+// Returns the name of an action for SupervisorOptions::before_action; empty for timers, log events and
+// replies.
+const char* ActionName(const decide::SupervisorAction& action) {
   return std::visit(
       [](const auto& a) {
         using A = std::decay_t<decltype(a)>;
-        if constexpr (std::is_same_v<A, decide::PersistState>) return "save";
-        if constexpr (std::is_same_v<A, decide::SpawnProcess>) return "start";
+        if constexpr (std::is_same_v<A, decide::PersistState>) return "save-state";
+        if constexpr (std::is_same_v<A, decide::SpawnProcess>) return "spawn";
         if constexpr (std::is_same_v<A, decide::ReleaseProcess>) return "release";
-        if constexpr (std::is_same_v<A, decide::RequestDrain>) return "tell-leave";
+        if constexpr (std::is_same_v<A, decide::RequestDrain>) return "request-drain";
         if constexpr (std::is_same_v<A, decide::KillProcess>) return "kill";
-        if constexpr (std::is_same_v<A, decide::RedirectControlSocket>) return "point";
+        if constexpr (std::is_same_v<A, decide::RedirectControlSocket>) return "redirect-control-socket";
         if constexpr (std::is_same_v<A, decide::ExitSupervisor>) return "exit";
         return "";
       },
@@ -56,122 +59,126 @@
 
 }  // namespace
 
-// A process of the node: watched for its end, and asked how it is without ever waiting for it.
-struct Supervisor::Held {
-  Held(Supervisor& supervisor, std::uint64_t its_generation, Process its_process)
+// Detects the exit of one node process and requests its status over its control socket without blocking.
+struct Supervisor::MonitoredProcess {
+  MonitoredProcess(Supervisor& supervisor, std::uint64_t process_generation, Process monitored)
       : owner(supervisor),
-        generation(its_generation),
-        process(std::move(its_process)),
-        overdue(supervisor.base_.get(), [this] { Unanswered(); }) {
-    end.reset(event_new(
+        generation(process_generation),
+        process(std::move(monitored)),
+        response_timeout(supervisor.base_.get(), [this] { OnTimeout(); }) {
+    exit_event.reset(event_new(
         owner.base_.get(), process.fd(), EV_READ,
         [](evutil_socket_t, short, void* self) {
-          auto* it = static_cast<Held*>(self);
-          it->owner.Ended(it->generation);
+          auto* it = static_cast<MonitoredProcess*>(self);
+          it->owner.OnProcessExit(it->generation);
         },
         this));
-    if (!end) throw std::runtime_error("libevent: no event");
-    event_add(end.get(), nullptr);
+    if (!exit_event) throw std::runtime_error("libevent: no event");
+    event_add(exit_event.get(), nullptr);
   }
 
-  // Asks, unless the last question is still open.
-  void Ask() {
-    if (asked) return;
-    if (!link && !Connect()) return;
-    asked = true;
-    net::Send(link.get(), R"({"v":1,"id":1,"op":"status"})"
-                          "\n");
-    overdue.Start(kLookWithin);
+  // Sends a status request, unless the previous one is still pending.
+  void RequestStatus() {
+    if (request_pending) return;
+    if (!connection && !Connect()) return;
+    request_pending = true;
+    net::Send(connection.get(), R"({"v":1,"id":1,"op":"status"})"
+                                "\n");
+    response_timeout.Start(kStatusTimeout);
   }
   bool Connect() {
-    const std::string path = owner.SocketOf(generation);
+    const std::string path = owner.NodeSocketPath(generation);
     sockaddr_un address{};
     address.sun_family = AF_UNIX;
     if (path.size() >= sizeof address.sun_path) return false;
     std::memcpy(address.sun_path, path.data(), path.size());
     net::Descriptor fd(socket(AF_UNIX, SOCK_STREAM | SOCK_CLOEXEC | SOCK_NONBLOCK, 0));
-    // It is not there yet, or its queue is full: asked again at the next look.
+    // The node does not listen yet or its accept queue is full. The next poll tries again.
     if (connect(fd.get(), reinterpret_cast<const sockaddr*>(&address), sizeof address) != 0) return false;
-    link.reset(bufferevent_socket_new(owner.base_.get(), fd.release(), BEV_OPT_CLOSE_ON_FREE));
-    if (!link) return false;
+    connection.reset(bufferevent_socket_new(owner.base_.get(), fd.release(), BEV_OPT_CLOSE_ON_FREE));
+    if (!connection) return false;
     bufferevent_setcb(
-        link.get(), [](bufferevent*, void* self) { static_cast<Held*>(self)->Read(); }, nullptr,
-        [](bufferevent*, short, void* self) { static_cast<Held*>(self)->Lose(); }, this);
-    bufferevent_enable(link.get(), EV_READ | EV_WRITE);
+        connection.get(),
+        [](bufferevent*, void* self) { static_cast<MonitoredProcess*>(self)->OnReadable(); }, nullptr,
+        [](bufferevent*, short, void* self) { static_cast<MonitoredProcess*>(self)->CloseConnection(); },
+        this);
+    bufferevent_enable(connection.get(), EV_READ | EV_WRITE);
     return true;
   }
-  void Read() {
-    const std::string_view all = net::ReceivedBytes(link.get());
-    const std::size_t eol = all.find('\n');
+  void OnReadable() {
+    const std::string_view received = net::ReceivedBytes(connection.get());
+    const std::size_t eol = received.find('\n');
     if (eol == std::string_view::npos) {
-      if (all.size() > control::kMaxResponseBytes) Lose();
+      if (received.size() > control::kMaxResponseBytes) CloseConnection();
       return;
     }
-    const auto response = nlohmann::json::parse(all.substr(0, eol), nullptr, false);
-    net::Consume(link.get(), eol + 1);
-    overdue.Stop();
-    asked = false;
+    const auto response = nlohmann::json::parse(received.substr(0, eol), nullptr, false);
+    net::Consume(connection.get(), eol + 1);
+    response_timeout.Stop();
+    request_pending = false;
     if (!response.is_object() || !response.contains("result") || !response["result"].is_object()) return;
-    seen = response["result"];
-    const std::string state = seen.value("state", "");
-    owner.Take(decide::StatusReported{generation, seen.value("ready", false), state == "draining"});
+    last_status = response["result"];
+    const std::string state = last_status.value("state", "");
+    owner.HandleEvent(
+        decide::StatusReported{generation, last_status.value("ready", false), state == "draining"});
   }
-  void Unanswered() {
-    asked = false;
-    Lose();
-    owner.Take(decide::StatusTimedOut{generation});
+  void OnTimeout() {
+    request_pending = false;
+    CloseConnection();
+    owner.HandleEvent(decide::StatusTimedOut{generation});
   }
-  void Lose() {
-    if (!link) return;
-    bufferevent_setcb(link.get(), nullptr, nullptr, nullptr, nullptr);
-    bufferevent_disable(link.get(), EV_READ | EV_WRITE);
-    lost = std::move(link);
-    overdue.Stop();
-    asked = false;
+  void CloseConnection() {
+    if (!connection) return;
+    bufferevent_setcb(connection.get(), nullptr, nullptr, nullptr, nullptr);
+    bufferevent_disable(connection.get(), EV_READ | EV_WRITE);
+    closed_connection = std::move(connection);
+    response_timeout.Stop();
+    request_pending = false;
   }
   void Stop() {
-    Lose();
-    end.reset();
+    CloseConnection();
+    exit_event.reset();
   }
 
   Supervisor& owner;
   const std::uint64_t generation;
   Process process;
-  net::EventPtr end;
-  net::BufferPtr link, lost;
-  net::Timer overdue;
-  bool asked = false;
-  nlohmann::json seen;
+  net::EventPtr exit_event;
+  net::BufferPtr connection, closed_connection;
+  net::Timer response_timeout;
+  bool request_pending = false;
+  nlohmann::json last_status;
 };
 
 Supervisor::Supervisor(SupervisorOptions options)
     : options_(std::move(options)),
-      lock_(TakeLock(options_.folder)),
+      lock_(AcquireLock(options_.folder)),
       config_(ReadConfig(options_.config)),
       base_(net::MakeBase()),
-      store_(state::SystemFileSystem(), options_.folder, state::BootId()),
-      decide_(config_.supervisor, options_.seed),
-      tick_(base_.get(), [this] { Take(decide::TimerExpired{}); }),
-      look_(base_.get(), [this] { Look(); }) {
-  std::filesystem::create_directories(Path("run"));
-  std::filesystem::permissions(Path("run"), std::filesystem::perms::owner_all);
-  // A terminal that closes is nothing to a supervisor, wherever it was started.
+      state_store_(state::SystemFileSystem(), options_.folder, state::BootId()),
+      state_machine_(config_.supervisor, options_.seed),
+      timer_(base_.get(), [this] { HandleEvent(decide::TimerExpired{}); }),
+      status_poll_timer_(base_.get(), [this] { PollStatus(); }) {
+  std::filesystem::create_directories(StatePath("run"));
+  std::filesystem::permissions(StatePath("run"), std::filesystem::perms::owner_all);
+  // The supervisor survives the closing of the terminal that it was started from.
   std::signal(SIGHUP, SIG_IGN);
   const auto on = [this](int number, event_callback_fn call) {
     signals_.emplace_back(evsignal_new(base_.get(), number, call, this));
     evsignal_add(signals_.back().get(), nullptr);
   };
-  // Who ends the supervisor by SIGTERM wants the appliance down, as `down` does: a machine that goes off.
+  // SIGTERM and SIGINT stop the whole appliance like the `down` command, as on a shutdown of the machine.
   const auto down = [](evutil_socket_t, short, void* self) {
-    static_cast<Supervisor*>(self)->Take(decide::StopRequested{});
+    static_cast<Supervisor*>(self)->HandleEvent(decide::StopRequested{});
   };
   on(SIGTERM, down);
   on(SIGINT, down);
   const auto handler = [this](decide::SupervisorEvent event) {
-    return [this, event](const nlohmann::json&) { return Ask(event); };
+    return [this, event](const nlohmann::json&) { return HandleOperatorRequest(event); };
   };
   server_ = std::make_unique<control::Server>(
-      base_.get(), control::Server::Options{.path = Path("supervisor.sock")}, [this] { return Status(); },
+      base_.get(), control::Server::Options{.path = StatePath("supervisor.sock")},
+      [this] { return Status(); },
       std::map<std::string, control::Server::Handler>{
           {"up", handler(decide::StartRequested{})},
           {"drain", handler(decide::DrainRequested{})},
@@ -181,10 +188,10 @@
           {"version", [](const nlohmann::json&) {
              return Json{{"control", control::kVersion}};
            }}});
-  Adopt();
+  RecoverState();
 }
 
-Supervisor::~Supervisor() { held_.clear(); }
+Supervisor::~Supervisor() { processes_.clear(); }
 
 decide::SupervisorTime Supervisor::Now() const {
   timespec now{};
@@ -193,15 +200,15 @@
                                 static_cast<double>(now.tv_nsec) / 1e6);
 }
 
-std::string Supervisor::SocketOf(std::uint64_t generation) const {
-  return Path("node-" + std::to_string(generation) + ".sock");
+std::string Supervisor::NodeSocketPath(std::uint64_t generation) const {
+  return StatePath("node-" + std::to_string(generation) + ".sock");
 }
 
-bool Supervisor::EndedWell(std::uint64_t generation) const {
-  return std::filesystem::exists(SocketOf(generation) + ".ended");
+bool Supervisor::ExitedCleanly(std::uint64_t generation) const {
+  return std::filesystem::exists(NodeSocketPath(generation) + ".ended");
 }
 
-decide::SupervisorState Supervisor::Search() const {
+decide::SupervisorState Supervisor::FindRunningNodes() const {
   decide::SupervisorState plan;
   std::vector<decide::Incarnation> found;
   for (const auto& entry : std::filesystem::directory_iterator(options_.folder)) {
@@ -213,17 +220,18 @@
     if (fault != std::errc() || end != last) continue;
     plan.last_generation = std::max(plan.last_generation, generation);
     try {
-      const auto seen = control::Client(entry.path()).Call("status", nlohmann::json::object(), kSearchWithin);
-      decide::Incarnation life;
-      life.generation = generation;
-      life.process.pid = seen.value("pid", 0);
-      life.process.start_ticks = StartTicks(life.process.pid).value_or(0);
-      life.ready = seen.value("ready", false);
-      const std::string state = seen.value("state", "");
-      life.draining = state == "draining" || state == "handed-over";
-      found.push_back(life);
+      const auto status =
+          control::Client(entry.path()).Call("status", nlohmann::json::object(), kDiscoveryTimeout);
+      decide::Incarnation incarnation;
+      incarnation.generation = generation;
+      incarnation.process.pid = status.value("pid", 0);
+      incarnation.process.start_ticks = StartTicks(incarnation.process.pid).value_or(0);
+      incarnation.ready = status.value("ready", false);
+      const std::string state = status.value("state", "");
+      incarnation.draining = state == "draining" || state == "handed-over";
+      found.push_back(incarnation);
     } catch (const std::exception&) {
-      // Nobody answers: its process has ended.
+      // No response: the process has exited.
     }
   }
   std::sort(found.begin(), found.end(), [](const auto& a, const auto& b) {
@@ -235,104 +243,106 @@
   return plan;
 }
 
-void Supervisor::Adopt() {
-  state::LoadedSupervisorState found = store_.Load();
+void Supervisor::RecoverState() {
+  state::LoadedSupervisorState found = state_store_.Load();
   using Status = state::LoadedSupervisorState::Status;
   if (found.status == Status::kCorrupt || found.status == Status::kUnsupportedVersion) {
     log::Warn("plan-set-aside", {{"what", found.detail}});
   }
   if (found.status != Status::kValid) {
-    const decide::SupervisorState searched = Search();
-    // What was wanted holds across a boot; who serves is what the sockets tell.
-    found.state.last_generation = std::max(found.state.last_generation, searched.last_generation);
-    found.state.current = searched.current;
-    found.state.predecessor = searched.predecessor;
-    if (found.status != Status::kPreviousBoot) found.state.desired = searched.desired;
+    const decide::SupervisorState discovered = FindRunningNodes();
+    // The desired state remains valid after a reboot. The running processes are those that answer on their
+    // sockets.
+    // No generation may be reused, or the socket of an old node would be taken for that of a new one.
+    found.state.last_generation = std::max(found.state.last_generation, discovered.last_generation);
+    found.state.current = discovered.current;
+    found.state.predecessor = discovered.predecessor;
+    if (found.status != Status::kPreviousBoot) found.state.desired = discovered.desired;
   }
-  // No node of an earlier life may be given a number twice: its socket would be taken for the new one's.
   decide::SupervisorState& plan = found.state;
-  std::vector<std::uint64_t> gone;
+  std::vector<std::uint64_t> exited;
   for (std::optional<decide::Incarnation>* life : {&plan.current, &plan.successor, &plan.predecessor}) {
-    if (!*life) continue;
-    if (auto process = Process::Find((*life)->process)) {
-      log::Info("adopted", {{"generation", (*life)->generation}, {"pid", (*life)->process.pid}});
-      HoldProcess((*life)->generation, std::move(*process));
+    if (!*incarnation) continue;
+    if (auto process = Process::Find((*incarnation)->process)) {
+      log::Info("adopted",
+                {{"generation", (*incarnation)->generation}, {"pid", (*incarnation)->process.pid}});
+      MonitorProcess((*incarnation)->generation, std::move(*process));
     } else {
-      gone.push_back((*life)->generation);
+      exited.push_back((*incarnation)->generation);
     }
   }
-  // Who asks for the node to be up does not mean a supervisor that ends with the node before.
+  // `up` must not lead to a supervisor that exits together with the previous node, as kStopped does.
   if (options_.start_requested && plan.desired == decide::DesiredState::kStopped)
     plan.desired = decide::DesiredState::kDrained;
-  events_.push_back(decide::SupervisorStarted{plan});
-  for (const std::uint64_t generation : gone) {
-    log::Info("found-ended", {{"generation", generation}});
-    events_.push_back(decide::ProcessExited{generation, EndedWell(generation)});
+  event_queue_.push_back(decide::SupervisorStarted{plan});
+  for (const std::uint64_t generation : exited) {
+    log::Info("process-not-found", {{"generation", generation}});
+    event_queue_.push_back(decide::ProcessExited{generation, ExitedCleanly(generation)});
   }
-  if (options_.start_requested) events_.push_back(decide::StartRequested{});
-  Work();
-  answer_.reset();
+  if (options_.start_requested) event_queue_.push_back(decide::StartRequested{});
+  ProcessEvents();
+  operator_reply_.reset();
 }
 
 void Supervisor::Run() {
-  look_.Start(0ms);
-  while (!exit_) {
+  status_poll_timer_.Start(0ms);
+  while (!exit_requested_) {
     event_base_loop(base_.get(), EVLOOP_ONCE);
-    ended_.clear();
-    for (const auto& [generation, held] : held_) held->lost.reset();
+    exited_processes_.clear();
+    for (const auto& [generation, entry] : processes_) entry->closed_connection.reset();
   }
-  // The last answers go out.
+  // Sends the responses that are still queued.
   event_base_loop(base_.get(), EVLOOP_NONBLOCK);
   server_.reset();
   std::error_code ignored;
-  std::filesystem::remove(Path("control.sock"), ignored);
+  std::filesystem::remove(StatePath("control.sock"), ignored);
   log::Info("supervisor-ends");
 }
 
-void Supervisor::Take(const decide::SupervisorEvent& event) {
-  events_.push_back(event);
-  Work();
+void Supervisor::HandleEvent(const decide::SupervisorEvent& event) {
+  event_queue_.push_back(event);
+  ProcessEvents();
 }
 
-// Events that come while one is carried out wait for their turn.
-void Supervisor::Work() {
-  if (std::exchange(taking_, true)) return;
-  while (!events_.empty()) {
-    const decide::SupervisorEvent next = events_.front();
-    events_.pop_front();
-    for (const decide::SupervisorAction& action : decide_.OnEvent(Now(), next)) Carry(action);
+// Not reentrant: events that arrive while actions are executed are queued until these are done.
+void Supervisor::ProcessEvents() {
+  if (std::exchange(processing_events_, true)) return;
+  while (!event_queue_.empty()) {
+    const decide::SupervisorEvent next = event_queue_.front();
+    event_queue_.pop_front();
+    for (const decide::SupervisorAction& action : state_machine_.OnEvent(Now(), next)) ExecuteAction(action);
   }
-  taking_ = false;
-  // A full disk has room again.
-  if (!saved_) Save();
+  processing_events_ = false;
+  // Retries a save that failed, for example because the disk was full.
+  if (!state_saved_) SaveState();
 }
 
-void Supervisor::Carry(const decide::SupervisorAction& action) {
-  if (const char* name = NameOf(action); options_.before_action && *name != '\0')
-    options_.before_action(name, ++actions_);
+void Supervisor::ExecuteAction(const decide::SupervisorAction& action) {
+  if (const char* name = ActionName(action); options_.before_action && *name != '\0')
+    options_.before_action(name, ++action_count_);
   std::visit(
       [this](const auto& a) {
         using A = std::decay_t<decltype(a)>;
         if constexpr (std::is_same_v<A, decide::PersistState>) {
-          Save();
+          SaveState();
         } else if constexpr (std::is_same_v<A, decide::SpawnProcess>) {
           StartProcess(a.generation);
         } else if constexpr (std::is_same_v<A, decide::ReleaseProcess>) {
-          if (waiting_ && waiting_generation_ == a.generation) waiting_->Release();
-          waiting_.reset();
+          if (pending_process_ && pending_generation_ == a.generation) pending_process_->Release();
+          pending_process_.reset();
         } else if constexpr (std::is_same_v<A, decide::RequestDrain> ||
                              std::is_same_v<A, decide::KillProcess>) {
-          const auto held = held_.find(a.generation);
+          const auto entry = processes_.find(a.generation);
           const int number = std::is_same_v<A, decide::KillProcess> ? SIGKILL : SIGTERM;
-          if (held != held_.end()) held->second->process.Signal(number);
+          if (entry != processes_.end()) entry->second->process.Signal(number);
         } else if constexpr (std::is_same_v<A, decide::RedirectControlSocket>) {
-          Point(a.generation);
+          RedirectControlSocket(a.generation);
         } else if constexpr (std::is_same_v<A, decide::SetTimer>) {
           const double in = std::max(0.0, (a.at - Now()).count());
-          tick_.Start(std::chrono::duration_cast<net::Steady::duration>(
+          timer_.Start(std::chrono::duration_cast<net::Steady::duration>(
               std::chrono::duration<double, std::milli>(in + 1)));
         } else if constexpr (std::is_same_v<A, decide::LogEvent>) {
-          last_report_ = a.code;
+          last_event_code_ = a.code;
           if (a.restart_in.count() > 0) {
             log::Warn(a.code, {{"generation", a.generation},
                                {"again_in_ms", static_cast<std::int64_t>(a.restart_in.count())}});
@@ -340,9 +350,9 @@
             log::Info(a.code, {{"generation", a.generation}});
           }
         } else if constexpr (std::is_same_v<A, decide::OperatorReply>) {
-          answer_ = a;
+          operator_reply_ = a;
         } else if constexpr (std::is_same_v<A, decide::ExitSupervisor>) {
-          exit_ = true;
+          exit_requested_ = true;
         }
       },
       action);
@@ -361,26 +371,27 @@
 
 void Supervisor::StartProcess(std::uint64_t generation) {
   try {
-    // A start takes the file as it stands; one that cannot be used leaves the last good one in force.
+    // Each start reads the configuration file again. If the file is invalid, the last valid configuration
+    // stays in use.
     try {
       config_ = ReadConfig(options_.config);
     } catch (const std::exception& fault) {
-      log::Warn("configuration-not-taken", {{"what", fault.what()}});
+      log::Warn("configuration-rejected", {{"what", fault.what()}});
     }
-    if (decide_.state().successor && config_.pool.size() < 2) {
+    if (state_machine_.state().successor && config_.pool.size() < 2) {
       throw std::runtime_error("an upgrade needs a second address in /node/pool");
     }
     WriteNodeConfig(generation);
     const std::string number = std::to_string(generation);
     std::vector<std::string> args = {"serve",
                                      "--config",
-                                     Path("node-" + number + ".json"),
+                                     StatePath("node-" + number + ".json"),
                                      "--control",
-                                     SocketOf(generation),
+                                     NodeSocketPath(generation),
                                      "--generation",
                                      number,
                                      "--log-file",
-                                     Path("node-" + std::to_string(generation % 2) + ".log"),
+                                     StatePath("node-" + std::to_string(generation % 2) + ".log"),
                                      "--log-format",
                                      config_.log_format,
                                      "--log-level",
@@ -389,141 +400,146 @@
                                      std::to_string(config_.log_bytes),
                                      "--log-keep",
                                      std::to_string(config_.log_keep)};
-    // A program from before there were threads is started as it always was.
+    // Omitted for one thread, since older versions of the program do not know --threads.
     if (config_.threads > 1) args.insert(args.end(), {"--threads", std::to_string(config_.threads)});
     if (config_.pin) args.push_back("--pin");
-    if (config_.peers.is_object()) args.insert(args.end(), {"--peers", Path("peers-" + number + ".json")});
-    if (config_.learned) args.insert(args.end(), {"--learned", Path("learned")});
-    waiting_ = std::make_unique<PendingProcess>(options_.program, std::move(args),
-                                                std::map<std::string, std::string>{{"TMPDIR", Path("run")}},
-                                                Path("node.err"));
-    waiting_generation_ = generation;
-    auto process = Process::Find(waiting_->id());
-    if (!process) throw std::runtime_error("the new process ended at once");
-    HoldProcess(generation, std::move(*process));
-    events_.push_back(decide::ProcessStarted{generation, waiting_->id()});
+    if (config_.peers.is_object())
+      args.insert(args.end(), {"--peers", StatePath("peers-" + number + ".json")});
+    if (config_.learned) args.insert(args.end(), {"--learned", StatePath("learned")});
+    pending_process_ = std::make_unique<PendingProcess>(
+        options_.program, std::move(args), std::map<std::string, std::string>{{"TMPDIR", StatePath("run")}},
+        StatePath("node.err"));
+    pending_generation_ = generation;
+    auto process = Process::Find(pending_process_->id());
+    if (!process) throw std::runtime_error("the new process exited immediately");
+    MonitorProcess(generation, std::move(*process));
+    event_queue_.push_back(decide::ProcessStarted{generation, pending_process_->id()});
   } catch (const std::exception& fault) {
     log::Warn("start-failed", {{"generation", generation}, {"what", fault.what()}});
-    // The process that waited, if there is one, ends by that; it is held until it has.
-    waiting_.reset();
-    events_.push_back(decide::ProcessStartFailed{generation});
+    // A pending process exits when it is destroyed before its release. It is monitored until it has exited.
+    pending_process_.reset();
+    event_queue_.push_back(decide::ProcessStartFailed{generation});
   }
 }
 
-void Supervisor::HoldProcess(std::uint64_t generation, Process process) {
-  held_[generation] = std::make_unique<Held>(*this, generation, std::move(process));
+void Supervisor::MonitorProcess(std::uint64_t generation, Process process) {
+  processes_[generation] = std::make_unique<MonitoredProcess>(*this, generation, std::move(process));
 }
 
-void Supervisor::Ended(std::uint64_t generation) {
-  auto held = held_.extract(generation);
-  if (held.empty()) return;
+void Supervisor::OnProcessExit(std::uint64_t generation) {
+  auto entry = processes_.extract(generation);
+  if (entry.empty()) return;
   int status = 0;
-  const auto pid = static_cast<pid_t>(held.mapped()->process.id().pid);
-  held.mapped()->Stop();
-  ended_.push_back(std::move(held.mapped()));
-  // Of one that an earlier supervisor started nobody here is told how it ended: the file tells that it
-  // leaves.
-  const bool ours = waitpid(pid, &status, WNOHANG) == pid;
-  const bool clean = ours ? WIFEXITED(status) && WEXITSTATUS(status) == 0 : EndedWell(generation);
-  log::Info("node-ended", {{"generation", generation}, {"clean", clean}, {"ours", ours}});
+  const auto pid = static_cast<pid_t>(entry.mapped()->process.id().pid);
+  entry.mapped()->Stop();
+  exited_processes_.push_back(std::move(entry.mapped()));
+  // The exit status of a process that an earlier supervisor started is not available. Its .ended file shows
+  // whether it exited cleanly.
+  const bool is_child = waitpid(pid, &status, WNOHANG) == pid;
+  const bool exited_cleanly =
+      is_child ? WIFEXITED(status) && WEXITSTATUS(status) == 0 : ExitedCleanly(generation);
+  log::Info("node-ended", {{"generation", generation}, {"clean", exited_cleanly}, {"ours", is_child}});
   std::error_code ignored;
-  std::filesystem::remove(SocketOf(generation), ignored);
-  std::filesystem::remove(SocketOf(generation) + ".ended", ignored);
-  std::filesystem::remove(Path("node-" + std::to_string(generation) + ".json"), ignored);
-  std::filesystem::remove(Path("peers-" + std::to_string(generation) + ".json"), ignored);
-  Take(decide::ProcessExited{generation, clean});
+  std::filesystem::remove(NodeSocketPath(generation), ignored);
+  std::filesystem::remove(NodeSocketPath(generation) + ".ended", ignored);
+  std::filesystem::remove(StatePath("node-" + std::to_string(generation) + ".json"), ignored);
+  std::filesystem::remove(StatePath("peers-" + std::to_string(generation) + ".json"), ignored);
+  HandleEvent(decide::ProcessExited{generation, exited_cleanly});
 }
 
-// A disk that is full or broken does not stop the node from serving. Should the supervisor die meanwhile, the
-// next one asks at the sockets what there is.
-void Supervisor::Save() {
+// If the disk is full or faulty, the node continues to serve and the save is retried. If the supervisor dies
+// before a save succeeds, the next one finds the running nodes by their control sockets.
+void Supervisor::SaveState() {
   try {
-    store_.Save(decide_.state());
-    if (!std::exchange(saved_, true)) log::Info("plan-saved-again");
+    state_store_.Save(state_machine_.state());
+    if (!std::exchange(state_saved_, true)) log::Info("plan-saved-again");
   } catch (const state::FileError& fault) {
-    if (std::exchange(saved_, false)) log::Warn("plan-not-saved", {{"what", fault.what()}});
+    if (std::exchange(state_saved_, false)) log::Warn("plan-not-saved", {{"what", fault.what()}});
   }
 }
 
-void Supervisor::Point(std::uint64_t generation) {
-  const std::string fresh = Path("control.sock.new");
-  unlink(fresh.c_str());
-  // A relative name: the folder may be reached by another path.
+void Supervisor::RedirectControlSocket(std::uint64_t generation) {
+  const std::string temporary = StatePath("control.sock.new");
+  unlink(temporary.c_str());
+  // The link is relative, so that it works for any path that leads to the state directory.
   const std::string target = "node-" + std::to_string(generation) + ".sock";
-  if (symlink(target.c_str(), fresh.c_str()) != 0 ||
-      std::rename(fresh.c_str(), Path("control.sock").c_str()) != 0) {
-    log::Warn("point-failed", {{"what", std::strerror(errno)}});
+  if (symlink(target.c_str(), temporary.c_str()) != 0 ||
+      std::rename(temporary.c_str(), StatePath("control.sock").c_str()) != 0) {
+    log::Warn("control-socket-redirect-failed", {{"what", std::strerror(errno)}});
   }
 }
 
-void Supervisor::Look() {
-  look_.Start(kLookEach);
-  for (const auto& [generation, held] : held_) held->Ask();
-  if (!saved_) Save();
+void Supervisor::PollStatus() {
+  status_poll_timer_.Start(kStatusPollInterval);
+  for (const auto& [generation, entry] : processes_) entry->RequestStatus();
+  if (!state_saved_) SaveState();
 }
 
-Json Supervisor::Ask(const decide::SupervisorEvent& event) {
-  answer_.reset();
-  Take(event);
-  const decide::OperatorReply answer = answer_.value_or(decide::OperatorReply{false, "ends"});
-  if (!answer.ok)
-    throw control::RequestError(answer.code, std::string("the supervisor says no: ") + answer.code);
-  return {{"already", std::strcmp(answer.code, "already") == 0},
-          {"generation", decide_.state().last_generation},
-          {"phase", decide::SupervisorPhaseName(decide_.phase())}};
+Json Supervisor::HandleOperatorRequest(const decide::SupervisorEvent& event) {
+  operator_reply_.reset();
+  HandleEvent(event);
+  const decide::OperatorReply reply = operator_reply_.value_or(decide::OperatorReply{false, "ends"});
+  if (!reply.ok)
+    throw control::RequestError(reply.code,
+                                std::string("the supervisor rejected the request: ") + reply.code);
+  return {{"already", std::strcmp(reply.code, "already") == 0},
+          {"generation", state_machine_.state().last_generation},
+          {"phase", decide::SupervisorPhaseName(state_machine_.phase())}};
 }
 
 Json Supervisor::Reload() {
-  const decide::SupervisorState& plan = decide_.state();
+  const decide::SupervisorState& plan = state_machine_.state();
   if (!plan.current)
-    throw control::RequestError("not-serving", "no node serves; the next start reads the file");
+    throw control::RequestError("not-serving",
+                                "no node is serving; the next start reads the configuration file");
   try {
-    Config fresh = ReadConfig(options_.config);
-    std::swap(config_, fresh);
+    Config new_config = ReadConfig(options_.config);
+    std::swap(config_, new_config);
     try {
       WriteNodeConfig(plan.current->generation);
     } catch (...) {
-      std::swap(config_, fresh);
+      std::swap(config_, new_config);
       throw;
     }
   } catch (const std::exception& fault) {
     throw control::RequestError("reload-failed", fault.what());
   }
-  // The node says itself whether it takes the file.
+  // The node validates the new file and reports whether it applied it.
   try {
-    return control::Client(SocketOf(plan.current->generation))
-        .Call("reload", nlohmann::json::object(), kLookWithin);
+    return control::Client(NodeSocketPath(plan.current->generation))
+        .Call("reload", nlohmann::json::object(), kStatusTimeout);
   } catch (const control::UnreachableError& fault) {
     throw control::RequestError("node-unreachable", fault.what());
   }
 }
 
 Json Supervisor::Status() const {
-  const decide::SupervisorState& plan = decide_.state();
-  const auto life = [this](const std::optional<decide::Incarnation>& l) -> Json {
-    if (!l) return nullptr;
-    Json json = {{"generation", l->generation},
-                 {"pid", l->process.pid},
-                 {"ready", l->ready},
-                 {"leaving", l->draining}};
-    const auto held = held_.find(l->generation);
-    if (held != held_.end() && held->second->seen.is_object()) {
-      json["state"] = held->second->seen.value("state", "");
-      json["totals"] = held->second->seen.value("totals", nlohmann::json::object());
+  const decide::SupervisorState& plan = state_machine_.state();
+  const auto incarnation_json = [this](const std::optional<decide::Incarnation>& incarnation) -> Json {
+    if (!incarnation) return nullptr;
+    Json json = {{"generation", incarnation->generation},
+                 {"pid", incarnation->process.pid},
+                 {"ready", incarnation->ready},
+                 {"leaving", incarnation->draining}};
+    const auto entry = processes_.find(incarnation->generation);
+    if (entry != processes_.end() && entry->second->last_status.is_object()) {
+      json["state"] = entry->second->last_status.value("state", "");
+      json["totals"] = entry->second->last_status.value("totals", nlohmann::json::object());
     }
     return json;
   };
   Json json = {{"schema", 1},
                {"pid", getpid()},
-               {"phase", decide::SupervisorPhaseName(decide_.phase())},
-               {"last_report", last_report_},
+               {"phase", decide::SupervisorPhaseName(state_machine_.phase())},
+               {"last_report", last_event_code_},
                {"last_generation", plan.last_generation},
                {"crashes_in_row", plan.consecutive_crashes},
-               {"plan_saved", saved_},
-               {"current", life(plan.current)},
-               {"successor", life(plan.successor)},
-               {"predecessor", life(plan.predecessor)}};
-  if (decide_.restart_at()) json["start_in_ms"] = std::max(0.0, (*decide_.restart_at() - Now()).count());
+               {"plan_saved", state_saved_},
+               {"current", incarnation_json(plan.current)},
+               {"successor", incarnation_json(plan.successor)},
+               {"predecessor", incarnation_json(plan.predecessor)}};
+  if (state_machine_.restart_at())
+    json["start_in_ms"] = std::max(0.0, (*state_machine_.restart_at() - Now()).count());
   return json;
 }
 
--- a/src/appliance/supervisor.h
+++ b/src/appliance/supervisor.h
@@ -1,16 +1,18 @@
-// The supervisor: carries out what decide::Supervise decides, on a loop of its own.
+// The supervisor process of an appliance: starts, monitors, upgrades and stops the node's processes. It
+// executes the actions of decide::Supervisor on its own event loop.
 //
-// In the state folder:
-//   lock                held as long as a supervisor lives
-//   plan.json           what lasts (state/supervisor_state_store.h)
-//   node-N.json         the configuration of start N
-//   peers-N.json        how it joins the other nodes; only where the appliance's file says so
-//   node-N.sock         the control socket of start N
-//   node-N.sock.ended   left by a node that has ended well
-//   control.sock        leads to the socket of the node that serves
+// Files in the state directory:
+//   lock                locked while a supervisor runs
+//   plan.json           the durable state (state/supervisor_state_store.h)
+//   node-N.json         the node configuration of generation N
+//   peers-N.json        the fleet configuration of generation N, if the appliance has one
+//   node-N.sock         the control socket of generation N
+//   node-N.sock.ended   written by a node that exits cleanly
+//   control.sock        symbolic link to the control socket of the serving node
 //   supervisor.sock     the supervisor's own control socket
-//   node.log, supervisor.log, node.err
-//   run/                what the processes of one node share, for the handover
+//   node-0.log, node-1.log   logs of the nodes of even and odd generations
+//   supervisor.log, node.err
+//   run/                files that the processes of one node share for a handover
 #ifndef HINGELINK_APPLIANCE_SUPERVISOR_H_
 #define HINGELINK_APPLIANCE_SUPERVISOR_H_
 
@@ -33,76 +35,87 @@
 namespace hingelink::appliance {
 
 struct SupervisorOptions {
-  std::string folder;   // Of its state; must be there.
-  std::string config;   // deploy/appliance.json or one like it.
-  std::string program;  // What a node is started from.
-  std::uint64_t seed = 0;
-  // Whether it was asked for (`up`) or goes on with what was planned (`resume`).
+  std::string folder;      // State directory; must exist.
+  std::string config;      // Path of the appliance's configuration file.
+  std::string program;     // Path of the program that runs a node.
+  std::uint64_t seed = 0;  // For the jitter of restarts and the seeds of the nodes.
+  // True if the operator requests that the node runs (`up`). False if the supervisor continues with its
+  // durable state (`resume`).
   bool start_requested = true;
-  // For tests: called before each action, with its name and a count of them.
+  // For tests: called before each action with its name and its number, which starts at 1.
   std::function<void(const char* action, std::uint64_t count)> before_action;
 };
 
-// Another supervisor holds the folder.
+// Thrown when another supervisor holds the lock of the state directory.
 class AlreadyRunningError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
 
+// Runs on one thread.
 class Supervisor {
  public:
-  // Throws AlreadyRunningError, ConfigError, FileError or std::runtime_error.
+  // Locks the state directory, listens on supervisor.sock and adopts the node processes of an earlier
+  // supervisor. Throws AlreadyRunningError, ConfigError, FileError or std::runtime_error.
   explicit Supervisor(SupervisorOptions options);
   ~Supervisor();
 
-  // Until nothing is left to do.
+  // Runs the event loop until the state machine requests the exit of the supervisor.
   void Run();
 
  private:
-  struct Held;  // One process of the node.
+  struct MonitoredProcess;
 
-  void Adopt();
-  // Guards against a second node where no plan tells of the first: asks at each socket that is there.
-  decide::SupervisorState Search() const;
-  void Take(const decide::SupervisorEvent& event);
-  void Work();
-  void Carry(const decide::SupervisorAction& action);
+  // Loads the durable state, adopts the node processes that still run and starts the state machine.
+  void RecoverState();
+  // Reconstructs the state from the nodes that answer on their control sockets. Without it, a supervisor that
+  // has no valid state would start a second node next to a running one.
+  decide::SupervisorState FindRunningNodes() const;
+  // Queues the event and processes the queue.
+  void HandleEvent(const decide::SupervisorEvent& event);
+  void ProcessEvents();
+  void ExecuteAction(const decide::SupervisorAction& action);
   void StartProcess(std::uint64_t generation);
-  void HoldProcess(std::uint64_t generation, Process process);
-  void Ended(std::uint64_t generation);
-  void Save();
-  void Point(std::uint64_t generation);
-  void Look();
+  void MonitorProcess(std::uint64_t generation, Process process);
+  void OnProcessExit(std::uint64_t generation);
+  void SaveState();
+  // Points control.sock at the socket of this generation.
+  void RedirectControlSocket(std::uint64_t generation);
+  // Requests the status of each process and retries a failed save.
+  void PollStatus();
   void WriteNodeConfig(std::uint64_t generation);
   control::Json Status() const;
-  control::Json Ask(const decide::SupervisorEvent& event);
+  // Returns the result of an operator's request, or throws control::RequestError.
+  control::Json HandleOperatorRequest(const decide::SupervisorEvent& event);
   control::Json Reload();
-  std::string Path(const std::string& name) const { return options_.folder + '/' + name; }
-  std::string SocketOf(std::uint64_t generation) const;
-  bool EndedWell(std::uint64_t generation) const;
+  std::string StatePath(const std::string& name) const { return options_.folder + '/' + name; }
+  std::string NodeSocketPath(std::uint64_t generation) const;
+  // Whether the node left its .ended file.
+  bool ExitedCleanly(std::uint64_t generation) const;
+  // The time since boot, including the time that the machine was suspended.
   decide::SupervisorTime Now() const;
 
   SupervisorOptions options_;
   state::DirectoryLock lock_;
   Config config_;
   net::BasePtr base_;
-  state::SupervisorStateStore store_;
-  decide::Supervisor decide_;
-  std::map<std::uint64_t, std::unique_ptr<Held>> held_;
-  std::vector<std::unique_ptr<Held>> ended_;  // Freed outside their own callbacks.
-  std::unique_ptr<PendingProcess> waiting_;
-  std::uint64_t waiting_generation_ = 0;
-  net::Timer tick_;
-  net::Timer look_;
-  std::deque<decide::SupervisorEvent> events_;
-  bool taking_ = false;
-  bool saved_ = true;
-  std::optional<decide::OperatorReply> answer_;
-  std::uint64_t actions_ = 0;
-  std::string last_report_;
+  state::SupervisorStateStore state_store_;
+  decide::Supervisor state_machine_;
+  std::map<std::uint64_t, std::unique_ptr<MonitoredProcess>> processes_;
+  std::vector<std::unique_ptr<MonitoredProcess>> exited_processes_;  // Freed outside their own callbacks.
+  std::unique_ptr<PendingProcess> pending_process_;
+  std::uint64_t pending_generation_ = 0;
+  net::Timer timer_;
+  net::Timer status_poll_timer_;
+  std::deque<decide::SupervisorEvent> event_queue_;
+  bool processing_events_ = false;
+  bool state_saved_ = true;
+  std::optional<decide::OperatorReply> operator_reply_;
+  std::uint64_t action_count_ = 0;
+  std::string last_event_code_;
   std::unique_ptr<control::Server> server_;
   std::vector<net::EventPtr> signals_;
-  bool exit_ = false;
+  bool exit_requested_ = false;
 };
 
 }  // namespace hingelink::appliance
