--- a/src/appliance/supervisor.cpp
+++ b/src/appliance/supervisor.cpp
@@ -261,7 +261,8 @@
   }
   decide::SupervisorState& plan = found.state;
   std::vector<std::uint64_t> exited;
-  for (std::optional<decide::Incarnation>* life : {&plan.current, &plan.successor, &plan.predecessor}) {
+  for (std::optional<decide::Incarnation>* incarnation :
+       {&plan.current, &plan.successor, &plan.predecessor}) {
     if (!*incarnation) continue;
     if (auto process = Process::Find((*incarnation)->process)) {
       log::Info("adopted",
