--- a/bench/appliance_measure.cpp
+++ b/bench/appliance_measure.cpp
@@ -266,7 +266,7 @@
   int upgrades = 0;
   for (int i = 0; i < count; ++i) {
     // At any moment, also within an upgrade.
-    if (i % 4 == 0 && rig.Say("upgrade") == "done") ++upgrades;
+    if (i % 4 == 0 && rig.SendCommand("upgrade") == "done") ++upgrades;
     std::this_thread::sleep_for(std::chrono::milliseconds(draw() % 300));
     rig.KillSupervisor();
     rig.StartSupervisor(true);
--- a/tests/appliance/appliance_test.cpp
+++ b/tests/appliance/appliance_test.cpp
@@ -1,5 +1,5 @@
-// The appliance end to end, with its parts killed: one node at the end, and nothing lost by the account of
-// the stand-ins.
+// End-to-end tests of the appliance in which its processes are killed. Afterwards exactly one node must run,
+// and the gateway stand-ins must not have counted a lost request.
 #include <gtest/gtest.h>
 
 #include "decide/supervision/supervisor.h"
@@ -17,8 +17,8 @@
   return status["current"].is_object() ? status["current"].value("generation", 0) : 0;
 }
 
-// All that was read had one right answer in time.
-void ExpectKept(const rig::standin::Account& account) {
+// Expects that each request got exactly one correct response in time.
+void ExpectNothingLost(const rig::standin::Account& account) {
   const auto sum = account.Sum();
   EXPECT_GT(sum.served, 0u);
   EXPECT_EQ(sum.lost, 0u);
@@ -30,19 +30,19 @@
 
 class KilledAtStep : public testing::TestWithParam<int> {};
 
-// Up, an upgrade under load, and a drain; before one of its actions the supervisor is killed, and the next
-// goes on from there.
-TEST_P(KilledAtStep, OneNodeAtTheEndAndNothingLost) {
+// Starts the node, upgrades it under load and drains it. The supervisor is killed before the action whose
+// number is the parameter, and the next supervisor must continue from there.
+TEST_P(KilledAtStep, NextSupervisorContinuesWithOneNodeAndNoLostRequests) {
   Rig rig;
   bool died = false;
-  const auto revive = [&] {
+  const auto restart_supervisor_if_dead = [&] {
     if (rig.SupervisorLives()) return;
     died = true;
     rig.StartSupervisor(true);
   };
   rig.StartSupervisor(false, GetParam());
   ASSERT_TRUE(Await([&] {
-    revive();
+    restart_supervisor_if_dead();
     const auto seen = rig.Status();
     return seen && (*seen)["current"].is_object() && (*seen)["current"].value("ready", false);
   })) << rig.LogOf("supervisor.log");
@@ -51,41 +51,42 @@
   rig.StartLoad(0.6);
   ASSERT_TRUE(Await([&] { return rig.Account().Sum().served > 5; }));
   ASSERT_TRUE(Await([&] {
-    revive();
+    restart_supervisor_if_dead();
     const auto seen = rig.Status();
     if (!seen) return false;
     if (Generation(*seen) > first && (*seen)["predecessor"].is_null())
       return (*seen)["current"].value("ready", false);
-    if (Generation(*seen) == first && (*seen)["successor"].is_null()) rig.Say("upgrade");
+    if (Generation(*seen) == first && (*seen)["successor"].is_null()) rig.SendCommand("upgrade");
     return false;
   })) << rig.LogOf("supervisor.log");
   EXPECT_EQ(rig.Nodes().size(), 1u);
   const std::uint64_t served = rig.Account().Sum().served;
   ASSERT_TRUE(Await([&] { return rig.Account().Sum().served > served + 5; }));
   ASSERT_TRUE(Await([&] {
-    revive();
+    restart_supervisor_if_dead();
     const auto seen = rig.Status();
     if (!seen) return false;
     if (seen->value("phase", "") == "drained") return true;
-    if (seen->value("phase", "") != "draining") rig.Say("drain");
+    if (seen->value("phase", "") != "draining") rig.SendCommand("drain");
     return false;
   })) << rig.LogOf("supervisor.log");
   EXPECT_TRUE(Await([&] { return rig.Nodes().empty(); }));
   rig.StopLoad();
-  ExpectKept(rig.Account());
-  // The story must have reached the step that it is about.
+  ExpectNothingLost(rig.Account());
+  // The supervisor must have reached the action with this number, otherwise the case tests nothing.
   ASSERT_TRUE(Await([&] {
-    revive();
+    restart_supervisor_if_dead();
     return died;
   })) << "no action of this number";
-  rig.Say("down");
+  rig.SendCommand("down");
   EXPECT_TRUE(Await([&] { return !rig.SupervisorLives(); }));
 }
 
-// Up takes 5 actions, an upgrade 6 to 8 (the old node may have ended before it is told to), a drain 3.
+// A start takes 5 actions, an upgrade 6 to 8 (the old node may exit before it is requested to drain), a
+// drain 3.
 INSTANTIATE_TEST_SUITE_P(Steps, KilledAtStep, testing::Range(1, 15));
 
-TEST(Appliance, ANodeThatIsKilledServesAgain) {
+TEST(Appliance, KilledNodeIsRestarted) {
   Rig rig;
   rig.StartSupervisor(false);
   ASSERT_TRUE(rig.AwaitReady());
@@ -103,12 +104,12 @@
   EXPECT_EQ(rig.Nodes().size(), 1u);
 }
 
-TEST(Appliance, ANodeThatIsKilledLeavesTheNextWhatItHadLearned) {
+TEST(Appliance, RestartedNodeImportsLearnedStateOfKilledNode) {
   Rig rig;
   rig.StartSupervisor(false);
   ASSERT_TRUE(rig.AwaitReady());
   rig.StartLoad(0.9);
-  // A record comes within 5 s of learning.
+  // The node writes its first record within 5 s of learning.
   const std::string folder = rig.folder() + "/learned";
   const auto learned = [&folder]() -> std::size_t {
     const auto found = hingelink::state::LearnedStore(hingelink::state::SystemFileSystem(), folder).Load();
@@ -121,18 +122,18 @@
     return s["current"].is_object() && s["current"].value("pid", 0) != before &&
            s["current"].value("ready", false);
   }));
-  bool taken = false;
+  bool imported = false;
   for (const char* log : {"/node-0.log", "/node-1.log"}) {
     std::ifstream file(rig.folder() + log);
     std::stringstream text;
     text << file.rdbuf();
-    taken =
-        taken || text.str().find("learned-imported classes=3 confidence_percent=100") != std::string::npos;
+    imported =
+        imported || text.str().find("learned-imported classes=3 confidence_percent=100") != std::string::npos;
   }
-  EXPECT_TRUE(taken);
+  EXPECT_TRUE(imported);
 }
 
-TEST(Appliance, TheNodeIsStartedWithTheThreadsAndPinsOfTheFile) {
+TEST(Appliance, NodeIsStartedWithConfiguredThreadsAndPinning) {
   Rig rig;
   rig.config["threads"] = 3;
   rig.config["pin"] = true;
@@ -153,22 +154,22 @@
   EXPECT_EQ(threads, 2u);
 }
 
-TEST(Appliance, ANodeKilledInItsDrainStaysAway) {
+TEST(Appliance, NodeKilledDuringDrainIsNotRestarted) {
   Rig rig;
   rig.StartSupervisor(false);
   ASSERT_TRUE(rig.AwaitReady());
   const pid_t node = rig.NodePid();
-  EXPECT_EQ(rig.Say("drain"), "done");
-  EXPECT_EQ(rig.Say("drain"), "already");
+  EXPECT_EQ(rig.SendCommand("drain"), "done");
+  EXPECT_EQ(rig.SendCommand("drain"), "already");
   kill(node, SIGKILL);
   ASSERT_TRUE(rig.AwaitPhase("drained"));
   EXPECT_NE(rig.LogOf("supervisor.log").find("drain-incomplete"), std::string::npos);
   EXPECT_TRUE(rig.Nodes().empty());
-  EXPECT_EQ(rig.Say("up"), "done");
+  EXPECT_EQ(rig.SendCommand("up"), "done");
   ASSERT_TRUE(rig.AwaitReady());
 }
 
-TEST(Appliance, ASecondSupervisorDoesNotBegin) {
+TEST(Appliance, SecondSupervisorForSameStateDirectoryExits) {
   Rig rig;
   rig.StartSupervisor(false);
   ASSERT_TRUE(rig.AwaitReady());
@@ -183,16 +184,17 @@
   EXPECT_EQ(rig.Nodes().size(), 1u);
 }
 
-// Each of these is written over the plan while no supervisor lives and a node serves: it is found and kept.
-TEST(Appliance, ATornPlanDoesNotLoseTheNodeThatServes) {
-  for (const std::string& torn :
+// The plan file is overwritten with invalid content while a node serves and no supervisor runs. The next
+// supervisor must find the node by its socket and keep it.
+TEST(Appliance, DamagedPlanFileKeepsRunningNode) {
+  for (const std::string& damaged :
        {std::string(), std::string("{\"format\":1,\"boo"), std::string(200, '\0')}) {
     Rig rig;
     rig.StartSupervisor(false);
     ASSERT_TRUE(rig.AwaitReady());
     const pid_t node = rig.NodePid();
     rig.KillSupervisor();
-    std::ofstream(rig.folder() + "/plan.json", std::ios::trunc) << torn;
+    std::ofstream(rig.folder() + "/plan.json", std::ios::trunc) << damaged;
     rig.StartSupervisor(true);
     ASSERT_TRUE(rig.AwaitReady());
     EXPECT_EQ(rig.NodePid(), node);
@@ -201,8 +203,8 @@
   }
 }
 
-// A pid that belongs to another program by now: it is neither adopted nor signalled.
-TEST(Appliance, APidOfAnotherProgramIsLeftAlone) {
+// The plan file names a pid that now belongs to another program.
+TEST(Appliance, ReusedPidIsNeitherAdoptedNorSignalled) {
   Rig rig;
   const pid_t other = hingelink::cli::StartDetached("/bin/sleep", {"1000"}, {}, "");
   hingelink::decide::SupervisorState plan;
@@ -221,8 +223,8 @@
   waitpid(other, nullptr, 0);
 }
 
-// Of another boot: what was wanted holds, and the processes do not.
-TEST(Appliance, AfterABootWhatWasWantedHolds) {
+// The plan file is from a previous boot: its desired state stays valid, its processes do not.
+TEST(Appliance, DesiredStateSurvivesReboot) {
   Rig rig;
   hingelink::decide::SupervisorState plan;
   plan.desired = hingelink::decide::DesiredState::kDrained;
@@ -234,20 +236,20 @@
   rig.StartSupervisor(true);
   ASSERT_TRUE(rig.AwaitPhase("drained"));
   EXPECT_TRUE(rig.Nodes().empty());
-  EXPECT_EQ(rig.Say("up"), "done");
+  EXPECT_EQ(rig.SendCommand("up"), "done");
   ASSERT_TRUE(rig.AwaitReady());
   EXPECT_EQ(Generation(*rig.Status()), 8);
 }
 
-// As on a full disk: nothing can be written, and the node serves all the same.
-TEST(Appliance, ADiskThatTakesNothingDoesNotStopTheNode) {
+// Simulates a full disk: a directory in place of the temporary file makes every save of the plan fail.
+TEST(Appliance, NodeServesWhenPlanCannotBeSaved) {
   Rig rig;
   std::filesystem::create_directory(rig.folder() + "/plan.json.new");
   rig.StartSupervisor(false);
   ASSERT_TRUE(rig.AwaitReady());
   EXPECT_FALSE(rig.Status()->value("plan_saved", true));
   const pid_t node = rig.NodePid();
-  // Dying now, it leaves no plan, and the next finds the node by its socket.
+  // The killed supervisor leaves no plan file. The next one finds the node by its socket.
   rig.KillSupervisor();
   rig.StartSupervisor(true);
   ASSERT_TRUE(rig.AwaitReady());
@@ -257,17 +259,19 @@
   EXPECT_EQ(rig.Nodes().size(), 1u);
 }
 
-// A successor that never gets ready (its worker pool hangs up on it): the node from before serves on.
-TEST(Appliance, AnUpgradeThatIsNeverReadyGoesBackAndLosesNothing) {
+// The successor never becomes ready, since nothing listens at its worker pool address. The current node
+// continues to serve.
+TEST(Appliance, UpgradeWithUnreadySuccessorRollsBackWithoutLoss) {
   Rig rig;
-  rig.config["node"]["pool"][0] = rig::standin::OwnAddress();  // Start 1 takes the second, start 2 the first.
+  rig.config["node"]["pool"][0] =
+      rig::standin::OwnAddress();  // Generation 2 uses it; generation 1 uses the second.
   rig.config["supervisor"]["upgrade_within_ms"] = 700;
   rig.WriteConfig();
   rig.StartSupervisor(false);
   ASSERT_TRUE(rig.AwaitReady());
   rig.StartLoad(0.6);
   ASSERT_TRUE(Await([&] { return rig.Account().Sum().served > 5; }));
-  EXPECT_EQ(rig.Say("upgrade"), "done");
+  EXPECT_EQ(rig.SendCommand("upgrade"), "done");
   ASSERT_TRUE(
       rig.AwaitStatus([](const json& s) { return s.value("last_report", "") == "upgrade-rolled-back"; }));
   const std::uint64_t served = rig.Account().Sum().served;
@@ -275,26 +279,26 @@
   EXPECT_EQ(Generation(*rig.Status()), 1);
   EXPECT_EQ(rig.Nodes().size(), 1u);
   rig.StopLoad();
-  ExpectKept(rig.Account());
+  ExpectNothingLost(rig.Account());
 }
 
-TEST(Appliance, ReloadIsTakenWholeOrNotAtAll) {
+TEST(Appliance, ReloadAppliesValidFileAndRejectsInvalidFile) {
   Rig rig;
   rig.StartSupervisor(false);
   ASSERT_TRUE(rig.AwaitReady());
   const pid_t node = rig.NodePid();
   rig.config["node"]["settings"]["requestClasses"][0]["hardLimitMs"] = 1300;
   rig.WriteConfig();
-  EXPECT_EQ(rig.Say("reload"), "done");
+  EXPECT_EQ(rig.SendCommand("reload"), "done");
   rig.config["node"]["settings"]["requestClasses"][0]["hardLimitMs"] = -1;
   rig.WriteConfig();
-  EXPECT_EQ(rig.Say("reload"), "reload-failed");
+  EXPECT_EQ(rig.SendCommand("reload"), "reload-failed");
   EXPECT_EQ(rig.NodePid(), node);
   EXPECT_EQ(rig.Nodes().size(), 1u);
 }
 
-// A node that stands still is ended and another started.
-TEST(Appliance, ANodeThatHangsIsReplaced) {
+// A stopped process does not respond to status requests; the supervisor kills it and starts another.
+TEST(Appliance, UnresponsiveNodeIsReplaced) {
   Rig rig;
   rig.config["supervisor"]["silent_looks"] = 2;
   rig.WriteConfig();
--- a/tests/appliance/config_test.cpp
+++ b/tests/appliance/config_test.cpp
@@ -1,5 +1,5 @@
-// The appliance's file: what is wrong is told all at once, each with where, what was found and what is
-// wanted.
+// Tests of the appliance's configuration file. All errors are reported at once, each with the JSON pointer,
+// the value found and what is allowed.
 #include "appliance/config.h"
 
 #include <gtest/gtest.h>
@@ -16,14 +16,14 @@
 using hingelink::appliance::ParseConfig;
 using Json = nlohmann::ordered_json;
 
-std::string Shipped() {
+std::string ReadShippedConfig() {
   std::ifstream file(HINGELINK_SOURCE_DIR "/deploy/appliance.json");
   std::stringstream text;
   text << file.rdbuf();
   return text.str();
 }
 
-std::vector<std::string> Faults(const std::string& text) {
+std::vector<std::string> ParseErrors(const std::string& text) {
   try {
     ParseConfig(text);
   } catch (const ConfigError& wrong) {
@@ -31,20 +31,20 @@
   }
   return {};
 }
-bool Tells(const std::vector<std::string>& faults, const std::string& at, const std::string& what) {
+bool HasError(const std::vector<std::string>& faults, const std::string& at, const std::string& what) {
   for (const std::string& fault : faults) {
     if (fault.starts_with(at + ":") && fault.find(what) != std::string::npos) return true;
   }
   return false;
 }
-std::string All(const std::vector<std::string>& faults) {
+std::string JoinErrors(const std::vector<std::string>& faults) {
   std::string all;
   for (const auto& fault : faults) all += fault + '\n';
   return all;
 }
 
-TEST(ApplianceConfig, TheShippedFileIsGoodAndGivesEachStartItsAddresses) {
-  const Config config = ParseConfig(Shipped());
+TEST(ApplianceConfig, ShippedFileIsValidAndGenerationsAlternateAddresses) {
+  const Config config = ParseConfig(ReadShippedConfig());
   const Json first = Json::parse(config.NodeJson(1, 255)), second = Json::parse(config.NodeJson(2, 256));
   EXPECT_EQ(first["pool"], "127.0.0.1:9301");
   EXPECT_EQ(second["pool"], "127.0.0.1:9300");
@@ -56,22 +56,22 @@
   EXPECT_TRUE(config.learned);
 }
 
-TEST(ApplianceConfig, TakesThreadsInRange) {
-  Json json = Json::parse(Shipped());
+TEST(ApplianceConfig, AcceptsThreadsInRangeAndPin) {
+  Json json = Json::parse(ReadShippedConfig());
   json["threads"] = 6;
   EXPECT_EQ(ParseConfig(json.dump()).threads, 6u);
   EXPECT_FALSE(ParseConfig(json.dump()).pin);
   json["pin"] = true;
   EXPECT_TRUE(ParseConfig(json.dump()).pin);
   json["pin"] = "yes";
-  EXPECT_TRUE(Tells(Faults(json.dump()), "/pin", "found"));
+  EXPECT_TRUE(HasError(ParseErrors(json.dump()), "/pin", "found"));
   json.erase("pin");
   json["threads"] = 0;
-  EXPECT_TRUE(Tells(Faults(json.dump()), "/threads", "found 0"));
+  EXPECT_TRUE(HasError(ParseErrors(json.dump()), "/threads", "found 0"));
 }
 
-TEST(ApplianceConfig, TellsEveryFaultAtOnceWithItsPlace) {
-  Json json = Json::parse(Shipped());
+TEST(ApplianceConfig, ReportsAllErrorsWithTheirPointers) {
+  Json json = Json::parse(ReadShippedConfig());
   json["node"]["stop_ms"] = -5;
   json["node"]["name"] = "a b";
   json["node"]["pool"] = 7;
@@ -79,53 +79,53 @@
   json["supervisor"]["loop_crashes"] = "five";
   json["log"]["format"] = "xml";
   json["extra"] = 1;
-  const auto faults = Faults(json.dump());
-  EXPECT_TRUE(Tells(faults, "/node/stop_ms", "found -5")) << All(faults);
-  EXPECT_TRUE(Tells(faults, "/node/name", "found \"a b\"")) << All(faults);
-  EXPECT_TRUE(Tells(faults, "/node/pool", "found 7")) << All(faults);
-  EXPECT_TRUE(Tells(faults, "/node", "registry")) << All(faults);
-  EXPECT_TRUE(Tells(faults, "/supervisor/loop_crashes", "found \"five\"")) << All(faults);
-  EXPECT_TRUE(Tells(faults, "/log/format", "found \"xml\"")) << All(faults);
-  EXPECT_TRUE(All(faults).find("'extra'") != std::string::npos) << All(faults);
+  const auto faults = ParseErrors(json.dump());
+  EXPECT_TRUE(HasError(faults, "/node/stop_ms", "found -5")) << JoinErrors(faults);
+  EXPECT_TRUE(HasError(faults, "/node/name", "found \"a b\"")) << JoinErrors(faults);
+  EXPECT_TRUE(HasError(faults, "/node/pool", "found 7")) << JoinErrors(faults);
+  EXPECT_TRUE(HasError(faults, "/node", "registry")) << JoinErrors(faults);
+  EXPECT_TRUE(HasError(faults, "/supervisor/loop_crashes", "found \"five\"")) << JoinErrors(faults);
+  EXPECT_TRUE(HasError(faults, "/log/format", "found \"xml\"")) << JoinErrors(faults);
+  EXPECT_TRUE(JoinErrors(faults).find("'extra'") != std::string::npos) << JoinErrors(faults);
 }
 
-TEST(ApplianceConfig, WhatTheSchemaCannotSeeIsToldToo) {
-  Json json = Json::parse(Shipped());
+TEST(ApplianceConfig, ReportsErrorsThatTheSchemaCannotExpress) {
+  Json json = Json::parse(ReadShippedConfig());
   json["supervisor"]["drain_within_ms"] = 1000;
   json["supervisor"]["backoff_most_ms"] = 10;
   json["node"]["pool"] = {"127.0.0.1:9300", "127.0.0.1:9300"};
   json["node"]["listen"] = "999.0.0.1:80";
-  const auto faults = Faults(json.dump());
-  EXPECT_TRUE(Tells(faults, "/supervisor/drain_within_ms", "wanted at least 4200")) << All(faults);
-  EXPECT_TRUE(Tells(faults, "/supervisor/backoff_most_ms", "backoff_first_ms")) << All(faults);
-  EXPECT_TRUE(Tells(faults, "/node/pool/1", "twice")) << All(faults);
-  EXPECT_TRUE(Tells(faults, "/node/listen", "999.0.0.1:80")) << All(faults);
-  // What only the node's own reader knows.
-  json = Json::parse(Shipped());
+  const auto faults = ParseErrors(json.dump());
+  EXPECT_TRUE(HasError(faults, "/supervisor/drain_within_ms", "wanted at least 4200")) << JoinErrors(faults);
+  EXPECT_TRUE(HasError(faults, "/supervisor/backoff_most_ms", "backoff_first_ms")) << JoinErrors(faults);
+  EXPECT_TRUE(HasError(faults, "/node/pool/1", "twice")) << JoinErrors(faults);
+  EXPECT_TRUE(HasError(faults, "/node/listen", "999.0.0.1:80")) << JoinErrors(faults);
+  // Errors that only the node's own parser detects are reported too.
+  json = Json::parse(ReadShippedConfig());
   json["node"]["settings"]["requestClasses"][1]["hardLimitMs"] = 0;
-  EXPECT_TRUE(Tells(Faults(json.dump()), "/node", "hardLimitMs"));
+  EXPECT_TRUE(HasError(ParseErrors(json.dump()), "/node", "hardLimitMs"));
 }
 
-TEST(ApplianceConfig, WhatIsNoJsonIsToldWithItsLine) {
-  std::string text = Shipped();
+TEST(ApplianceConfig, ReportsLineOfInvalidJson) {
+  std::string text = ReadShippedConfig();
   text.insert(text.find("\"listen\""), "oops ");
-  const auto faults = Faults(text);
+  const auto faults = ParseErrors(text);
   ASSERT_EQ(faults.size(), 1u);
   EXPECT_TRUE(faults[0].starts_with("line 5: invalid JSON")) << faults[0];
-  EXPECT_EQ(Faults("").size(), 1u);
-  EXPECT_EQ(Faults("[]").size(), 1u);
-  EXPECT_TRUE(Faults("// a remark\n" + Shipped()).empty());
+  EXPECT_EQ(ParseErrors("").size(), 1u);
+  EXPECT_EQ(ParseErrors("[]").size(), 1u);
+  EXPECT_TRUE(ParseErrors("// a remark\n" + ReadShippedConfig()).empty());
 }
 
-// Cut short anywhere, it is never taken.
-TEST(ApplianceConfig, HalfAFileIsNoFile) {
-  const std::string text = Shipped();
+// A file that is truncated at any position is rejected.
+TEST(ApplianceConfig, RejectsTruncatedFile) {
+  const std::string text = ReadShippedConfig();
   for (std::size_t size = 0; size + 2 < text.size(); size += 7) {
-    EXPECT_FALSE(Faults(text.substr(0, size)).empty()) << size;
+    EXPECT_FALSE(ParseErrors(text.substr(0, size)).empty()) << size;
   }
 }
 
-TEST(Schema, PointersNameMembersWithOddNames) {
+TEST(Schema, PointersEscapeSlashesAndTildes) {
   const hingelink::schema::Schema schema(
       R"({"type":"object","properties":{"a/b":{"type":"object","properties":{"c~d":{"type":"array",
           "items":{"type":"integer"}}}}}})");
--- a/tests/appliance/rig.h
+++ b/tests/appliance/rig.h
@@ -1,4 +1,5 @@
-// An appliance as its operator has it, with stand-ins round it: for tests that kill parts of it.
+// An appliance with its supervisor and node as separate processes, and stand-ins for the gateways, the worker
+// pool and the registry. For tests that kill some of the processes.
 #ifndef HINGELINK_TESTS_APPLIANCE_RIG_H_
 #define HINGELINK_TESTS_APPLIANCE_RIG_H_
 
@@ -34,20 +35,20 @@
 using nlohmann::json;
 namespace standin = hingelink::standin;
 
-// Long enough for a slow machine under sanitizers; nothing but a failure waits for so long.
-constexpr auto kPatience = 40s;
+// Long enough for a slow machine under sanitizers. Only a failing test waits for this long.
+constexpr auto kAwaitTimeout = 40s;
 
-// Looks again and again until it holds. False where it never does.
-inline bool Await(const std::function<bool()>& holds) {
-  const auto until = std::chrono::steady_clock::now() + kPatience;
-  while (!holds()) {
+// Polls the condition. Returns false if it does not hold within kAwaitTimeout.
+inline bool Await(const std::function<bool()>& condition) {
+  const auto until = std::chrono::steady_clock::now() + kAwaitTimeout;
+  while (!condition()) {
     if (std::chrono::steady_clock::now() > until) return false;
     std::this_thread::sleep_for(5ms);
   }
   return true;
 }
 
-// All processes of this machine whose command line holds all of these words.
+// Returns the live processes of this machine whose command line contains all of these words.
 inline std::vector<pid_t> ProcessesWith(const std::vector<std::string>& words) {
   std::vector<pid_t> found;
   for (const auto& entry : std::filesystem::directory_iterator("/proc")) {
@@ -101,7 +102,7 @@
   std::string config_path() const { return folder() + "/appliance.json"; }
   void WriteConfig() const { std::ofstream(config_path()) << config.dump(2); }
 
-  // Starts a supervisor. `die_at`: it is killed before its action of this number; 0: never.
+  // Starts a supervisor that is killed before its action number `die_at`; 0 means never.
   void StartSupervisor(bool resume, int die_at = 0) {
     std::vector<std::string> args = {folder(), config_path(), HINGELINK_PROGRAM, resume ? "resume" : "up",
                                      std::to_string(die_at)};
@@ -117,7 +118,7 @@
     waitpid(supervisor_, nullptr, 0);
     supervisor_ = -1;
   }
-  // Nothing where no supervisor answers.
+  // Returns nothing if no supervisor responds.
   std::optional<json> Status() const {
     try {
       return hingelink::control::Client(folder() + "/supervisor.sock").Call("status");
@@ -125,8 +126,9 @@
       return std::nullopt;
     }
   }
-  // What it says, or its code for no; empty where nobody answers.
-  std::string Say(const std::string& op) const {
+  // Sends an operator's request to the supervisor. Returns "done", "already" or the error code; empty if no
+  // supervisor responds.
+  std::string SendCommand(const std::string& op) const {
     try {
       const json result = hingelink::control::Client(folder() + "/supervisor.sock").Call(op);
       return result.value("already", false) ? "already" : "done";
@@ -136,10 +138,10 @@
       return {};
     }
   }
-  bool AwaitStatus(const std::function<bool(const json&)>& holds) const {
+  bool AwaitStatus(const std::function<bool(const json&)>& condition) const {
     return Await([&] {
-      const auto seen = Status();
-      return seen && holds(*seen);
+      const auto status = Status();
+      return status && condition(*status);
     });
   }
   bool AwaitReady() const {
@@ -149,10 +151,10 @@
   bool AwaitPhase(const std::string& phase) const {
     return AwaitStatus([&](const json& s) { return s.value("phase", "") == phase; });
   }
-  // The node's process.
+  // Returns the pid of the current node, or 0 if there is none.
   pid_t NodePid() const {
-    const auto seen = Status();
-    return seen && (*seen)["current"].is_object() ? (*seen)["current"].value("pid", 0) : 0;
+    const auto status = Status();
+    return status && (*status)["current"].is_object() ? (*status)["current"].value("pid", 0) : 0;
   }
   std::vector<pid_t> Nodes() const { return ProcessesWith({folder(), "serve", "--generation"}); }
   std::string LogOf(const std::string& name) const {
@@ -162,7 +164,7 @@
     return text.str();
   }
 
-  // Gateways at this share of capacity, until StopLoad().
+  // Starts gateways that send this share of the node's capacity, until StopLoad().
   void StartLoad(double share, int retries = 0) {
     host.Do([&] {
       standin::GatewaysOptions options;
--- a/tests/appliance/test_supervisor.cpp
+++ b/tests/appliance/test_supervisor.cpp
@@ -1,4 +1,4 @@
-// A supervisor that a test can let die before any of its actions. Arguments: folder, configuration, the
+// A supervisor that kills itself before a given action. Arguments: state directory, configuration file, the
 // node's program, `up` or `resume`, and the number of the action (0: none).
 #include <unistd.h>
 
--- a/tests/console/console_test.cpp
+++ b/tests/console/console_test.cpp
@@ -126,7 +126,7 @@
   ASSERT_TRUE(Await([&] { return rig.Account().Sum().served > 10; }));
   EXPECT_EQ(rig.NodePid(), node);
   EXPECT_EQ(rig.LogOf("node-1.log").find("reload"), std::string::npos);
-  EXPECT_EQ(rig.Say("down"), "done");
+  EXPECT_EQ(rig.SendCommand("down"), "done");
   EXPECT_TRUE(Await([&] { return rig::ProcessesWith({rig.folder(), "supervise"}).empty(); }));
 }
 
@@ -174,7 +174,7 @@
   EXPECT_TRUE(all[7]->AwaitText("DRAINING")) << all[7]->Screen();
   EXPECT_TRUE(rig.AwaitPhase("drained"));
   EXPECT_TRUE(all[7]->AwaitText("nobody answers")) << all[7]->Screen();
-  EXPECT_EQ(rig.Say("up"), "done");
+  EXPECT_EQ(rig.SendCommand("up"), "done");
   EXPECT_TRUE(all[7]->AwaitText("SERVING")) << all[7]->Screen();
 }
 
@@ -182,7 +182,7 @@
   Served rig;
   PseudoTerminal t(HINGELINK_PROGRAM, rig.Args(), 24, 80);
   ASSERT_TRUE(t.AwaitText("start 1")) << t.Screen();
-  EXPECT_EQ(rig.Say("upgrade"), "done");
+  EXPECT_EQ(rig.SendCommand("upgrade"), "done");
   EXPECT_TRUE(t.AwaitText("start 2")) << t.Screen();
   EXPECT_TRUE(t.AwaitText("SERVING")) << t.Screen();
 }
--- a/tests/control/control_test.cpp
+++ b/tests/control/control_test.cpp
@@ -1,4 +1,4 @@
-// The control socket against clients that mean well and clients that do not.
+// Tests of the control socket with well-behaved, faulty and malicious clients.
 #include <gtest/gtest.h>
 #include <sys/socket.h>
 #include <sys/stat.h>
@@ -28,10 +28,10 @@
 using hingelink::control::UnreachableError;
 using nlohmann::json;
 
-// A server on a loop of its own, whose snapshots are numbered.
-class Served {
+// A server on its own event loop whose snapshots carry a sequence number.
+class ServerFixture {
  public:
-  explicit Served(uid_t owner = geteuid(), std::size_t snapshot_bytes = 100) {
+  explicit ServerFixture(uid_t owner = geteuid(), std::size_t snapshot_bytes = 100) {
     path = folder_.path() + "/c.sock";
     host.Do([&] {
       server.emplace(
@@ -47,7 +47,7 @@
               {"drain", [](const json&) -> Json { throw RequestError("no", "not now"); }}});
     });
   }
-  ~Served() {
+  ~ServerFixture() {
     host.Do([this] { server.reset(); });
   }
   std::size_t clients() {
@@ -70,10 +70,10 @@
   hingelink::cli::TemporaryFolder folder_;
 };
 
-// A connection that says what it likes.
-class Raw {
+// A raw connection, for sending invalid requests.
+class RawConnection {
  public:
-  explicit Raw(const std::string& path) : fd_(socket(AF_UNIX, SOCK_STREAM, 0)) {
+  explicit RawConnection(const std::string& path) : fd_(socket(AF_UNIX, SOCK_STREAM, 0)) {
     sockaddr_un at{};
     at.sun_family = AF_UNIX;
     path.copy(at.sun_path, sizeof at.sun_path - 1);
@@ -81,10 +81,10 @@
     const timeval patience{20, 0};
     setsockopt(fd_, SOL_SOCKET, SO_RCVTIMEO, &patience, sizeof patience);
   }
-  ~Raw() { close(fd_); }
+  ~RawConnection() { close(fd_); }
   void Write(const std::string& text) const { (void)!send(fd_, text.data(), text.size(), MSG_NOSIGNAL); }
-  // All that comes until the other side closes.
-  std::string Rest() const {
+  // Returns all bytes received until the server closes the connection.
+  std::string ReadUntilClosed() const {
     std::string all;
     char bytes[4096];
     for (ssize_t got; (got = recv(fd_, bytes, sizeof bytes, 0)) > 0;)
@@ -97,9 +97,9 @@
   int fd_;
 };
 
-TEST(Control, AnswersAndSaysNoWithACode) {
-  Served served;
-  Client client(served.path);
+TEST(Control, ReturnsResultsAndErrorCodes) {
+  ServerFixture fixture;
+  Client client(fixture.path);
   EXPECT_EQ(client.Call("version")["version"], "t");
   EXPECT_EQ(client.Call("status")["number"], 1);
   try {
@@ -114,12 +114,12 @@
   } catch (const RequestError& error) {
     EXPECT_EQ(error.code(), "not-here");
   }
-  // The connection has borne it all.
+  // The connection is still usable after the errors.
   EXPECT_EQ(client.Call("version")["version"], "t");
 }
 
-TEST(Control, WhatIsNoRequestIsToldSoAndTheConnectionStays) {
-  Served served;
+TEST(Control, InvalidRequestGetsErrorAndConnectionStaysOpen) {
+  ServerFixture fixture;
   const std::pair<const char*, const char*> faults[] = {
       {"nonsense\n", "bad-json"},
       {"[]\n", "bad-request"},
@@ -133,69 +133,72 @@
       {"{\"v\":1,\"id\":1,\"op\":\"status\"\xff}\n", "bad-json"},
   };
   for (const auto& [line, code] : faults) {
-    Raw raw(served.path);
+    RawConnection raw(fixture.path);
     raw.Write(line);
     raw.Write("{\"v\":1,\"id\":7,\"op\":\"version\"}\n");
-    raw.Write(std::string(5000, 'x'));  // Ends the connection, behind both answers.
-    const std::string got = raw.Rest();
+    raw.Write(std::string(5000, 'x'));  // Makes the server close the connection after both responses.
+    const std::string got = raw.ReadUntilClosed();
     EXPECT_NE(got.find(code), std::string::npos) << line << got;
     EXPECT_NE(got.find("\"id\":7,\"ok\":true"), std::string::npos) << line << got;
   }
 }
 
-TEST(Control, ALineWithoutEndIsBoundedAndEnded) {
-  Served served;
-  Raw raw(served.path);
+TEST(Control, OverlongLineClosesConnection) {
+  ServerFixture fixture;
+  RawConnection raw(fixture.path);
   for (int i = 0; i < 300; ++i) raw.Write(std::string(1000, 'x'));
-  EXPECT_NE(raw.Rest().find("line-too-long"), std::string::npos);
-  EXPECT_EQ(Client(served.path).Call("version")["version"], "t");
+  EXPECT_NE(raw.ReadUntilClosed().find("line-too-long"), std::string::npos);
+  EXPECT_EQ(Client(fixture.path).Call("version")["version"], "t");
 }
 
-TEST(Control, AHalfLineIsGivenUp) {
-  Served served;
-  Raw raw(served.path);
+TEST(Control, IncompleteLineClosesConnectionAfterTimeout) {
+  ServerFixture fixture;
+  RawConnection raw(fixture.path);
   raw.Write("{\"v\":1,");
-  EXPECT_EQ(raw.Rest(), "");  // Within kClientTimeout, by the server.
-  EXPECT_EQ(served.clients(), 0u);
+  EXPECT_EQ(raw.ReadUntilClosed(), "");  // The server closes the connection after kClientTimeout.
+  EXPECT_EQ(fixture.clients(), 0u);
 }
 
 TEST(Control, OnlyTheOwnerMayConnect) {
-  Served served;
+  ServerFixture fixture;
   struct stat seen {};
-  ASSERT_EQ(stat(served.path.c_str(), &seen), 0);
+  ASSERT_EQ(stat(fixture.path.c_str(), &seen), 0);
   EXPECT_EQ(seen.st_mode & 0777, 0600u);
-  // Behind the mode stands the uid itself: this server is another's.
-  Served others(geteuid() + 1);
-  Raw raw(others.path);
+  // The uid is checked in addition to the mode: this server accepts only another user.
+  ServerFixture other_user(geteuid() + 1);
+  RawConnection raw(other_user.path);
   raw.Write("{\"v\":1,\"id\":1,\"op\":\"version\"}\n");
-  EXPECT_EQ(raw.Rest(), "");
-  EXPECT_EQ(others.clients(), 0u);
+  EXPECT_EQ(raw.ReadUntilClosed(), "");
+  EXPECT_EQ(other_user.clients(), 0u);
 }
 
-// A client that asks for ever and never reads: it is held to one answer, is ended, and delays nobody.
-TEST(Control, AClientThatNeverReadsIsEnded) {
-  Served served(geteuid(), 100'000);
-  Raw raw(served.path);
+// Guards against a client that sends requests without reading the responses: the server buffers at most one
+// response, closes the client after a timeout and keeps serving other clients.
+TEST(Control, ClientThatDoesNotReadIsClosedAndDelaysNoOtherClient) {
+  ServerFixture fixture(geteuid(), 100'000);
+  RawConnection raw(fixture.path);
   std::string many;
   for (int i = 0; i < 40; ++i) many += "{\"v\":1,\"id\":1,\"op\":\"status\"}\n";
   raw.Write(many);
   const auto began = std::chrono::steady_clock::now();
-  EXPECT_EQ(Client(served.path).Call("version")["version"], "t");
+  EXPECT_EQ(Client(fixture.path).Call("version")["version"], "t");
   EXPECT_LT(std::chrono::steady_clock::now() - began, 2s);
   const std::clock_t cpu = std::clock();
-  while (served.clients() > 0) std::this_thread::sleep_for(10ms);
-  // It waits without spinning: libevent calls for a full buffer without end unless it is told not to.
+  while (fixture.clients() > 0) std::this_thread::sleep_for(10ms);
+  // The server must not spin meanwhile: libevent calls back continuously for a full input buffer unless
+  // reading is disabled.
   EXPECT_LT(static_cast<double>(std::clock() - cpu) / CLOCKS_PER_SEC, 2.0);
 }
 
-// Snapshots for a watcher that stands still are left out, not kept; when it reads again it gets the newest.
-TEST(Control, AWatcherThatStandsStillGetsTheNewestAndNoBacklog) {
-  Served served(geteuid(), 10'000);
-  Client client(served.path);
+// Guards against a backlog: snapshots for a watcher that does not read are skipped, not queued. When the
+// watcher reads again, it gets the newest snapshot.
+TEST(Control, WatcherThatPausesReadingGetsNewestSnapshotAndNoBacklog) {
+  ServerFixture fixture(geteuid(), 10'000);
+  Client client(fixture.path);
   client.SendRequest("watch", {{"every_ms", 100}});
-  while (served.skipped_snapshots() < 5) std::this_thread::sleep_for(10ms);
-  // At most what lay in the socket when it stood still, and then the newest.
-  const int made = served.snapshots;
+  while (fixture.skipped_snapshots() < 5) std::this_thread::sleep_for(10ms);
+  // The watcher reads at most what the socket held before the pause, then the newest snapshot.
+  const int made = fixture.snapshots;
   auto first = client.ReadResult(5s);
   ASSERT_TRUE(first);
   EXPECT_EQ((*first)["number"], 1);
@@ -209,44 +212,45 @@
   EXPECT_LE(read, 3);
 }
 
-TEST(Control, WatchersAreBoundedAndClientsMakeRoom) {
-  Served served;
+TEST(Control, WatchersAreLimitedAndNewClientsEvictIdleOnes) {
+  ServerFixture fixture;
   std::vector<Client> watchers;
   for (std::size_t i = 0; i < hingelink::control::kMaxWatchers; ++i) {
-    watchers.emplace_back(served.path);
+    watchers.emplace_back(fixture.path);
     watchers.back().Call("watch");
   }
-  Client ninth(served.path);
+  Client ninth(fixture.path);
   EXPECT_THROW(ninth.Call("watch"), RequestError);
-  std::vector<std::unique_ptr<Raw>> raws;
-  for (int i = 0; i < 30; ++i) raws.push_back(std::make_unique<Raw>(served.path));
-  EXPECT_EQ(Client(served.path).Call("version")["version"], "t");
-  EXPECT_LE(served.clients(), hingelink::control::kMaxClients);
-  // No watcher had to go.
+  std::vector<std::unique_ptr<RawConnection>> raws;
+  for (int i = 0; i < 30; ++i) raws.push_back(std::make_unique<RawConnection>(fixture.path));
+  EXPECT_EQ(Client(fixture.path).Call("version")["version"], "t");
+  EXPECT_LE(fixture.clients(), hingelink::control::kMaxClients);
+  // No watcher was closed.
   for (Client& watcher : watchers) EXPECT_TRUE(watcher.ReadResult(5s));
 }
 
-// However many ask however often: so many a second over all, and the loop's own work goes on.
-TEST(Control, RequestsAreBoundedOverAllClients) {
-  Served served;
+// Guards against clients that together take too much time from the loop: the rate is limited over all
+// clients.
+TEST(Control, RequestRateIsLimitedOverAllClients) {
+  ServerFixture fixture;
   const auto began = std::chrono::steady_clock::now();
   std::vector<std::thread> threads;
   for (int i = 0; i < 4; ++i) {
     threads.emplace_back([&] {
-      Client client(served.path);
+      Client client(fixture.path);
       for (int n = 0; n < 40; ++n) client.Call("version");
     });
   }
   for (auto& t : threads) t.join();
-  // 160 requests at 8 for each 10 ms: the first 8 at once, the last not before the 20th turn.
+  // 160 requests at 8 per 10 ms: the first 8 are served at once, the last ones not before the 20th interval.
   EXPECT_GE(std::chrono::steady_clock::now() - began, 19 * hingelink::control::kRateLimitInterval);
 }
 
-TEST(Control, ASocketLeftBehindIsReplacedAndOneThatAnswersIsNot) {
-  Served served;
+TEST(Control, StaleSocketIsReplacedAndLiveSocketIsNot) {
+  ServerFixture fixture;
   hingelink::standin::Host host;
   host.Do([&] {
-    EXPECT_THROW(Server(host.base(), {.path = served.path}, [] { return Json{}; }, {}), std::runtime_error);
+    EXPECT_THROW(Server(host.base(), {.path = fixture.path}, [] { return Json{}; }, {}), std::runtime_error);
   });
   hingelink::cli::TemporaryFolder folder;
   const std::string path = folder.path() + "/left.sock";
@@ -272,7 +276,7 @@
   });
 }
 
-TEST(Control, ASnapshotKeepsItsSchemaWhateverItsNamesHold) {
+TEST(Control, SnapshotMatchesSchemaWithControlCharactersInNames) {
   hingelink::node::Snapshot seen;
   seen.name = "n";
   seen.classes = {{"a\x1b[2J\nb\xff", 1, 2, 3, 4, 5}, {"ü", 10, 20, 30, 40, 50}};
@@ -285,7 +289,7 @@
   EXPECT_EQ(made["classes"][0]["name"], "a\\x1b[2J\\x0ab\\xff");
   EXPECT_EQ(made["totals"]["held"], 11);
   EXPECT_EQ(made["totals"]["failed"], 55);
-  // And the schema is one that can be failed.
+  // The schema rejects an invalid snapshot.
   json wrong = made;
   wrong["totals"].erase("held");
   wrong["classes"][0]["held"] = -1;
