--- a/src/appliance/supervisor.cpp
+++ b/src/appliance/supervisor.cpp
@@ -45,12 +45,12 @@
   return std::visit(
       [](const auto& a) {
         using A = std::decay_t<decltype(a)>;
-        if constexpr (std::is_same_v<A, decide::PersistState>) return "save-state";
-        if constexpr (std::is_same_v<A, decide::SpawnProcess>) return "spawn";
+        if constexpr (std::is_same_v<A, decide::PersistState>) return "save";
+        if constexpr (std::is_same_v<A, decide::SpawnProcess>) return "start";
         if constexpr (std::is_same_v<A, decide::ReleaseProcess>) return "release";
-        if constexpr (std::is_same_v<A, decide::RequestDrain>) return "request-drain";
+        if constexpr (std::is_same_v<A, decide::RequestDrain>) return "tell-leave";
         if constexpr (std::is_same_v<A, decide::KillProcess>) return "kill";
-        if constexpr (std::is_same_v<A, decide::RedirectControlSocket>) return "redirect-control-socket";
+        if constexpr (std::is_same_v<A, decide::RedirectControlSocket>) return "point";
         if constexpr (std::is_same_v<A, decide::ExitSupervisor>) return "exit";
         return "";
       },
--- a/src/control/server.cpp
+++ b/src/control/server.cpp
@@ -40,7 +40,7 @@
       : server_(server),
         id_(id),
         bev_(bufferevent_socket_new(server.base_, fd.release(), BEV_OPT_CLOSE_ON_FREE)),
-        timeout_(server.base_, [this] { server_.CloseClient(*this, "timeout"); }) {
+        timeout_(server.base_, [this] { server_.CloseClient(*this, "slow"); }) {
     if (!bev_) throw std::runtime_error("libevent: no bufferevent");
     bufferevent_setcb(
         bev_.get(), [](bufferevent*, void* self) { static_cast<Client*>(self)->OnReadable(); },
--- a/tests/appliance/appliance_test.cpp
+++ b/tests/appliance/appliance_test.cpp
@@ -43,8 +43,8 @@
   rig.StartSupervisor(false, GetParam());
   ASSERT_TRUE(Await([&] {
     restart_supervisor_if_dead();
-    const auto seen = rig.Status();
-    return seen && (*seen)["current"].is_object() && (*seen)["current"].value("ready", false);
+    const auto status = rig.Status();
+    return status && (*status)["current"].is_object() && (*status)["current"].value("ready", false);
   })) << rig.LogOf("supervisor.log");
   EXPECT_EQ(rig.Nodes().size(), 1u);
   const std::int64_t first = Generation(*rig.Status());
@@ -52,11 +52,11 @@
   ASSERT_TRUE(Await([&] { return rig.Account().Sum().served > 5; }));
   ASSERT_TRUE(Await([&] {
     restart_supervisor_if_dead();
-    const auto seen = rig.Status();
-    if (!seen) return false;
-    if (Generation(*seen) > first && (*seen)["predecessor"].is_null())
-      return (*seen)["current"].value("ready", false);
-    if (Generation(*seen) == first && (*seen)["successor"].is_null()) rig.SendCommand("upgrade");
+    const auto status = rig.Status();
+    if (!status) return false;
+    if (Generation(*status) > first && (*status)["predecessor"].is_null())
+      return (*status)["current"].value("ready", false);
+    if (Generation(*status) == first && (*status)["successor"].is_null()) rig.SendCommand("upgrade");
     return false;
   })) << rig.LogOf("supervisor.log");
   EXPECT_EQ(rig.Nodes().size(), 1u);
@@ -64,10 +64,10 @@
   ASSERT_TRUE(Await([&] { return rig.Account().Sum().served > served + 5; }));
   ASSERT_TRUE(Await([&] {
     restart_supervisor_if_dead();
-    const auto seen = rig.Status();
-    if (!seen) return false;
-    if (seen->value("phase", "") == "drained") return true;
-    if (seen->value("phase", "") != "draining") rig.SendCommand("drain");
+    const auto status = rig.Status();
+    if (!status) return false;
+    if (status->value("phase", "") == "drained") return true;
+    if (status->value("phase", "") != "draining") rig.SendCommand("drain");
     return false;
   })) << rig.LogOf("supervisor.log");
   EXPECT_TRUE(Await([&] { return rig.Nodes().empty(); }));
--- a/tests/control/control_test.cpp
+++ b/tests/control/control_test.cpp
@@ -78,8 +78,8 @@
     at.sun_family = AF_UNIX;
     path.copy(at.sun_path, sizeof at.sun_path - 1);
     connected = connect(fd_, reinterpret_cast<sockaddr*>(&at), sizeof at) == 0;
-    const timeval patience{20, 0};
-    setsockopt(fd_, SOL_SOCKET, SO_RCVTIMEO, &patience, sizeof patience);
+    const timeval receive_timeout{20, 0};
+    setsockopt(fd_, SOL_SOCKET, SO_RCVTIMEO, &receive_timeout, sizeof receive_timeout);
   }
   ~RawConnection() { close(fd_); }
   void Write(const std::string& text) const { (void)!send(fd_, text.data(), text.size(), MSG_NOSIGNAL); }
@@ -161,9 +161,9 @@
 
 TEST(Control, OnlyTheOwnerMayConnect) {
   ServerFixture fixture;
-  struct stat seen {};
-  ASSERT_EQ(stat(fixture.path.c_str(), &seen), 0);
-  EXPECT_EQ(seen.st_mode & 0777, 0600u);
+  struct stat socket_stat {};
+  ASSERT_EQ(stat(fixture.path.c_str(), &socket_stat), 0);
+  EXPECT_EQ(socket_stat.st_mode & 0777, 0600u);
   // The uid is checked in addition to the mode: this server accepts only another user.
   ServerFixture other_user(geteuid() + 1);
   RawConnection raw(other_user.path);
@@ -277,13 +277,13 @@
 }
 
 TEST(Control, SnapshotMatchesSchemaWithControlCharactersInNames) {
-  hingelink::node::Snapshot seen;
-  seen.name = "n";
-  seen.classes = {{"a\x1b[2J\nb\xff", 1, 2, 3, 4, 5}, {"ü", 10, 20, 30, 40, 50}};
-  seen.gateways = {{7, 1, 2, 3, 4, 5}};
-  seen.drain = hingelink::node::DrainSnapshot{std::chrono::milliseconds(1200), 3};
-  seen.pool_cpu_busy = 0.5;
-  const json made = json::parse(hingelink::control::SnapshotJson(seen, {"1", 5, 2}).dump());
+  hingelink::node::Snapshot snapshot;
+  snapshot.name = "n";
+  snapshot.classes = {{"a\x1b[2J\nb\xff", 1, 2, 3, 4, 5}, {"ü", 10, 20, 30, 40, 50}};
+  snapshot.gateways = {{7, 1, 2, 3, 4, 5}};
+  snapshot.drain = hingelink::node::DrainSnapshot{std::chrono::milliseconds(1200), 3};
+  snapshot.pool_cpu_busy = 0.5;
+  const json made = json::parse(hingelink::control::SnapshotJson(snapshot, {"1", 5, 2}).dump());
   const auto faults = hingelink::schema::Schema(hingelink::schema::ControlSnapshotSchema()).Check(made);
   EXPECT_TRUE(faults.empty()) << faults.front().Text();
   EXPECT_EQ(made["classes"][0]["name"], "a\\x1b[2J\\x0ab\\xff");
