--- a/src/node/metrics.cpp
+++ b/src/node/metrics.cpp
@@ -10,7 +10,7 @@
 
 using prometheus::MetricType;
 
-// Removed classes whose counts are still reported.
+// Limit of removed classes whose counts are still reported.
 constexpr std::size_t kMaxRemovedClasses = 64;
 
 void AddClasses(const std::vector<ClassCounts>& classes, MetricFamilies& families) {
