--- a/tests/node/admin_integration_test.cpp
+++ b/tests/node/admin_integration_test.cpp
@@ -46,7 +46,8 @@
   ASSERT_TRUE(node.Get("/ops/readiness").starts_with("HTTP/1.1 503 "));
 }
 
-// The metrics contain each class and outcome, including those with count 0.
+// Each outcome is counted when its answer is written. The metrics contain each class and outcome from the
+// start, with count 0.
 TEST_P(NodeAdminServerTest, CountsEachOutcomeOnce) {
   RunningNode node(Options());
   Gateway gateway(node.port());
--- a/tests/node/config_test.cpp
+++ b/tests/node/config_test.cpp
@@ -19,7 +19,7 @@
 
 using Json = nlohmann::json;
 
-Json Good() {
+Json ValidConfig() {
   return Json::parse(
       R"({"name":"n3","listen":"127.0.0.1:0","pool":"127.0.0.1:9300","registry":"127.0.0.1:8761",
     "seed":"8c1f30d27a5be964","stop_ms":3200,"limits":{"cores":1.0,"memory_mb":64,"sockets":512},
@@ -32,24 +32,24 @@
 }
 
 // Returns the error message for a configuration, or an empty text if it is valid.
-std::string FaultOf(const Json& json) {
+std::string ErrorMessageOf(const Json& json) {
   try {
     ParseConfig(json.dump());
     return {};
-  } catch (const ConfigError& fault) {
-    return fault.what();
+  } catch (const ConfigError& error) {
+    return error.what();
   }
 }
 
-std::string Dotted(const std::string& pointer) {
+std::string PointerToPath(const std::string& pointer) {
   std::string path = pointer.substr(1);
   for (char& c : path) c = c == '/' ? '.' : c;
   return path;
 }
 
 TEST(ConfigTest, ParsesAValidFile) {
-  EXPECT_EQ(FaultOf(Good()), "");
-  const Config config = ParseConfig(Good().dump());
+  EXPECT_EQ(ErrorMessageOf(ValidConfig()), "");
+  const Config config = ParseConfig(ValidConfig().dump());
   ASSERT_EQ(config.settings.classes.size(), 2u);
   EXPECT_EQ(config.settings.classes[1].name, "write");
   EXPECT_EQ(config.settings.classes[1].idempotency_window_ms, 2000);
@@ -61,19 +61,19 @@
        {"/name", "/listen", "/pool", "/registry", "/seed", "/stop_ms", "/limits", "/limits/sockets",
         "/settings", "/settings/requestClasses", "/settings/requestClasses/0/name",
         "/settings/requestClasses/1/hardLimitMs", "/settings/tenants/0/name"}) {
-    Json json = Good();
+    Json json = ValidConfig();
     const Json::json_pointer at(pointer);
     json.at(at.parent_pointer()).erase(at.back());
-    EXPECT_EQ(FaultOf(json).find(Dotted(pointer) + " is missing; it must be a"), 0u)
-        << pointer << ": " << FaultOf(json);
+    EXPECT_EQ(ErrorMessageOf(json).find(PointerToPath(pointer) + " is missing; it must be a"), 0u)
+        << pointer << ": " << ErrorMessageOf(json);
   }
   for (const char* pointer : {"/quantumMs", "/rules/fallMultiple", "/specifics/cpus", "/specifics/memoryKb",
                               "/specifics/runFactor"}) {
-    Json json = Good();
+    Json json = ValidConfig();
     const Json::json_pointer at("/settings" + std::string(pointer));
     json.at(at.parent_pointer()).erase(at.back());
-    EXPECT_EQ(FaultOf(json).find("settings lack " + Dotted(pointer) + ", which must be a"), 0u)
-        << FaultOf(json);
+    EXPECT_EQ(ErrorMessageOf(json).find("settings lack " + PointerToPath(pointer) + ", which must be a"), 0u)
+        << ErrorMessageOf(json);
   }
 }
 
@@ -122,63 +122,64 @@
       {"/settings/specifics/runFactor", 0.1, "settings.specifics.runFactor is 0.1; it must be at least 1"},
   };
   for (const auto& wrong : kCases) {
-    Json json = Good();
+    Json json = ValidConfig();
     json.at(Json::json_pointer(wrong.pointer)) = wrong.value;
-    EXPECT_EQ(FaultOf(json).find(wrong.wanted), 0u) << wrong.wanted << "\n  but: " << FaultOf(json);
+    EXPECT_EQ(ErrorMessageOf(json).find(wrong.wanted), 0u)
+        << wrong.wanted << "\n  but: " << ErrorMessageOf(json);
   }
-  Json calls = Good();
+  Json calls = ValidConfig();
   calls["settings"]["specifics"]["classCalls"] = {true};
-  EXPECT_EQ(FaultOf(calls), "settings specifics.classCalls has 1 values for 2 classes");
+  EXPECT_EQ(ErrorMessageOf(calls), "settings specifics.classCalls has 1 values for 2 classes");
 }
 
 TEST(ConfigTest, ErrorNamesTheFile) {
   const cli::TemporaryFolder folder;
   const std::string path = folder.path() + "/node.json";
-  const auto fault_of_file = [&path] {
+  const auto file_error = [&path] {
     try {
       ReadConfig(path);
       return std::string();
-    } catch (const ConfigError& fault) {
-      return std::string(fault.what());
+    } catch (const ConfigError& error) {
+      return std::string(error.what());
     }
   };
-  EXPECT_EQ(fault_of_file(), "configuration '" + path + "' cannot be read: No such file or directory");
-  std::ofstream(path) << Good().dump().substr(0, 100);
-  EXPECT_EQ(fault_of_file(), "configuration '" + path +
-                                 "': the text is not JSON, or not an object; it must be one JSON object");
-  std::ofstream(path) << Good().dump();
-  EXPECT_EQ(fault_of_file(), "");
+  EXPECT_EQ(file_error(), "configuration '" + path + "' cannot be read: No such file or directory");
+  std::ofstream(path) << ValidConfig().dump().substr(0, 100);
+  EXPECT_EQ(file_error(), "configuration '" + path +
+                              "': the text is not JSON, or not an object; it must be one JSON object");
+  std::ofstream(path) << ValidConfig().dump();
+  EXPECT_EQ(file_error(), "");
 }
 
 // A reload rejects a configuration that lacks a key or has a value of another type, and names the key.
 TEST(ConfigTest, ReloadErrorNamesAKeyOfTheRunningConfigurationThatIsMissing) {
-  const auto reload_error = [](const Json& fresh) {
+  const auto reload_error = [](const Json& reloaded) {
     try {
-      ParseConfig(fresh.dump()).CheckAgainst(ParseConfig(Good().dump()));
+      ParseConfig(reloaded.dump()).CheckAgainst(ParseConfig(ValidConfig().dump()));
       return std::string();
-    } catch (const ConfigError& fault) {
-      return std::string(fault.what());
+    } catch (const ConfigError& error) {
+      return std::string(error.what());
     }
   };
-  EXPECT_EQ(reload_error(Good()), "");
-  Json without = Good();
-  without["settings"]["requestClasses"][0].erase("worth");
+  EXPECT_EQ(reload_error(ValidConfig()), "");
+  Json without_key = ValidConfig();
+  without_key["settings"]["requestClasses"][0].erase("worth");
   EXPECT_EQ(
-      reload_error(without),
+      reload_error(without_key),
       "settings.requestClasses.0.worth is missing; it must be a number, as in the running configuration");
-  Json other = Good();
-  other["limits"]["cores"] = "1";
-  EXPECT_EQ(reload_error(other),
+  Json wrong_type = ValidConfig();
+  wrong_type["limits"]["cores"] = "1";
+  EXPECT_EQ(reload_error(wrong_type),
             "limits.cores is \"1\"; it must be a number, as in the running configuration");
 }
 
 // Reads settings with one class, with many classes and tenants, and with other names, one after the other.
 TEST(ConfigTest, ParsedSettingsKeepNothingOfEarlierSettings) {
-  Json one = Good();
+  Json one = ValidConfig();
   one["settings"]["requestClasses"] =
       Json::array({{{"name", "only"}, {"hardLimitMs", 250.0}, {"repeat", "unsafe"}}});
   one["settings"]["tenants"] = Json::array();
-  Json many = Good();
+  Json many = ValidConfig();
   many["settings"]["requestClasses"] = Json::array();
   many["settings"]["tenants"] = Json::array();
   for (int i = 0; i < 300; ++i) {
@@ -205,7 +206,7 @@
 }
 
 TEST(ConfigError, NamesKeyValueAndAllowedValues) {
-  Json config = Good();
+  Json config = ValidConfig();
   config["limits"]["sockets"] = 63;
   try {
     ParseConfig(config.dump());
