--- a/src/appliance/config.cpp
+++ b/src/appliance/config.cpp
@@ -30,17 +30,17 @@
 // Appends an error for each address that cannot be parsed and each that occurs twice, as two processes cannot
 // share an address. `is_list` tells whether the setting is a list, whose index goes into the JSON pointer.
 void CheckAddresses(const std::vector<std::string>& list, const std::string& pointer, bool is_list,
-                    std::vector<std::string>& faults) {
+                    std::vector<std::string>& errors) {
   std::set<std::string> addresses;
   for (std::size_t i = 0; i < list.size(); ++i) {
     const std::string at = pointer + (is_list ? "/" + std::to_string(i) : "");
     try {
       net::ParseAddress(list[i]);
     } catch (const std::exception&) {
-      faults.push_back(at + ": found \"" + list[i] + "\"; wanted an address such as 127.0.0.1:9300");
+      errors.push_back(at + ": found \"" + list[i] + "\"; wanted an address such as 127.0.0.1:9300");
     }
     if (!addresses.insert(list[i]).second)
-      faults.push_back(at + ": found \"" + list[i] + "\" twice; name each once");
+      errors.push_back(at + ": found \"" + list[i] + "\" twice; name each once");
   }
 }
 
@@ -50,7 +50,7 @@
 constexpr double kKillMarginMs = 500;
 
 // Reads the `supervisor` object of the file, whose keys differ from the names of the options.
-void ReadSupervisorOptions(const Json& json, Config& config, std::vector<std::string>& faults) {
+void ReadSupervisorOptions(const Json& json, Config& config, std::vector<std::string>& errors) {
   decide::SupervisorOptions& options = config.supervisor;
   decide::CrashBackoffOptions& backoff = options.crash_backoff;
   const auto read_ms = [&json](const char* key, decide::SupervisorTime& field) {
@@ -73,18 +73,18 @@
         "/supervisor/drain_within_ms: found %.0f; wanted at least %.0f (/node/stop_ms, or 3700, and 500): "
         "the node needs that to answer what it has read",
         options.drain_timeout.count(), min_drain_ms);
-    faults.push_back(wanted);
+    errors.push_back(wanted);
   }
   if (backoff.max_backoff < backoff.initial_backoff) {
-    faults.push_back(
+    errors.push_back(
         "/supervisor/backoff_most_ms: found less than backoff_first_ms; wanted at least as much");
   }
 }
 
 }  // namespace
 
-ConfigError::ConfigError(std::vector<std::string> faults)
-    : std::runtime_error(JoinLines(faults)), faults_(std::move(faults)) {}
+ConfigError::ConfigError(std::vector<std::string> errors)
+    : std::runtime_error(JoinLines(errors)), faults_(std::move(errors)) {}
 
 std::string Config::NodeJson(std::uint64_t generation, std::uint64_t seed) const {
   Json json = node;
@@ -100,17 +100,17 @@
   Json json;
   try {
     json = Json::parse(text, nullptr, true, true);
-  } catch (const Json::parse_error& fault) {
-    const std::size_t byte = std::min(fault.byte, text.size());
+  } catch (const Json::parse_error& error) {
+    const std::size_t byte = std::min(error.byte, text.size());
     const auto line = 1 + std::count(text.begin(), text.begin() + static_cast<std::ptrdiff_t>(byte), '\n');
-    throw ConfigError({"line " + std::to_string(line) + ": invalid JSON (" + fault.what() + ")"});
+    throw ConfigError({"line " + std::to_string(line) + ": invalid JSON (" + error.what() + ")"});
   }
   static const schema::Schema appliance_schema(schema::ApplianceSchema());
-  std::vector<std::string> faults;
-  for (const schema::ValidationError& fault : appliance_schema.Check(nlohmann::json::parse(json.dump()))) {
-    faults.push_back(fault.Text());
+  std::vector<std::string> errors;
+  for (const schema::ValidationError& error : appliance_schema.Check(nlohmann::json::parse(json.dump()))) {
+    errors.push_back(error.Text());
   }
-  if (!faults.empty()) throw ConfigError(std::move(faults));
+  if (!errors.empty()) throw ConfigError(std::move(errors));
   Config config;
   config.node = json["node"];
   config.pool = ReadStringList(config.node["pool"]);
@@ -126,23 +126,23 @@
   config.log_level = log.value("level", config.log_level);
   config.log_bytes = log.value("rotate_bytes", config.log_bytes);
   config.log_keep = log.value("keep", config.log_keep);
-  ReadSupervisorOptions(json.value("supervisor", Json::object()), config, faults);
-  CheckAddresses(config.pool, "/node/pool", true, faults);
-  CheckAddresses(config.ops, "/node/ops", true, faults);
-  CheckAddresses({config.node["listen"].get<std::string>()}, "/node/listen", false, faults);
-  CheckAddresses({config.node["registry"].get<std::string>()}, "/node/registry", false, faults);
+  ReadSupervisorOptions(json.value("supervisor", Json::object()), config, errors);
+  CheckAddresses(config.pool, "/node/pool", true, errors);
+  CheckAddresses(config.ops, "/node/ops", true, errors);
+  CheckAddresses({config.node["listen"].get<std::string>()}, "/node/listen", false, errors);
+  CheckAddresses({config.node["registry"].get<std::string>()}, "/node/registry", false, errors);
   if (config.peers.is_object()) {
-    CheckAddresses({config.peers["listen"].get<std::string>()}, "/peers/listen", false, faults);
+    CheckAddresses({config.peers["listen"].get<std::string>()}, "/peers/listen", false, errors);
     if (config.peers.contains("advertise"))
-      CheckAddresses({config.peers["advertise"].get<std::string>()}, "/peers/advertise", false, faults);
-    CheckAddresses(ReadStringList(config.peers.value("seeds", Json::array())), "/peers/seeds", true, faults);
+      CheckAddresses({config.peers["advertise"].get<std::string>()}, "/peers/advertise", false, errors);
+    CheckAddresses(ReadStringList(config.peers.value("seeds", Json::array())), "/peers/seeds", true, errors);
   }
   try {
-    if (faults.empty()) node::ParseConfig(config.NodeJson(0, 1));
-  } catch (const std::exception& fault) {
-    faults.push_back(std::string("/node: ") + fault.what());
+    if (errors.empty()) node::ParseConfig(config.NodeJson(0, 1));
+  } catch (const std::exception& error) {
+    errors.push_back(std::string("/node: ") + error.what());
   }
-  if (!faults.empty()) throw ConfigError(std::move(faults));
+  if (!errors.empty()) throw ConfigError(std::move(errors));
   return config;
 }
 
@@ -158,8 +158,8 @@
     config.peers["keys"] = keys.string();
     try {
       net::ReadGossipKeys(keys);
-    } catch (const std::exception& fault) {
-      throw ConfigError({std::string("/peers/keys: ") + fault.what()});
+    } catch (const std::exception& error) {
+      throw ConfigError({std::string("/peers/keys: ") + error.what()});
     }
   }
   return config;
--- a/src/appliance/supervisor.h
+++ b/src/appliance/supervisor.h
@@ -11,7 +11,9 @@
 //   control.sock        symbolic link to the control socket of the serving node
 //   supervisor.sock     the supervisor's own control socket
 //   node-0.log, node-1.log   logs of the nodes of even and odd generations
-//   supervisor.log, node.err
+//   supervisor.log      log of the supervisor
+//   node.err            standard output and standard error of the nodes
+//   learned             learned state, kept for the next node
 //   run/                files that the processes of one node share for a handover
 #ifndef HINGELINK_APPLIANCE_SUPERVISOR_H_
 #define HINGELINK_APPLIANCE_SUPERVISOR_H_
--- a/src/control/server.h
+++ b/src/control/server.h
@@ -25,8 +25,8 @@
 namespace hingelink::control {
 
 // docs/limits.md lists these limits for operators.
-// A further connection closes the client with the oldest request that does not watch. If all clients watch,
-// the further connection is closed.
+
+// A further connection closes the client that has been idle for longest, except watchers.
 inline constexpr std::size_t kMaxClients = 16;
 inline constexpr std::size_t kMaxWatchers = 8;
 inline constexpr std::size_t kRequestsPerInterval = 8;  // Over all clients.
@@ -83,7 +83,7 @@
   std::map<std::string, Handler> handlers_;
   net::Descriptor listener_;
   net::EventPtr accept_;
-  net::Timer rate_limit_timer_;  // Runs while the budget of the current interval is in use.
+  net::Timer rate_limit_timer_;  // Ends an interval of the rate limit.
   net::Timer watch_timer_;       // Runs while there are watchers.
   net::Timer cleanup_timer_;     // Frees closed clients outside their own callbacks.
   net::Timer accept_retry_timer_;
