--- a/include/hingelink/server_policy.h
+++ b/include/hingelink/server_policy.h
@@ -99,7 +99,7 @@
   bool warming_up = false;
   // Lower bound of the speed while the server is warming up, as a fraction of the full speed.
   double warm_up_speed_fraction = 1;
-  // Duration of the warm-up.
+  // Time from the start of the policy until a server that is warming up counts as warmed up.
   double warm_up_ms = 0;
   // Executions per core that a warmed-up server can sustain without failing, averaged over
   // max_running_window_ms.
--- a/src/appliance/config.cpp
+++ b/src/appliance/config.cpp
@@ -44,7 +44,9 @@
   }
 }
 
-// Maximum time that a successor needs to take over. A drain must not be cut off earlier.
+// Maximum time from the drain request to the exit of a node that has handed over to a successor: the sum of
+// kMaxDeadlineConsidered and kExitDelayAfterLongestDeadline in node/node_drain.cpp. The supervisor must not
+// kill the node earlier.
 constexpr double kHandoverMs = 3700;
 // The node's own drain deadline must expire this long before the supervisor kills the node.
 constexpr double kKillMarginMs = 500;
--- a/src/appliance/config.h
+++ b/src/appliance/config.h
@@ -26,8 +26,8 @@
 struct Config {
   // The node's settings without `pool`, `ops` and `seed`, which differ between starts of the node.
   nlohmann::ordered_json node;
-  // Worker pool addresses. Generations alternate between them, since each of the two processes of an upgrade
-  // needs its own.
+  // Worker pool addresses. Successive node processes (generations) alternate between them, because during an
+  // upgrade two processes run at the same time, and each needs its own address.
   std::vector<std::string> pool;
   // Addresses of the ops endpoint, used in the same way. Empty if the file has no `ops`.
   std::vector<std::string> ops;
--- a/src/appliance/supervisor.cpp
+++ b/src/appliance/supervisor.cpp
@@ -272,7 +272,8 @@
       exited.push_back((*incarnation)->generation);
     }
   }
-  // `up` must not lead to a supervisor that exits together with the previous node, as kStopped does.
+  // With kStopped, the supervisor would exit as soon as the previous node has exited, although the operator
+  // has requested a start (`up`).
   if (options_.start_requested && plan.desired == decide::DesiredState::kStopped)
     plan.desired = decide::DesiredState::kDrained;
   event_queue_.push_back(decide::SupervisorStarted{plan});
--- a/src/decide/load_balancing/load_balancer_counters.h
+++ b/src/decide/load_balancing/load_balancer_counters.h
@@ -10,7 +10,7 @@
   std::uint64_t requests = 0;  // Choices of an endpoint, retries included.
   std::uint64_t retries = 0;
   std::uint64_t retries_denied = 0;    // The retry budget was empty.
-  std::uint64_t unprobed_choices = 0;  // ChoiceReason::kUnprobed.
+  std::uint64_t unprobed_choices = 0;  // Of endpoints that had received no request for a long time.
   std::uint64_t half_open_probes = 0;
   std::uint64_t ejections = 0;
   std::uint64_t recoveries = 0;  // From the half-open state.
--- a/src/decide/load_balancing/load_balancer_options.h
+++ b/src/decide/load_balancing/load_balancer_options.h
@@ -14,7 +14,8 @@
 
   // Endpoints in the subset of a node.
   std::size_t subset_size = 8;
-  // Maximum number of active endpoints, expansions of the subset included.
+  // Maximum number of active endpoints: those in the subset and those that were added to it because of high
+  // load.
   std::size_t max_active_endpoints = 64;
 
   // Load reports. The weight of a report in the estimated load halves in this time. The mean of all reports
@@ -37,7 +38,7 @@
 
   // Slow start. Number of successful responses after which a recovering endpoint is healthy.
   double slow_start_responses = 12;
-  // After this time a single successful response is enough.
+  // After this time a recovering endpoint is healthy after a single successful response.
   Milliseconds max_slow_start{4'000};
   // When an endpoint reconnects, recovers or is activated, each node waits for a random delay before it uses
   // the endpoint. The maximum delay is this multiple of the time in which the endpoint can serve one request
@@ -48,7 +49,7 @@
 
   // An endpoint that received no request for this long may receive the next request regardless of the policy.
   Milliseconds max_unprobed_time{2'000};
-  // Maximum fraction of the requests that are sent to an endpoint for that reason.
+  // Maximum fraction of the requests that are sent to an endpoint because of max_unprobed_time.
   double unprobed_request_fraction = 0.05;
 
   // The subset is expanded above this load, as a multiple of two requests in flight per unit of capacity.
@@ -67,7 +68,9 @@
   double max_ejected_fraction = 0.34;
   // Error rate above which an endpoint may be ejected. Scaled down while the endpoint has few responses.
   double ejection_error_rate = 0.5;
-  // An endpoint is ejected if its latency ratio exceeds this multiple of the median of the other endpoints.
+  // The latency ratio of an endpoint is its latency divided by the mean latency of all endpoints for requests
+  // of the same kind. An endpoint is ejected if its latency ratio exceeds this multiple of the median of the
+  // latency ratios of the other endpoints.
   double ejection_latency_factor = 3.5;
   // Number of responses after which the latency is evaluated. The error rate is evaluated after half as many.
   double min_responses = 8;
--- a/src/decide/load_balancing/outlier_detector.cpp
+++ b/src/decide/load_balancing/outlier_detector.cpp
@@ -12,8 +12,8 @@
 
 // Weight of a response in the error rate of its endpoint.
 constexpr double kErrorWeight = 0.1;
-// An endpoint is an outlier only if its error rate exceeds the median error rate of the other endpoints,
-// times this factor, by more than the margin.
+// An endpoint is an outlier only if its error rate exceeds kErrorRateFactor * M + kErrorRateMargin, where M
+// is the median error rate of the other endpoints.
 constexpr double kErrorRateFactor = 3;
 constexpr double kErrorRateMargin = 0.1;
 // If an endpoint was healthy for longer than this multiple of its last ejection time, its next ejection has
--- a/src/decide/membership/membership_options.h
+++ b/src/decide/membership/membership_options.h
@@ -74,8 +74,8 @@
   // A member is removed only if messages of this many other members, or of all others in a smaller fleet,
   // arrived since its suspicion began.
   std::size_t min_recent_senders = 3;
-  // Upper bound of the time for which a mass failure defers removals. It does not apply while messages of
-  // fewer than min_recent_senders members arrive.
+  // Upper bound of the time for which a mass failure defers removals. While messages of fewer than
+  // min_recent_senders members arrive, removals are deferred without an upper bound.
   Milliseconds max_removal_deferral{60'000};
 
   // ---- Bounds of the member table ----
--- a/src/decide/membership/view_digest.h
+++ b/src/decide/membership/view_digest.h
@@ -3,8 +3,10 @@
 //
 // Members are hashed by name into buckets. The digest of a bucket is the exclusive or of the digests of its
 // members. A member's digest covers the facts on which the views must agree: that the member is live, its
-// process epoch and its phase. Suspicions and incarnations are excluded, as they change without anti-entropy.
-// Dead members are excluded, as a node that has just joined does not know them.
+// process epoch (which identifies a start of its process) and the phase that it announces. Suspicions and
+// incarnations are excluded, because nodes send their changes to each other without anti-entropy, that is,
+// without a comparison of digests. Dead members are excluded, because a node that has just joined does not
+// know them.
 #ifndef HINGELINK_DECIDE_MEMBERSHIP_VIEW_DIGEST_H_
 #define HINGELINK_DECIDE_MEMBERSHIP_VIEW_DIGEST_H_
 
--- a/src/decide/upstream/unresponsive_connection.h
+++ b/src/decide/upstream/unresponsive_connection.h
@@ -43,10 +43,10 @@
   };
 
   // Returns what to do with a connection that has calls in flight. `unresponsive_for`: time since the last
-  // byte was received, or since the first call. `stopped_after`: the timeout after which new calls stopped
-  // using the connection, or 0 while they use it. `may_open`: whether another connection may be opened.
-  // `overtaking_replies`: replies on other connections since the last byte was received on this connection,
-  // rejections excluded.
+  // byte was received, or since the first call. `stopped_after`: 0 while new calls may use the connection;
+  // after kStopUsing, the value that timeout() had then. `may_open`: whether another connection may be
+  // opened. `overtaking_replies`: number of replies on other connections since the last byte was received on
+  // this connection. Replies that reject a call are not counted.
   [[nodiscard]] Verdict Evaluate(Milliseconds unresponsive_for, Milliseconds stopped_after, bool may_open,
                                  std::uint64_t overtaking_replies);
 
--- a/src/net/connection_set.cpp
+++ b/src/net/connection_set.cpp
@@ -11,7 +11,8 @@
 
 using namespace std::chrono_literals;
 
-// Timeouts count these checks instead of elapsed time, so that a pause of the whole machine counts only once.
+// Interval of the timeout checks. Timeouts are numbers of these checks and not elapsed times, so that a pause
+// of the whole machine counts as one check, however long it lasts.
 constexpr auto kTimeoutCheckInterval = 250ms;
 // During a handover, a connection without traffic for this long is closed. It is twice the time within which
 // a client resends a request that crosses the close.
--- a/src/net/event.cpp
+++ b/src/net/event.cpp
@@ -27,8 +27,8 @@
   if (!config) throw std::runtime_error("libevent could not allocate an event configuration");
   event_config_set_flag(config.get(), EVENT_BASE_FLAG_NO_CACHE_TIME);
   event_config_set_flag(config.get(), EVENT_BASE_FLAG_PRECISE_TIMER);
-  // Checks for high-priority events again after this many callbacks, so that a flood of normal events does
-  // not delay them.
+  // libevent checks for high-priority events again after kMaxNormalCallbacks callbacks of normal priority, so
+  // that a flood of normal events does not delay them.
   event_config_set_max_dispatch_interval(config.get(), nullptr, kMaxNormalCallbacks, kNormalPriority);
   BasePtr base(event_base_new_with_config(config.get()));
   if (!base) throw std::runtime_error("libevent could not create an event base");
--- a/src/net/gateway/connection.cpp
+++ b/src/net/gateway/connection.cpp
@@ -26,11 +26,12 @@
 // maximum length. If every connection that the descriptor limit allows stays just below it, the buffers still
 // fit into the memory of the node.
 constexpr std::size_t kMaxOutputBytes = std::size_t{160} * 1024;
-// The limits below count timeout checks, see kTimeoutCheckInterval in connection_set.cpp.
+// The limits below are numbers of timeout checks, see kTimeoutCheckInterval in connection_set.cpp.
 //
-// Checks without a received byte before the first complete frame, counted from the accept: a faulty client
-// must be disconnected within 3 s. Then: checks without a received byte within a later frame; and checks from
-// the first to the last byte of any frame, even if bytes keep arriving.
+// kFirstFrameSilenceChecks: checks without a received byte before the first complete frame. They are counted
+// from the accept, because a faulty client must be disconnected within 3 s.
+// kLaterFrameSilenceChecks: checks without a received byte within a later frame.
+// kFrameChecks: checks from the first to the last byte of any frame, even if bytes keep arriving.
 constexpr int kFirstFrameSilenceChecks = 9, kLaterFrameSilenceChecks = 20, kFrameChecks = 40;
 // Checks after which a connection that has not completed its first frame may be evicted at the connection
 // limit.
@@ -182,8 +183,8 @@
   if (has_unread_bytes_ || !BetweenFrames()) return false;
   int unread = 0;
   if (ioctl(bufferevent_getfd(bev_.get()), FIONREAD, &unread) != 0) return false;
-  // The result is cached until the next read, so that a flood of connections does not cost one system call
-  // per connection and sweep.
+  // That the connection has unread bytes is remembered until the next read. Otherwise, while many connections
+  // are open, each search for connections to close could make one system call per connection.
   has_unread_bytes_ = unread > 0;
   return !has_unread_bytes_;
 }
--- a/src/net/gateway/connection.h
+++ b/src/net/gateway/connection.h
@@ -57,7 +57,8 @@
   Descriptor ReleaseSocket(EndReason reason);
 
  private:
-  // The most valuable use of the connection so far, in ascending order of value.
+  // The most valuable use of the connection so far. The enumerators are in ascending order of value; a
+  // connection with a less valuable use is evicted first.
   enum class Usage { kNone, kFrames, kServed };
   // True if the connection is idle and no part of a frame has been read.
   bool BetweenFrames() const;
@@ -91,9 +92,9 @@
   std::size_t bytes_to_skip_ = 0;                                 // Outstanding bytes of an overlong frame.
   std::size_t discarded_bytes_ = 0;                               // Bytes received after a framing error.
   std::uint64_t request_count_ = 0;
-  std::uint64_t frame_count_ = 0;   // Frames read and answers written since TakeFrameCount().
-  std::uint64_t output_bytes_ = 0;  // Bytes written in total; next: those sent by the last check.
-  std::uint64_t last_sent_bytes_ = 0;
+  std::uint64_t frame_count_ = 0;      // Frames read and answers written since TakeFrameCount().
+  std::uint64_t output_bytes_ = 0;     // Bytes of all output so far.
+  std::uint64_t last_sent_bytes_ = 0;  // Bytes of output that had been sent at the last timeout check.
   int malformed_count_ = 0;
   int frame_checks_ = 0, silence_checks_ = 0, framing_error_checks_ = 0, stalled_output_checks_ = 0;
   Usage usage_ = Usage::kNone;
--- a/src/net/gateway_front_end.h
+++ b/src/net/gateway_front_end.h
@@ -1,5 +1,5 @@
-// The interface through which a node controls its gateway connections, on one event loop or several. Used on
-// the thread of the node's own loop.
+// The interface through which a node controls its gateway connections, on one event loop or several. All
+// methods are called on the node's main thread, which runs the node's own event loop.
 #ifndef HINGELINK_NET_GATEWAY_FRONT_END_H_
 #define HINGELINK_NET_GATEWAY_FRONT_END_H_
 
@@ -30,7 +30,8 @@
 
   // Sends a stop-new-requests frame on each open connection that has not had one.
   virtual void StopNewRequests() = 0;
-  // `shared`: another process holds descriptors of the same limit and is about to release them.
+  // `shared`: whether a sibling process holds descriptors that count towards the same limit, and will release
+  // them soon.
   virtual void SetMaxConnections(std::size_t most, bool shared) = 0;
   // Pauses accepting. Connections in the kernel's queue are left to another process.
   virtual void PauseListening() = 0;
--- a/src/net/gossip_transport.cpp
+++ b/src/net/gossip_transport.cpp
@@ -28,7 +28,8 @@
 constexpr int kMaxBatch = 64;
 // Upper bound of the unused CPU time that accumulates for later datagrams, in microseconds.
 constexpr double kMaxWorkBudgetUs = 20'000;
-// Bounds how often the read event is removed and added again under overload.
+// Minimum duration of a pause in reading. It limits how often the read event is removed and added again under
+// overload.
 constexpr Steady::duration kMinReadPause = 5ms;
 // Upper bound of the unused send budget, in seconds of Options::send_bytes_per_second.
 constexpr double kMaxSendBudgetSeconds = 2;
--- a/src/net/handover.h
+++ b/src/net/handover.h
@@ -63,7 +63,8 @@
   bool has_predecessor() const;
   // Whether all idempotency keys that the predecessor retained are known here, or the predecessor has exited.
   bool keys_known() const { return keys_known_; }
-  // Whether the predecessor is still connected but did not send its keys in time.
+  // Whether the predecessor is still connected, but its confirmation that it accepts no more clients, before
+  // which it sends all its idempotency keys, is overdue.
   bool keys_overdue() const { return !keys_known_ && takeover_complete_; }
   // Reports a changed idempotency key of this process to the ready successors. `result` is sent only if
   // `line.has_result`.
--- a/src/net/loop.cpp
+++ b/src/net/loop.cpp
@@ -20,10 +20,11 @@
 // Capacity of the queues to and from the node's main thread. With bodies of 2 KiB a queue takes at most 16
 // MiB per loop. While the message queue is full, the loop reads no frames from its sockets.
 constexpr std::size_t kMessageQueueCapacity = 4096, kCommandQueueCapacity = 8192;
-// Shorter than the interval at which LoopGroup observes the heartbeats.
+// Interval of the heartbeats. It is shorter than the interval at which LoopGroup observes them.
 constexpr auto kHeartbeatInterval = 100ms;
 constexpr auto kReportInterval = 500ms;
-// Connections in a report: those with the most work, and those with a snapshot.
+// Maximum number of connections in each of the two lists of a report: the connections with the most work, and
+// the snapshots of connections.
 constexpr std::size_t kMaxReportedConnections = 64;
 // Interval at which a draining loop checks whether all answers have been written to the sockets.
 constexpr auto kUnsentCheckInterval = 5ms;
@@ -244,8 +245,9 @@
 
 void Loop::SendReport() {
   report_timer_.Start(kReportInterval);
-  // Otherwise the overflow would grow by a report every half second while the node's main thread is stalled.
-  // The next report also covers the time of the skipped one.
+  // No report is sent while the channel has an overflow. Otherwise the overflow would grow by a report every
+  // half second while the node's main thread is stalled. The next report also covers the time of the skipped
+  // one.
   if (messages_.has_overflow()) return;
   LoopReportMessage message;
   const std::uint64_t cpu = ThreadCpuNs();
--- a/src/net/ops_server.cpp
+++ b/src/net/ops_server.cpp
@@ -16,11 +16,12 @@
 
 using namespace std::chrono_literals;
 
-// Part of the descriptors that are reserved, so that gateway connections cannot use them up.
+// Maximum number of open connections. Their descriptors are among those that the node reserves, so that
+// gateway connections cannot use them up.
 constexpr std::size_t kMaxConnections = 8;
 constexpr int kBacklog = 64;
-// From accepting a connection to the end of the response. Closes connections of callers that never complete a
-// request or never read the response.
+// Maximum time from the accept of a connection to the end of the response. This timeout closes connections of
+// callers that never complete a request or never read the response.
 constexpr auto kConnectionTimeout = 2s;
 // Pause of accepting after accept4() failed.
 constexpr auto kAcceptRetryDelay = 50ms;
--- a/src/net/pool_group.cpp
+++ b/src/net/pool_group.cpp
@@ -15,8 +15,8 @@
 using decide::RequestTraits;
 
 constexpr auto kTickInterval = 25ms;
-// Older gauges do not describe the present load. Longer than PoolLink's limit, because shared services are
-// polled less often than the single pool of a node.
+// Gauges that are older than this do not describe the present load. This limit is longer than that of
+// PoolLink, because shared services are polled less often than the single pool of a node.
 constexpr Milliseconds kMaxGaugeAge{1'000};
 // Standby services that are kept connected, so that the load balancer can expand the active services at once.
 constexpr std::size_t kStandbyLinks = 2;
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -19,10 +19,11 @@
 using namespace std::chrono_literals;
 using hingelink::Outcome;
 
-// How long before a policy timer the node polls the gauges, so that they are current when the timer fires. A
-// few round trips to the worker pool.
+// How long before a policy timer the node polls the gauges, so that they are current when the timer fires. It
+// is the time of a few round trips to the worker pool.
 constexpr auto kGaugeLead = 4ms;
-// Time between the policy's drain deadline and the kill: lets the node flush its answers on a shared core.
+// The drain notice to the policy announces the kill of the process this much earlier than it happens. In the
+// remaining time the node sends its last answers, even if it shares a core with other processes.
 constexpr auto kPolicyFlushLead = 150ms;
 // How long before the kill the main loop ends, even if callers are still connected.
 constexpr auto kExitLead = 60ms;
@@ -34,8 +35,8 @@
 constexpr std::size_t kMaxThreads = 64;
 // Budget of the extensions in a batch without requests.
 constexpr BatchBudget kIdleBudget{.events = 64, .work = 1ms};
-// Budget in a batch with requests: the cost of one or two requests, so that extensions delay an answer no
-// more than another request ahead of it would.
+// Budget of the extensions in a batch with requests. It equals the cost of one or two requests, so that
+// extensions delay an answer no more than another request that is processed before it would.
 constexpr BatchBudget kRequestBudget{.events = 8, .work = 100us};
 
 Outcome ToOutcome(proto::RunOutcome end) {
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -91,8 +91,8 @@
   // Descriptors reserved for the pool link, the registry, the log, epoll, and sockets that are closing.
   static constexpr std::size_t kReservedDescriptors = 32;
 
-  // Descriptors that gateway connections must not use. Each loop needs three: epoll, its timer and its
-  // wake-up descriptor. The store client needs its connections.
+  // Number of descriptors that gateway connections must not use: kReservedDescriptors, three for each loop
+  // (epoll, its timer and its wake-up descriptor), and one for each connection of the store client.
   std::size_t ReservedDescriptors() const {
     const std::size_t store = config_.store_address.empty() ? 0
                                                             : decide::kMaxUpstreamConnections +
--- a/src/node/node_drain.cpp
+++ b/src/node/node_drain.cpp
@@ -14,9 +14,10 @@
 
 // How long before the kill the node closes its listener and asks its callers to send no new requests.
 constexpr auto kCloseListenerLead = 500ms;
-// After a handover, the process exits this long after the longest request deadline has passed.
+// After a handover, a draining process exits at the latest after the longest deadline of a request class plus
+// this time.
 constexpr auto kExitDelayAfterLongestDeadline = 700ms;
-// Upper bound on the deadline in that calculation.
+// A longest deadline above this value counts as this value when that exit time is calculated.
 constexpr auto kMaxDeadlineConsidered = 3000ms;
 
 }  // namespace
--- a/src/node/node_siblings.cpp
+++ b/src/node/node_siblings.cpp
@@ -96,8 +96,9 @@
 }
 
 void Node::OnPredecessorLearned(const proto::LearnedClassMessage& line) {
-  // Once the policy exists, it has its own measurements. ImportLearnedRecord() checks the record against the
-  // settings, since the predecessor may have had another configuration.
+  // The predecessor's values are ignored once the policy of this process exists, because the policy then has
+  // its own measurements. ImportLearnedRecord() checks the record against the settings, since the predecessor
+  // may have had another configuration.
   if (policy_) return;
   const decide::LearnedRecord record{
       config_.name,
--- a/src/node/recent_attempts.h
+++ b/src/node/recent_attempts.h
@@ -13,7 +13,8 @@
 // Not thread-safe.
 class RecentAttempts {
  public:
-  // Covers many seconds of traffic. When the capacity is reached, the oldest id is removed.
+  // Maximum number of remembered ids, which covers many seconds of traffic. When it is exceeded, the oldest
+  // id is removed.
   static constexpr std::size_t kCapacity = 8192;
 
   void Add(std::uint64_t attempt_id) {
--- a/src/policy/attempt_age.h
+++ b/src/policy/attempt_age.h
@@ -7,11 +7,12 @@
 
 namespace hingelink::policy {
 
-// Callers do not send the time of their first attempt. A remaining wait that many arrivals have in common is
-// assumed to be a value that callers send with every attempt; it says nothing about the age. Any other
-// remaining wait is assumed to be the class's deadline minus the time that earlier attempts took. Without the
-// estimate, a burst of retries would occupy the cores with requests whose latency objective passed during
-// earlier attempts. Not thread-safe.
+// Callers do not send the time of their first attempt. They may send their remaining wait: how much longer
+// they wait for the answer. If many arrivals have the same remaining wait, it is assumed to be a constant
+// that callers send with every attempt, which says nothing about the age. Any other remaining wait is assumed
+// to be the class's deadline minus the time that earlier attempts took. Without the estimate, a burst of
+// retries would occupy the cores with requests whose latency objective passed during earlier attempts. Not
+// thread-safe.
 class AttemptAgeEstimator {
  public:
   AttemptAgeEstimator();
--- a/src/policy/drain.h
+++ b/src/policy/drain.h
@@ -22,7 +22,7 @@
   // no notice has arrived.
   double answer_by() const { return answer_by_; }
   // Whether a request that reached the machine at `arrived_at` must not be executed, because it arrived after
-  // the grace period that follows the notice.
+  // the grace period that follows the drain notice.
   bool IsPastGrace(double arrived_at) const;
 
  private:
--- a/src/policy/request_completion.cpp
+++ b/src/policy/request_completion.cpp
@@ -15,8 +15,9 @@
   request->caller_disconnected = true;
   if (request->state == RequestState::kQueued) return ReleaseQueued(disconnected.id, *request);
   if (DependsOnOriginal(*request)) return CloseDependent(disconnected.id, *request);
-  // The request stays open until the Finished event of its execution. The host ends an execution that waits
-  // for an upstream call.
+  // The request stays open until the Finished event of its execution. It needs no deadline until then,
+  // because its caller needs no answer. If the execution waits for an upstream call, the host ends the
+  // execution because the caller has disconnected.
   parts_.deadlines.Cancel(disconnected.id, *request);
   CancelUnneededRun(disconnected.id, *request);
   if (request->state == RequestState::kAwaitingCall)
