--- a/src/appliance/supervisor.cpp
+++ b/src/appliance/supervisor.cpp
@@ -209,7 +209,7 @@
 }
 
 decide::SupervisorState Supervisor::FindRunningNodes() const {
-  decide::SupervisorState plan;
+  decide::SupervisorState durable_state;
   std::vector<decide::Incarnation> found;
   for (const auto& entry : std::filesystem::directory_iterator(options_.folder)) {
     const std::string name = entry.path().filename();
@@ -218,7 +218,7 @@
     const char* last = name.data() + name.size() - 5;
     const auto [end, fault] = std::from_chars(name.data() + 5, last, generation);
     if (fault != std::errc() || end != last) continue;
-    plan.last_generation = std::max(plan.last_generation, generation);
+    durable_state.last_generation = std::max(durable_state.last_generation, generation);
     try {
       const auto status =
           control::Client(entry.path()).Call("status", nlohmann::json::object(), kDiscoveryTimeout);
@@ -237,32 +237,33 @@
   std::sort(found.begin(), found.end(), [](const auto& a, const auto& b) {
     return std::tie(a.draining, b.generation) < std::tie(b.draining, a.generation);
   });
-  if (!found.empty()) plan.current = found[0];
-  if (found.size() > 1) plan.predecessor = found[1];
-  if (plan.current && plan.current->draining) plan.desired = decide::DesiredState::kDrained;
-  return plan;
+  if (!found.empty()) durable_state.current = found[0];
+  if (found.size() > 1) durable_state.predecessor = found[1];
+  if (durable_state.current && durable_state.current->draining)
+    durable_state.desired = decide::DesiredState::kDrained;
+  return durable_state;
 }
 
 void Supervisor::RecoverState() {
-  state::LoadedSupervisorState found = state_store_.Load();
+  state::LoadedSupervisorState loaded = state_store_.Load();
   using Status = state::LoadedSupervisorState::Status;
-  if (found.status == Status::kCorrupt || found.status == Status::kUnsupportedVersion) {
-    log::Warn("plan-set-aside", {{"what", found.detail}});
+  if (loaded.status == Status::kCorrupt || loaded.status == Status::kUnsupportedVersion) {
+    log::Warn("plan-set-aside", {{"what", loaded.detail}});
   }
-  if (found.status != Status::kValid) {
+  if (loaded.status != Status::kValid) {
     const decide::SupervisorState discovered = FindRunningNodes();
     // The desired state remains valid after a reboot. The running processes are those that answer on their
     // sockets.
     // No generation may be reused, or the socket of an old node would be taken for that of a new one.
-    found.state.last_generation = std::max(found.state.last_generation, discovered.last_generation);
-    found.state.current = discovered.current;
-    found.state.predecessor = discovered.predecessor;
-    if (found.status != Status::kPreviousBoot) found.state.desired = discovered.desired;
+    loaded.state.last_generation = std::max(loaded.state.last_generation, discovered.last_generation);
+    loaded.state.current = discovered.current;
+    loaded.state.predecessor = discovered.predecessor;
+    if (loaded.status != Status::kPreviousBoot) loaded.state.desired = discovered.desired;
   }
-  decide::SupervisorState& plan = found.state;
+  decide::SupervisorState& durable_state = loaded.state;
   std::vector<std::uint64_t> exited;
   for (std::optional<decide::Incarnation>* incarnation :
-       {&plan.current, &plan.successor, &plan.predecessor}) {
+       {&durable_state.current, &durable_state.successor, &durable_state.predecessor}) {
     if (!*incarnation) continue;
     if (auto process = Process::Find((*incarnation)->process)) {
       log::Info("adopted",
@@ -274,9 +275,9 @@
   }
   // With kStopped, the supervisor would exit as soon as the previous node has exited, although the operator
   // has requested a start (`up`).
-  if (options_.start_requested && plan.desired == decide::DesiredState::kStopped)
-    plan.desired = decide::DesiredState::kDrained;
-  event_queue_.push_back(decide::SupervisorStarted{plan});
+  if (options_.start_requested && durable_state.desired == decide::DesiredState::kStopped)
+    durable_state.desired = decide::DesiredState::kDrained;
+  event_queue_.push_back(decide::SupervisorStarted{durable_state});
   for (const std::uint64_t generation : exited) {
     log::Info("process-not-found", {{"generation", generation}});
     event_queue_.push_back(decide::ProcessExited{generation, ExitedCleanly(generation)});
@@ -490,15 +491,15 @@
 }
 
 Json Supervisor::Reload() {
-  const decide::SupervisorState& plan = state_machine_.state();
-  if (!plan.current)
+  const decide::SupervisorState& durable_state = state_machine_.state();
+  if (!durable_state.current)
     throw control::RequestError("not-serving",
                                 "no node is serving; the next start reads the configuration file");
   try {
     Config new_config = ReadConfig(options_.config);
     std::swap(config_, new_config);
     try {
-      WriteNodeConfig(plan.current->generation);
+      WriteNodeConfig(durable_state.current->generation);
     } catch (...) {
       std::swap(config_, new_config);
       throw;
@@ -508,7 +509,7 @@
   }
   // The node validates the new file and reports whether it applied it.
   try {
-    return control::Client(NodeSocketPath(plan.current->generation))
+    return control::Client(NodeSocketPath(durable_state.current->generation))
         .Call("reload", nlohmann::json::object(), kStatusTimeout);
   } catch (const control::UnreachableError& fault) {
     throw control::RequestError("node-unreachable", fault.what());
@@ -516,7 +517,7 @@
 }
 
 Json Supervisor::Status() const {
-  const decide::SupervisorState& plan = state_machine_.state();
+  const decide::SupervisorState& durable_state = state_machine_.state();
   const auto incarnation_json = [this](const std::optional<decide::Incarnation>& incarnation) -> Json {
     if (!incarnation) return nullptr;
     Json json = {{"generation", incarnation->generation},
@@ -534,12 +535,12 @@
                {"pid", getpid()},
                {"phase", decide::SupervisorPhaseName(state_machine_.phase())},
                {"last_report", last_event_code_},
-               {"last_generation", plan.last_generation},
-               {"crashes_in_row", plan.consecutive_crashes},
+               {"last_generation", durable_state.last_generation},
+               {"crashes_in_row", durable_state.consecutive_crashes},
                {"plan_saved", state_saved_},
-               {"current", incarnation_json(plan.current)},
-               {"successor", incarnation_json(plan.successor)},
-               {"predecessor", incarnation_json(plan.predecessor)}};
+               {"current", incarnation_json(durable_state.current)},
+               {"successor", incarnation_json(durable_state.successor)},
+               {"predecessor", incarnation_json(durable_state.predecessor)}};
   if (state_machine_.restart_at())
     json["start_in_ms"] = std::max(0.0, (*state_machine_.restart_at() - Now()).count());
   return json;
